--- a/tests/control_side.py
+++ b/tests/control_side.py
@@ -13,9 +13,9 @@
 import trio.testing
 
 from tests.test_gateway_parts import SETTINGS, document
-from wickspring.harbour import boot, cable
-from wickspring.harbour.cable import Cable
-from wickspring.harbour.servers import Server
+from wickspring.common import settings as settings_module
+from wickspring.common.connection import PeerConnection
+from wickspring.common.endpoints import Endpoint
 from wickspring.lab.clock import VirtualClock
 from wickspring.lighthouse import light as light_module
 from wickspring.lighthouse.calls import Call, Said
@@ -133,7 +133,7 @@
 
         async def serve() -> None:
             _WHO.set(theirs)
-            end = Cable(MemoryLink(there, self.nursery), clock)  # type: ignore[arg-type]
+            end = PeerConnection(MemoryLink(there, self.nursery), clock)  # type: ignore[arg-type]
             if theirs in self.lights:
                 await self.lights[theirs].cable(end)
             else:
@@ -167,11 +167,11 @@
         return self.pilots[ip]
 
     async def _start(
-        self, ip: str, settings: str, first: bool, make: Callable[[boot.Boot, trio.Nursery], None]
+        self, ip: str, settings: str, first: bool, make: Callable[[settings_module.NodeSettings, trio.Nursery], None]
     ) -> None:
         seeds = ",".join(f"{seed}:8783" for seed in LIGHTS[:3])
         settings = settings.replace("10.1.0.33:8783,10.2.0.25:8783", seeds)
-        told = boot.read(settings.replace("is_first_start=true", f"is_first_start={str(first).lower()}"))
+        told = settings_module.parse_settings(settings.replace("is_first_start=true", f"is_first_start={str(first).lower()}"))
 
         async def live() -> None:
             _WHO.set(ip)
@@ -185,12 +185,12 @@
         self.nursery.start_soon(live)
         await made.wait()
 
-    def _light(self, told: boot.Boot, nursery: trio.Nursery) -> None:
+    def _light(self, told: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
         light = self.lights[told.ip] = Light(told, nursery, self.random.getrandbits(32))
         for task in (light.core.run, light.core.tick, light.upkeep):
             nursery.start_soon(task)
 
-    def _pilot(self, told: boot.Boot, nursery: trio.Nursery) -> None:
+    def _pilot(self, told: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
         made = self.pilots[told.ip] = Pilot(told, nursery, self.random.getrandbits(32))
         numbers = self.taken[told.ip] = []
         charted = made.moorings._charted
@@ -266,8 +266,8 @@
     return await Deregister(light).call(Call("POST", "", b"", {"id": id_}))
 
 
-def server(id_: str, seq: int = 1) -> Server:
-    return Server(id_, "s", "10.1.2.9:8080", "a", 2, 0, seq)
+def server(id_: str, seq: int = 1) -> Endpoint:
+    return Endpoint(id_, "s", "10.1.2.9:8080", "a", 2, 0, seq)
 
 
 def play(
@@ -282,7 +282,7 @@
             site = Site(nursery, Random(seed))
             monkeypatch.setattr(light_module, "Logbook", lambda folder: site.books[folder])
             monkeypatch.setattr(pilot, "Udp", lambda ip, port: Datagrams(site, ip))
-            for module in (cable, flotilla):
+            for module in (connection_module, flotilla):
                 monkeypatch.setattr(module, "connect", site.connect)
                 monkeypatch.setattr(module, "Link", MemoryLink)
             for ip in LIGHTS[:lights]:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -12,7 +12,7 @@
 import pytest
 import trio
 
-from wickspring.harbour.kinds import Kind
+from wickspring.common.errors import ErrorKind
 from wickspring.lab.answers import LONG, ONCE, TRICKS, Play, WrongError, content
 from wickspring.lab.harbour import HOST, KEY, PREFIX
 from wickspring.net.http1_front import Http1Connection
@@ -198,7 +198,7 @@
     ended(gateway, request, *about)
 
 
-REFUSES = (Tries, "verdict", property(lambda _: Kind.NO_SERVER))
+REFUSES = (Tries, "verdict", property(lambda _: ErrorKind.NO_SERVER))
 BY_PLACE, LEFT_OVER = (upstream, "is_for", by_place), (AnswerReader, "reusable", left_over)
 OTHER, TWICE, REFUSED = "not what a server said", "ran twice", "refused though it ran"
 DEFECTS: dict[str, tuple[int, str, list[Any]]] = {  # the seed that finds it, what is found, what is changed
--- a/tests/test_berths.py
+++ b/tests/test_berths.py
@@ -10,17 +10,17 @@
 import trio
 
 from tests.test_gateway_parts import SETTINGS
-from wickspring.harbour import boot
-from wickspring.harbour.cable import Cable
-from wickspring.harbour.servers import DRAINING, Server
+from wickspring.common import settings as settings_module
+from wickspring.common.connection import PeerConnection
+from wickspring.common.endpoints import DRAINING, Endpoint
 from wickspring.lighthouse.berths import OFFERS, Berths
 from wickspring.lighthouse.light import Light
 from wickspring.lighthouse.views import View
 from wickspring.pilot.policy.choice import Choice
 
 
-def servers(count: int, zone: str = "a") -> list[Server]:
-    return [Server(f"i{n}", "s", f"10.0.0.{n}:80", zone, 2) for n in range(count)]
+def servers(count: int, zone: str = "a") -> list[Endpoint]:
+    return [Endpoint(f"i{n}", "s", f"10.0.0.{n}:80", zone, 2) for n in range(count)]
 
 
 def waits(told: bool, seed: int) -> float:
@@ -116,16 +116,16 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            light = Light(boot.read(settings), nursery, 1)
+            light = Light(settings_module.parse_settings(settings), nursery, 1)
             for one in servers(2):
                 light.register.beat(light.clock.now(), one)
             heard = Heard()
             ask = ["berth", 1, "s", "a"]
-            light._take(cast(Cable, heard), ask)  # of two seeds it reaches only itself
+            light._take(cast(PeerConnection, heard), ask)  # of two seeds it reaches only itself
             assert heard.said.pop() == ("berths", 1, [], 2)
             light.core.chain.view = View(2, (light.core.chain.me,), (light.core.chain.me,))
             light.core.lease.take_up(light.clock.now(), light.core.chain.view)
-            light._take(cast(Cable, heard), ask)
+            light._take(cast(PeerConnection, heard), ask)
             _, _, offers, known = heard.said.pop()
             assert len(cast(list[object], offers)) == known == 2
             nursery.cancel_scope.cancel()
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -26,11 +26,12 @@
     text,
 )
 from tests.test_gateway_parts import SETTINGS
-from wickspring.harbour import boot, log
-from wickspring.harbour.cable import Cable
-from wickspring.harbour.kinds import FaultError
-from wickspring.harbour.servers import GONE, READY
-from wickspring.harbour.standing import Contact, Standing
+from wickspring.common import logs
+from wickspring.common import settings as settings_module
+from wickspring.common.config_status import ConfigStatus, QuorumContact
+from wickspring.common.connection import PeerConnection
+from wickspring.common.endpoints import GONE, READY
+from wickspring.common.errors import GatewayError
 from wickspring.lighthouse import snapshot
 from wickspring.lighthouse.calls import Call, Said
 from wickspring.lighthouse.contact import ALONE_MS, GAP_MS, ContactLog
@@ -112,7 +113,7 @@
             version += 1
             await trio.sleep(2.5)
         site.heal()
-        assert await site.until(lambda: light.look() is not Contact.NONE) < 4.0
+        assert await site.until(lambda: light.look() is not QuorumContact.NONE) < 4.0
         await site.until(lambda: light.offers.chart.version == version - 1, 2.0)
         tried = trio.current_time()  # the chain takes it in again meanwhile
         assert (await site.until_safe(victim, version)).status == 200 and trio.current_time() - tried < 3.0
@@ -158,11 +159,11 @@
         pilot = await site.start_pilot(PILOTS[0])
         took = await site.until(lambda: pilot.moorings.chart.version == 1, 6.0)
         assert took >= ALONE_MS / 1000.0 and trio.current_time() - begun < 6.0
-        assert pilot.moorings.standing is (Standing.HELD if restarted else Standing.SAFE)
+        assert pilot.moorings.standing is (ConfigStatus.HELD if restarted else ConfigStatus.SAFE)
         assert not pilot.moorings.in_contact
         site.heal()
         await site.until(lambda: pilot.moorings.chart.version == 2)
-        await site.until(lambda: pilot.moorings.standing is Standing.CURRENT, 0.5)
+        await site.until(lambda: pilot.moorings.standing is ConfigStatus.CURRENT, 0.5)
         assert site.taken[PILOTS[0]] == [1, 2]
 
     play(monkeypatch, cut_off)
@@ -252,11 +253,11 @@
 
     def __init__(self) -> None:
         self.name, self.about, self.live = "", dict[str, Any](), True
-        self.charts: list[tuple[float, Standing]] = []
+        self.charts: list[tuple[float, ConfigStatus]] = []
 
     def send(self, *message: Any) -> None:
         if message[0] == "chart":
-            self.charts.append((trio.current_time(), Standing(message[4])))
+            self.charts.append((trio.current_time(), ConfigStatus(message[4])))
 
     def close(self) -> None:
         self.live = False
@@ -281,14 +282,14 @@
 
             monkeypatch.setattr(Light, "_begin", hasty)
         light, begun, heard = await site.start_light(victim), trio.current_time(), Heard()
-        cable = cast(Cable, heard)
+        cable = cast(PeerConnection, heard)
         light._take(cable, ["hello", "pilot", PILOTS[0], {"version": 0, "digest": b""}])
         for _ in range(20):
             await trio.sleep(0.2)
             light._take(cable, ["tick", 0, b""])
         (at, standing), *more = heard.charts
         assert not more
-        seen = at - begun < ALONE_MS / 1000.0 or standing is not Standing.HELD
+        seen = at - begun < ALONE_MS / 1000.0 or standing is not ConfigStatus.HELD
         assert seen == defect
 
     play(monkeypatch, restarted)
@@ -325,7 +326,7 @@
         assert (await replace(light, 3)).status == usual
         contact[0] = False
         if defect:
-            monkeypatch.setattr(ContactLog, "look", lambda *_: Contact.SETTLED)
+            monkeypatch.setattr(ContactLog, "look", lambda *_: QuorumContact.SETTLED)
         begun = trio.current_time()
         said = await replace(light, 3)
         assert said.status == (usual if defect else 503)
@@ -363,7 +364,7 @@
 def test_a_server_is_sent_on_and_only_to_what_is_in_reach(monkeypatch: pytest.MonkeyPatch) -> None:
     async def cut_off(site: Site) -> None:
         light = site.lights[LIGHTS[0]]
-        monkeypatch.setattr(light, "boot", boot.read(SETTINGS.replace("zone=a", "zone=b")))
+        monkeypatch.setattr(light, "boot", settings_module.parse_settings(SETTINGS.replace("zone=a", "zone=b")))
         target = light.beat_target("a")
         assert target.encode() in (await beat(light, "i1", 1)).body
         lost = target.partition(":")[0]
@@ -417,7 +418,7 @@
         assert not pilot.choice.berths["well"].lost
         assert any(m[0] == "whole" for m in heard) and not any(m[0] in ("lost", "sum") for m in heard)
         site.heal()
-        await site.until(lambda: victim.look() is Contact.SETTLED)
+        await site.until(lambda: victim.look() is QuorumContact.SETTLED)
         assert not pilot.choice.berths["well"].lost and not pilot.choice.takes("ended")
         assert pilot.choice.berths["silent"].lost
         assert (await beat(victim, "well", seq + 1)).status == 200
@@ -449,7 +450,7 @@
 # The rules of what a pilot goes by.
 
 
-def copy_of(version: int, mark: str, standing: Standing) -> Copy:
+def copy_of(version: int, mark: str, standing: ConfigStatus) -> Copy:
     return Copy(version, digest_of(text(version, mark)), b"", standing)
 
 
@@ -462,38 +463,38 @@
     for _ in range(400):
         now += random.expovariate(1 / 120.0)
         newest = min(39, newest + (random.random() < 0.06))
-        standing = random.choice(list(Standing)) if now > 1000.0 * (seed % 4) else Standing.HELD
-        version = newest if standing is Standing.CURRENT else random.randint(1, newest)
-        if standing is Standing.HELD:
+        standing = random.choice(list(ConfigStatus)) if now > 1000.0 * (seed % 4) else ConfigStatus.HELD
+        version = newest if standing is ConfigStatus.CURRENT else random.randint(1, newest)
+        if standing is ConfigStatus.HELD:
             version += random.randint(0, 1)  # a head's own, confirmed to nobody
-        mark = random.choice("xy") if standing is Standing.HELD else safe.get(version, "x")
+        mark = random.choice("xy") if standing is ConfigStatus.HELD else safe.get(version, "x")
         copy = copy_of(version, mark, standing)
         before = mine.version, mine.standing
         advice = mine.told(now, copy, random.random() < 0.5)
-        contact_at = now if standing is Standing.CURRENT else contact_at
+        contact_at = now if standing is ConfigStatus.CURRENT else contact_at
         due = mine.due(now)
         assert advice is not Advice.FENCE  # one safe text a number: the fence never falls
         if advice in (Advice.TAKE, Advice.GIVE_WAY):
-            assert standing >= Standing.SAFE
-            assert before[0] or standing is Standing.CURRENT
-            assert advice is Advice.TAKE or before == (version, Standing.HELD)
+            assert standing >= ConfigStatus.SAFE
+            assert before[0] or standing is ConfigStatus.CURRENT
+            assert advice is Advice.TAKE or before == (version, ConfigStatus.HELD)
             mine.took(copy)
         elif due is not None:
             assert not before[0] and now - contact_at >= adoption.ALONE_MS
             mine.took(due)
         numbers.append(mine.version)
-        if mine.standing is Standing.SAFE:
+        if mine.standing is ConfigStatus.SAFE:
             assert mine.digest == digest_of(text(mine.version, safe[mine.version]))
     assert numbers == sorted(numbers)
-    mine.told(now, copy_of(newest, safe[newest], Standing.CURRENT))
-    assert mine.version <= newest or mine.standing is Standing.HELD
+    mine.told(now, copy_of(newest, safe[newest], ConfigStatus.CURRENT))
+    assert mine.version <= newest or mine.standing is ConfigStatus.HELD
 
 
 def test_the_fence_takes_the_text_of_one_in_contact_and_says_so(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     events: list[str] = []
-    monkeypatch.setattr(log, "event", lambda name, **_: events.append(name))
+    monkeypatch.setattr(logs, "event", lambda name, **_: events.append(name))
 
     async def two_texts(site: Site) -> None:
         light = site.lights[LIGHTS[0]]
@@ -503,13 +504,13 @@
         good = pilot.moorings.packed
         other = zlib.compress(text(1, "other"))
         cable = next(iter(light.pilots))
-        for standing, by_lighthouse in ((Standing.SAFE, True), (Standing.CURRENT, False)):
+        for standing, by_lighthouse in ((ConfigStatus.SAFE, True), (ConfigStatus.CURRENT, False)):
             told = ["chart", 1, other, digest_of(text(1, "other")), int(standing)]
             pilot.moorings.take(cable, told, by_lighthouse)
             assert pilot.moorings.packed == good
-        pilot.moorings.take(cable, ["chart", 1, other, digest_of(text(1)), int(Standing.CURRENT)])
+        pilot.moorings.take(cable, ["chart", 1, other, digest_of(text(1)), int(ConfigStatus.CURRENT)])
         assert pilot.moorings.packed == good  # not the text of its digest: half a copy is none
-        pilot.moorings.take(cable, ["chart", 1, other, digest_of(text(1, "other")), int(Standing.CURRENT)])
+        pilot.moorings.take(cable, ["chart", 1, other, digest_of(text(1, "other")), int(ConfigStatus.CURRENT)])
         assert pilot.moorings.packed == other
         await site.until(lambda: pilot.moorings.packed == good)  # its lighthouses have another still
 
@@ -521,21 +522,21 @@
 
 
 def test_contact_by_the_clock() -> None:
-    log = ContactLog(0.0, 1500.0)
-    assert log.look(100.0, False) is Contact.NONE and not log.gone(100.0)
-    assert log.look(GAP_MS + 1.0, False) is Contact.NONE and log.gone(GAP_MS + 1.0)
-    assert not log.alone(GAP_MS + 1.0) and log.alone(ALONE_MS + 1.0)
-    assert log.look(2000.0, True) is Contact.FRESH and not log.gone(9000.0)
+    monitor = ContactLog(0.0, 1500.0)
+    assert monitor.look(100.0, False) is QuorumContact.NONE and not monitor.gone(100.0)
+    assert monitor.look(GAP_MS + 1.0, False) is QuorumContact.NONE and monitor.gone(GAP_MS + 1.0)
+    assert not monitor.alone(GAP_MS + 1.0) and monitor.alone(ALONE_MS + 1.0)
+    assert monitor.look(2000.0, True) is QuorumContact.FRESH and not monitor.gone(9000.0)
     for now in range(2500, 4250, 250):
-        log.look(float(now), now % 1000 != 0)  # gaps of a moment do not count
-    assert log.look(4300.0, True) is Contact.SETTLED
-    assert log.look(5400.0, True) is Contact.FRESH  # a second in which nobody looked: it was stopped
+        monitor.look(float(now), now % 1000 != 0)  # gaps of a moment do not count
+    assert monitor.look(4300.0, True) is QuorumContact.SETTLED
+    assert monitor.look(5400.0, True) is QuorumContact.FRESH  # a second in which nobody looked: it was stopped
 
 
 def test_another_config_mode_is_a_fault_of_the_settings() -> None:
-    assert boot.read(SETTINGS + "config_mode=highest\n").config_mode == "highest"
-    with pytest.raises(FaultError, match="bad_settings: config_mode: 'latest'"):
-        boot.read(SETTINGS + "config_mode=latest\n")
+    assert settings_module.parse_settings(SETTINGS + "config_mode=highest\n").config_mode == "highest"
+    with pytest.raises(GatewayError, match="bad_settings: config_mode: 'latest'"):
+        settings_module.parse_settings(SETTINGS + "config_mode=latest\n")
 
 
 @pytest.mark.parametrize("free_after_s", [0.0, 1.0, 99.0])
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from wickspring.harbour import boot
-from wickspring.harbour.chart import lay_out
-from wickspring.harbour.kinds import ANSWERS, FaultError, Kind
-from wickspring.harbour.seeds import Seeds
-from wickspring.harbour.servers import DRAINING, GONE, READY, Server
+from wickspring.common import settings
+from wickspring.common.endpoints import DRAINING, GONE, READY, Endpoint
+from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
+from wickspring.common.routing_table import build_routing_table
+from wickspring.common.seeds import SeedList
 from wickspring.lighthouse.chain import Chain
 from wickspring.lighthouse.check import check
 from wickspring.lighthouse.logbook import FILE, Logbook
@@ -61,7 +61,7 @@
 
 
 def test_settings_are_read_and_faults_named() -> None:
-    read = boot.read(SETTINGS)
+    read = settings.parse_settings(SETTINGS)
     assert read.is_first_start and read.talk_port == 7340 and read.guarantees.drain_s == 2.5
     assert read.seed_ips() == ["10.1.0.33", "10.2.0.25"]
     for wrong, name in (
@@ -71,14 +71,14 @@
         (SETTINGS.replace("7340,7355", "many"), "many"),
         (SETTINGS + "zone.more=1\n", "zone"),
     ):
-        with pytest.raises(FaultError, match=name):
-            boot.read(wrong)
+        with pytest.raises(GatewayError, match=name):
+            settings.parse_settings(wrong)
 
 
 def test_a_configuration_is_laid_out() -> None:
     body = json.dumps(document()).encode()
     assert check(body).ok == 7
-    chart = lay_out(body)
+    chart = build_routing_table(body)
     deep, flat = chart.route("h.example", "/a/b/c?x=/a/"), chart.route("H.example:80", "/a/c")
     assert deep is not None and deep.name == "r2" and not deep.pure and deep.services == (("t", 1.0),)
     assert flat is not None and flat.name == "r1" and flat.services == (("s", 9.0), ("t", 1.0))
@@ -124,12 +124,12 @@
 )  # fmt: skip
 def test_invalid_configurations_are_refused_by_kind(change: str) -> None:
     found = check(broken(change))
-    assert found.is_error() and found.error.kind is Kind.INVALID_CONFIG and found.error.reason
+    assert found.is_error() and found.error.kind is ErrorKind.INVALID_CONFIG and found.error.reason
 
 
 def test_every_kind_has_its_answer_and_promises_keep_their_word() -> None:
-    assert set(ANSWERS) == set(Kind)
-    assert {ANSWERS[kind].status for kind in (Kind.MAY_HAVE_RUN, Kind.TIMED_OUT)} == {502, 504}
+    assert set(ERROR_RESPONSES) == set(ErrorKind)
+    assert {ERROR_RESPONSES[kind].status for kind in (ErrorKind.MAY_HAVE_RUN, ErrorKind.TIMED_OUT)} == {502, 504}
 
 
 def test_whatever_comes_as_a_configuration_is_read_or_refused() -> None:
@@ -143,7 +143,7 @@
             wrong[at : at + random.choice((0, 1, 5, 30))] = random.choice(values)
         found = check(bytes(wrong))
         if found.is_ok():
-            lay_out(bytes(wrong))
+            build_routing_table(bytes(wrong))
 
 
 def test_the_logbook_outlives_its_process_and_sets_aside_what_it_cannot_read(tmp_path: Path) -> None:
@@ -184,8 +184,8 @@
         Logbook(str(tmp_path))
 
 
-def beat(seq: int, state: int = READY, id_: str = "i1") -> Server:
-    return Server(id_, "s", "10.0.0.1:80", "a", 2, state, seq)
+def beat(seq: int, state: int = READY, id_: str = "i1") -> Endpoint:
+    return Endpoint(id_, "s", "10.0.0.1:80", "a", 2, state, seq)
 
 
 def test_the_register_tells_news_once_and_late_calls_nothing() -> None:
@@ -210,7 +210,7 @@
     file = tmp_path / "node.conf"
     file.write_text(SETTINGS.replace("10.2.0.25:8783", "10.9.0.1:8783"))
     monkeypatch.setenv("WICKSPRING_BOOT", str(file))
-    seeds = Seeds(boot.read(SETTINGS))
+    seeds = SeedList(settings.parse_settings(SETTINGS))
     old, new = ["10.1.0.33", "10.2.0.25"], ["10.1.0.33", "10.9.0.1"]
     assert seeds.ips(0.0, False) == old and seeds.ips(1900.0, False) == old
     assert seeds.ips(1950.0, True) == old and seeds.ips(3900.0, False) == old
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -15,7 +15,7 @@
 
 from tests.logbooks import DURABLE, MEMBERS, OLD, files, found_in, reopened, replica, write_older
 from tests.test_gateway_parts import document
-from wickspring.harbour.kinds import Kind
+from wickspring.common.errors import ErrorKind
 from wickspring.lighthouse import logbook, snapshot
 from wickspring.lighthouse.logbook import BAD, FILE, LOG_MOST, OPEN_TRIES, PAGE, Logbook
 from wickspring.lighthouse.replica import HISTORY_MOST, Config, Order, Replica, Verdict, digest_of
@@ -363,7 +363,7 @@
     )  # fmt: skip
     for change in changes:
         refused = snapshot.unpack(json.dumps(tree | change).encode())
-        assert refused.is_error() and refused.error.kind is Kind.INVALID_SNAPSHOT
+        assert refused.is_error() and refused.error.kind is ErrorKind.INVALID_SNAPSHOT
     for cut in range(len(body)):
         assert snapshot.unpack(body[:cut]).is_error()
     random = Random(2)
@@ -388,7 +388,7 @@
         setattr(one, name, value)
     one.sum = snapshot._sum_of(one)
     refused = snapshot.unpack(msgspec.json.encode(one))
-    assert refused.is_error() and refused.error.kind is Kind.INVALID_SNAPSHOT
+    assert refused.is_error() and refused.error.kind is ErrorKind.INVALID_SNAPSHOT
 
 
 def test_a_snapshot_of_the_program_before_is_still_read() -> None:
--- a/tests/test_pilot_policy.py
+++ b/tests/test_pilot_policy.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from wickspring.harbour.chart import Route, Tenant
-from wickspring.harbour.kinds import Kind
-from wickspring.harbour.quotas import ceiling
-from wickspring.harbour.servers import DRAINING, READY, Server
+from wickspring.common.endpoints import DRAINING, READY, Endpoint
+from wickspring.common.errors import ErrorKind
+from wickspring.common.quota_rule import quota_ceiling
+from wickspring.common.routing_table import Route, Tenant
 from wickspring.lighthouse.tally import Tally
 from wickspring.pilot.policy.budget import Budget
 from wickspring.pilot.policy.choice import Choice
@@ -70,7 +70,7 @@
             sent.append(now)
         else:
             assert 0.0 < ruling.wait < 60_000.0
-    most = ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
+    most = quota_ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
     assert most_in_a_span(sent, 1000.0 * SPAN_S) <= most
     quiet = [at for at in sent if at < 1e6 + 20_000.0]
     assert len(quiet) > 0.4 * tenant.rate * 20.0  # and what is owed goes
@@ -118,8 +118,8 @@
     assert len(further) > 0.1 * len(firsts)
 
 
-def server(number: int, service: str = "s", zone: str = "a", state: int = READY, seq: int = 1) -> Server:
-    return Server(f"i{number}", service, f"10.0.0.{number}:80", zone, 2, state, seq)
+def server(number: int, service: str = "s", zone: str = "a", state: int = READY, seq: int = 1) -> Endpoint:
+    return Endpoint(f"i{number}", service, f"10.0.0.{number}:80", zone, 2, state, seq)
 
 
 def test_what_leaves_is_never_chosen_again_whatever_is_told_after() -> None:
@@ -172,7 +172,7 @@
             assert pure or (not may_have_run and not out)
             tries.begin(f"i{tries.sent}")
             out.append("x")
-        if tries.verdict is Kind.NO_SERVER:
+        if tries.verdict is ErrorKind.NO_SERVER:
             assert not may_have_run and not out
     assert tries.sent <= tries.route.tries
 
@@ -200,7 +200,7 @@
             ruling = pilot.counted(now, "t", total, limit, wait)
         if ruling.goes:
             sent.append(now)
-    most = ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
+    most = quota_ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
     assert (most_in_a_span(sent, 1000.0 * SPAN_S) <= most) == kept
 
 
@@ -219,5 +219,5 @@
     for step in range(2000, 5000):
         total, limit, _ = other.add(float(step), "t", "q", 63.0, 63.0)
         given += total <= limit
-    most = ceiling(63.0, 63.0, SPAN_S, EXCESS, SLACK)
+    most = quota_ceiling(63.0, 63.0, SPAN_S, EXCESS, SLACK)
     assert (units + given <= most) == told
--- a/tests/test_start_of_the_core.py
+++ b/tests/test_start_of_the_core.py
@@ -9,7 +9,7 @@
 import trio
 import trio.testing
 
-from wickspring.harbour import cable
+from wickspring.common import connection
 from wickspring.lighthouse.chain import Chain
 from wickspring.lighthouse.replica import Order, Replica
 from wickspring.lighthouse.views import View
@@ -77,9 +77,9 @@
             if len(dialled) == 2:
                 twice.set()
 
-        monkeypatch.setattr(cable, "connect", nobody)
+        monkeypatch.setattr(connection, "connect", nobody)
         async with trio.open_nursery() as nursery:
-            caller = cable.Caller(
+            caller = connection.ReconnectingClient(
                 ("10.1.0.1", 1), Clock(), nursery, Random(1), lambda _: None, lambda *_: None
             )
             nursery.start_soon(caller.run)
@@ -90,4 +90,4 @@
 
     trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
     pause = dialled[1] - dialled[0]
-    assert pause == 0.0 if hurried else 1000.0 * pause >= cable.REDIAL_MS[0]
+    assert pause == 0.0 if hurried else 1000.0 * pause >= connection.RECONNECT_DELAY_MS[0]
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -12,12 +12,12 @@
 import trio
 
 from tests.test_gateway_parts import SETTINGS, document
+from wickspring.common import settings as settings_module
+from wickspring.common.connection import DECODE_ERRORS, PeerConnection
+from wickspring.common.endpoints import Endpoint
+from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
+from wickspring.common.settings_file import parse_address
 from wickspring.gossip.book import Digest
-from wickspring.harbour import boot
-from wickspring.harbour.cable import UNREADABLE, Cable
-from wickspring.harbour.kinds import ANSWERS, FaultError, Kind
-from wickspring.harbour.lines import parse_address
-from wickspring.harbour.servers import Server
 from wickspring.lab.keel_faults import Chaos
 from wickspring.lighthouse.calls import Call
 from wickspring.lighthouse.light import Light
@@ -74,9 +74,9 @@
         name = lines[at].partition("=")[0]
         lines[at] = random.choice((f"{name}={random.choice(ODD)}", f"{name}.x=1", name, f"={name}", "\\u12"))
         try:
-            read = boot.read("\n".join(lines))
-        except FaultError as error:
-            assert error.fault.kind is Kind.BAD_SETTINGS and error.fault.reason
+            read = settings_module.parse_settings("\n".join(lines))
+        except GatewayError as error:
+            assert error.fault.kind is ErrorKind.BAD_SETTINGS and error.fault.reason
         else:
             assert 0 < read.talk_port < 65536
             assert all(parse_address(one) for one in read.seed_addrs)
@@ -98,7 +98,7 @@
             except TypeError:  # bytes have no form in JSON
                 body = b"\xff"
             said = await Heartbeat(light).call(Call("POST", "", body, {"id": "i1"}))
-            assert said.status in (200, ANSWERS[Kind.BAD_REQUEST].status, ANSWERS[Kind.NOT_SAFE_YET].status)
+            assert said.status in (200, ERROR_RESPONSES[ErrorKind.BAD_REQUEST].status, ERROR_RESPONSES[ErrorKind.NOT_SAFE_YET].status)
             taken += said.status == 200
         assert 0 < taken < 1000
         beat["condition"] = {"state": "ready", "call_seq": 10**25}  # no cable could carry it
@@ -116,7 +116,7 @@
 
     async def run() -> None:
         async with trio.open_nursery() as nursery:
-            light = Light(boot.read(settings), nursery, 1)
+            light = Light(settings_module.parse_settings(settings), nursery, 1)
             light.core.lease.take_up(0.0, light.core.chain.view)
             light.core.chain.safe.take(Order(7, json.dumps(document()).encode()), 1)
             light._safe(light.core.chain.safe)
@@ -129,7 +129,7 @@
 def test_a_lighthouse_takes_whatever_comes_over_a_cable(tmp_path: Path) -> None:
     """Of pilots and of the core; nothing but what ends the cable is raised, and it counts on."""
     random = Random(5)
-    server = Server("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
+    server = Endpoint("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
     of_pilots: list[list[Any]] = [
         ["hello", "pilot", "10.1.0.2", {"version": 3}], ["add", 1, "n", False, 1], ["berth", 2, "s", "a"],
         ["out", "i1"], ["in", "i1", 1.2], ["spent", "n"], ["back", "n"], ["past", "n", [[0, 3], [4, 1]]],
@@ -145,22 +145,22 @@
         refused = 0
         for _ in range(4000):
             core = random.random() < 0.5
-            cable = cast(Cable, Heard(**({"core": True} if core else {})))
+            cable = cast(PeerConnection, Heard(**({"core": True} if core else {})))
             if not core:
                 light.pilots[cable] = "p"
             message = spoil(random, random.choice(of_core if core else of_pilots))
             try:
                 if isinstance(message, list) and message and isinstance(message[0], str):
                     light._take(cable, message)
-            except UNREADABLE:
+            except DECODE_ERRORS:
                 refused += 1
             light.pilots.pop(cable, None)
         assert refused > 300
         heard = Heard()
-        light.pilots[cast(Cable, heard)] = "p"
+        light.pilots[cast(PeerConnection, heard)] = "p"
         while light.clock.now() - light.core.lease.since < 500.0:
             await trio.lowlevel.checkpoint()
-        light._take(cast(Cable, heard), ["add", 9, "n", False, light.core.lease.epoch])
+        light._take(cast(PeerConnection, heard), ["add", 9, "n", False, light.core.lease.epoch])
         assert heard.said[-1][:2] == ("sum", 9)
         light.status()
 
@@ -169,7 +169,7 @@
 
 def test_a_pilot_takes_whatever_comes_over_cables_and_datagrams() -> None:
     random = Random(6)
-    server = Server("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
+    server = Endpoint("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
     digest = Digest("127.0.9.9", {"127.0.9.9": (1.0, 2, 3)}, "", "")
     probe = [digest.low, digest.high, digest.heard]
     messages: list[list[Any]] = [
@@ -188,17 +188,17 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            pilot = Pilot(boot.read(settings), nursery, 1)
+            pilot = Pilot(settings_module.parse_settings(settings), nursery, 1)
             refused = 0
             for step in range(4000):
                 known = step % 2 == 0
                 message = spoil(random, random.choice(messages if known else datagrams))
                 try:
                     if known:
-                        pilot.moorings.take(cast(Cable, Heard()), message)
+                        pilot.moorings.take(cast(PeerConnection, Heard()), message)
                     elif message[1] == "127.0.9.9":
                         pilot.flotilla._take("127.0.9.9", message)
-                except UNREADABLE:
+                except DECODE_ERRORS:
                     refused += 1
             assert refused > 300
             for berth in pilot.choice.berths.values():
@@ -217,9 +217,9 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            pilot = Pilot(boot.read(settings), nursery, 1)
+            pilot = Pilot(settings_module.parse_settings(settings), nursery, 1)
             members = ["10.1.0.33", "10.4.0.22"]  # the second is no seed, and the teller does not reach it
-            pilot.moorings.take(cast(Cable, Heard()), ["view", 2, members, ["10.1.0.33"], 8])
+            pilot.moorings.take(cast(PeerConnection, Heard()), ["view", 2, members, ["10.1.0.33"], 8])
             assert set(members) <= set(pilot.moorings.callers)
             assert {pilot.moorings.keeper(f"t{n}") for n in range(50)} == set(members)
             nursery.cancel_scope.cancel()
@@ -240,7 +240,7 @@
                 try:
                     if chain is not None:  # what is not read whole changes nothing that is saved or said
                         copy.deepcopy(chain).receive(self.now, sender, spoil(random, message))
-                except (*UNREADABLE, AssertionError):
+                except (*DECODE_ERRORS, AssertionError):
                     nonlocal refused
                     refused += 1
             super().send(sender, to, message)
--- a/wickspring/harbour/standing.py
+++ b/wickspring/common/config_status.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 
 
-class Standing(IntEnum):
+class ConfigStatus(IntEnum):
     """What is known of a copy by whoever hands it on."""
 
     HELD = 0  # on a disk: it may have become safe, and it may never
@@ -13,7 +13,7 @@
     CURRENT = 2  # safe, and told by a process that is in contact with a majority of the core
 
 
-class Contact(IntEnum):
+class QuorumContact(IntEnum):
     """How a lighthouse stands with the core."""
 
     NONE = 0  # what it knows may be old, and it confirms nothing
--- a/wickspring/harbour/cable.py
+++ b/wickspring/common/connection.py
@@ -14,28 +14,28 @@
 import msgpack
 import trio
 
-from wickspring.harbour import log
-from wickspring.harbour.kinds import FaultError
+from wickspring.common import logs
+from wickspring.common.errors import GatewayError
 from wickspring.net.clock import Clock
 from wickspring.net.link import Link, connect
 
-MOST_MESSAGE = 4 << 20  # bytes of one message, and of all that waits to be read
-MOST_REASON = 120  # characters of a reason in the log
-DIAL_MS = 400.0
-SILENT_MS = 1300.0  # after which the other side is taken for out of reach
-TICK_MS = 420.0  # how often something is said, so that silence means something
-REDIAL_MS = (120.0, 320.0)
+MAX_MESSAGE_BYTES = 4 << 20  # bytes of one message, and of all that waits to be read
+MAX_REASON_CHARACTERS = 120  # characters of a reason in the log
+CONNECT_TIMEOUT_MS = 400.0
+SILENCE_TIMEOUT_MS = 1300.0  # after which the other side is taken for out of reach
+HEARTBEAT_MS = 420.0  # how often something is said, so that silence means something
+RECONNECT_DELAY_MS = (120.0, 320.0)
 
 Message = list[Any]
 
 # What reading a message may raise that is none of this system's, or is spoilt: nothing else is caught for it.
-UNREADABLE = (
+DECODE_ERRORS = (
     ValueError, TypeError, KeyError, IndexError, AttributeError, OverflowError, msgpack.UnpackException,
-    FaultError,
+    GatewayError,
 )  # fmt: skip
 
 
-class Cable:
+class PeerConnection:
     """One end of a connected cable."""
 
     def __init__(self, link: Link, clock: Clock) -> None:
@@ -43,7 +43,7 @@
         self.heard_at = clock.now()
         self.name = ""  # of the process at the other end, once it has said hello
         self.about: dict[str, Any] = {}  # what it said of itself
-        self._unpacker = msgpack.Unpacker(max_buffer_size=MOST_MESSAGE, strict_map_key=False)
+        self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_MESSAGE_BYTES, strict_map_key=False)
 
     def send(self, *message: object) -> None:
         """Say something; a broken cable swallows it."""
@@ -52,9 +52,9 @@
     @property
     def live(self) -> bool:
         """Tell whether the other side has been heard of late."""
-        return not self.link.broken and self.clock.now() - self.heard_at < SILENT_MS
+        return not self.link.broken and self.clock.now() - self.heard_at < SILENCE_TIMEOUT_MS
 
-    async def read(self, take: Callable[[Cable, Message], None]) -> None:
+    async def read(self, take: Callable[[PeerConnection, Message], None]) -> None:
         """Take in messages until the cable ends; what is no message ends it."""
         while True:
             data = await self.link.receive()
@@ -67,8 +67,8 @@
                     if not isinstance(message, list) or not message or not isinstance(message[0], str):
                         return
                     take(self, message)
-            except UNREADABLE as error:
-                log.event("message_bad", sender=self.name, reason=repr(error)[:MOST_REASON])
+            except DECODE_ERRORS as error:
+                logs.log_event("message_bad", sender=self.name, reason=repr(error)[:MAX_REASON_CHARACTERS])
                 return
 
     def close(self) -> None:
@@ -76,17 +76,17 @@
         self.link.close()
 
 
-class Caller:
+class ReconnectingClient:
     """The calling end of a cable to one address: dials, and dials again."""
 
     def __init__(
         self, address: tuple[str, int], clock: Clock, nursery: trio.Nursery, random: Random,
-        greet: Callable[[Cable], None], take: Callable[[Cable, Message], None],
-        lost: Callable[[Caller], None] = lambda _: None,
+        greet: Callable[[PeerConnection], None], take: Callable[[PeerConnection, Message], None],
+        lost: Callable[[ReconnectingClient], None] = lambda _: None,
     ) -> None:  # fmt: skip
         self.address, self.clock, self.nursery, self.random = address, clock, nursery, random
         self._greet, self._take, self._lost = greet, take, lost
-        self.cable: Cable | None = None
+        self.cable: PeerConnection | None = None
         self.tried_at = -1e12
         self.closed = False
         self._scope = trio.CancelScope()
@@ -114,11 +114,11 @@
         """Keep a cable up until closed."""
         with self._scope:
             while not self.closed:
-                sock = await connect(self.address, DIAL_MS)
+                sock = await connect(self.address, CONNECT_TIMEOUT_MS)
                 self.tried_at = self.clock.now()
                 if sock is not None:
                     await self._use(sock)
-                with trio.move_on_after(self.random.uniform(*REDIAL_MS) / 1000.0):
+                with trio.move_on_after(self.random.uniform(*RECONNECT_DELAY_MS) / 1000.0):
                     await self._hurried.wait()
                 self._hurried = trio.Event()
 
@@ -128,7 +128,7 @@
             self._hurried.set()
 
     async def _use(self, sock: socket.socket) -> None:
-        cable = self.cable = Cable(Link(sock, self.nursery), self.clock)
+        cable = self.cable = PeerConnection(Link(sock, self.nursery), self.clock)
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._watch, cable)
@@ -140,14 +140,14 @@
             self.cable = None
             self._lost(self)
 
-    async def _watch(self, cable: Cable) -> None:
+    async def _watch(self, cable: PeerConnection) -> None:
         while cable.live:
-            await trio.sleep(SILENT_MS / 4000.0)
+            await trio.sleep(SILENCE_TIMEOUT_MS / 4000.0)
         cable.close()
 
 
-async def answer(
-    listener: socket.socket, clock: Clock, nursery: trio.Nursery, serve: Callable[[Cable], Awaitable[None]]
+async def accept_connections(
+    listener: socket.socket, clock: Clock, nursery: trio.Nursery, serve: Callable[[PeerConnection], Awaitable[None]]
 ) -> None:
     """Accept cables for as long as the process lives."""
     while True:
@@ -158,4 +158,4 @@
         except OSError:
             await trio.sleep(0.02)
         else:
-            nursery.start_soon(serve, Cable(Link(sock, nursery), clock))
+            nursery.start_soon(serve, PeerConnection(Link(sock, nursery), clock))
--- a/wickspring/harbour/servers.py
+++ b/wickspring/common/endpoints.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickspring.harbour.lines import parse_address
+from wickspring.common.settings_file import parse_address
 
 READY, DRAINING, GONE = 0, 1, 2
 
 
 @dataclass(slots=True, frozen=True)
-class Server:
+class Endpoint:
     """One life of one server."""
 
     id: str
@@ -35,17 +35,17 @@
         ]  # fmt: skip
 
     @staticmethod
-    def unpack(told: Any, now: float) -> Server:
+    def unpack(told: Any, now: float) -> Endpoint:
         """Read it from a message; what no request could be sent to is not taken in."""
         id_, service, address, zone, slots, state, seq, left, generation = told
         parse_address(str(address))
         until = now + float(left) if left else 0.0
-        return Server(
+        return Endpoint(
             str(id_), str(service), str(address), str(zone), int(slots), int(state), int(seq), until,
             str(generation),
         )  # fmt: skip
 
 
-def digest(servers: Iterable[Server]) -> int:
+def endpoints_digest(servers: Iterable[Endpoint]) -> int:
     """Return a number for which servers take work: two that know the same have the same."""
     return zlib.crc32(repr(sorted(one.id for one in servers if one.state == READY)).encode())
--- a/wickspring/harbour/kinds.py
+++ b/wickspring/common/errors.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-class Kind(Enum):
+class ErrorKind(Enum):
     """Everything that can go wrong with a request, a call or an order. No other kinds are answered."""
 
     NO_ROUTE = "no_route"
@@ -29,50 +29,50 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class ErrorResponse:
     """How a kind is answered: status, and whether the answer tells when to come back."""
 
     status: int
     comes_back: bool = False
 
 
-ANSWERS: dict[Kind, Answer] = {
-    Kind.NO_ROUTE: Answer(404),
-    Kind.NO_KEY: Answer(401),
-    Kind.BAD_REQUEST: Answer(400),
-    Kind.OVER_QUOTA: Answer(429, comes_back=True),
-    Kind.NO_SERVER: Answer(503, comes_back=True),
-    Kind.MAY_HAVE_RUN: Answer(502),
-    Kind.TIMED_OUT: Answer(504),
-    Kind.AT_WORK: Answer(409),
-    Kind.NOT_READY: Answer(503, comes_back=True),
-    Kind.INVALID_CONFIG: Answer(400),
-    Kind.INVALID_SNAPSHOT: Answer(400),
-    Kind.NOT_SAFE_YET: Answer(503, comes_back=True),
-    Kind.VERSION_TAKEN: Answer(409),
-    Kind.NOT_FOUND: Answer(404),
-    Kind.TOO_LARGE: Answer(413),
-    Kind.NO_CONFIG: Answer(404),
-    Kind.BAD_SETTINGS: Answer(500),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.NO_ROUTE: ErrorResponse(404),
+    ErrorKind.NO_KEY: ErrorResponse(401),
+    ErrorKind.BAD_REQUEST: ErrorResponse(400),
+    ErrorKind.OVER_QUOTA: ErrorResponse(429, comes_back=True),
+    ErrorKind.NO_SERVER: ErrorResponse(503, comes_back=True),
+    ErrorKind.MAY_HAVE_RUN: ErrorResponse(502),
+    ErrorKind.TIMED_OUT: ErrorResponse(504),
+    ErrorKind.AT_WORK: ErrorResponse(409),
+    ErrorKind.NOT_READY: ErrorResponse(503, comes_back=True),
+    ErrorKind.INVALID_CONFIG: ErrorResponse(400),
+    ErrorKind.INVALID_SNAPSHOT: ErrorResponse(400),
+    ErrorKind.NOT_SAFE_YET: ErrorResponse(503, comes_back=True),
+    ErrorKind.VERSION_TAKEN: ErrorResponse(409),
+    ErrorKind.NOT_FOUND: ErrorResponse(404),
+    ErrorKind.TOO_LARGE: ErrorResponse(413),
+    ErrorKind.NO_CONFIG: ErrorResponse(404),
+    ErrorKind.BAD_SETTINGS: ErrorResponse(500),
 }
 
 
 @dataclass(slots=True, frozen=True)
-class Fault:
+class ErrorDetail:
     """One error: its kind, and words for whoever reads the answer."""
 
-    kind: Kind
+    kind: ErrorKind
     reason: str = ""
 
     @property
     def status(self) -> int:
         """Return the status it is answered with."""
-        return ANSWERS[self.kind].status
+        return ERROR_RESPONSES[self.kind].status
 
 
-class FaultError(Exception):
+class GatewayError(Exception):
     """A fault on its way up; the message is its reason."""
 
-    def __init__(self, fault: Fault) -> None:
+    def __init__(self, fault: ErrorDetail) -> None:
         super().__init__(f"{fault.kind.value}: {fault.reason}")
         self.fault = fault
--- a/wickspring/harbour/process.py
+++ b/wickspring/common/lifecycle.py
@@ -9,20 +9,21 @@
 
 import trio
 
-from wickspring.harbour import boot as boots
-from wickspring.harbour import lines, log
-from wickspring.harbour.early import Started
-from wickspring.harbour.kinds import FaultError
+from wickspring.common import logs as logs_module
+from wickspring.common import settings as boots
+from wickspring.common import settings_file
+from wickspring.common.bootstrap import Bootstrap
+from wickspring.common.errors import GatewayError
 
 GC_AFTER = 50_000  # new objects; fewer runs of the collector, each over more
 
-Run = Callable[[Started, int, trio.Event], Awaitable[None]]
+Run = Callable[[Bootstrap, int, trio.Event], Awaitable[None]]
 
 
 async def _signals(ended: trio.Event, reread: Callable[[], None]) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async for one in signals:
-            log.event("signal", number=int(one))
+            logs_module.log_event("signal", number=int(one))
             if one == signal.SIGHUP:
                 reread()
             else:
@@ -32,12 +33,12 @@
 def _reread() -> None:
     """Read the settings file again; what it says of seeds is for later lives, but a fault in it is news."""
     try:
-        boots.read(lines.load())
-    except FaultError as error:
-        log.event("settings_bad", reason=error)
+        boots.parse_settings(settings_file.read_settings_file())
+    except GatewayError as error:
+        logs_module.log_event("settings_bad", reason=error)
 
 
-async def _main(run: Run, started: Started) -> None:
+async def _main(run: Run, started: Bootstrap) -> None:
     ended = trio.Event()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_signals, ended, _reread)
@@ -45,9 +46,9 @@
         nursery.cancel_scope.cancel()
 
 
-def main(run: Run, started: Started) -> None:
+def main(run: Run, started: Bootstrap) -> None:
     """Run a program to its end."""
-    log.setup(started.boot.node_name)
+    logs_module.setup_logging(started.boot.node_name)
     gc.freeze()
     gc.set_threshold(GC_AFTER, 20, 20)
     gc.enable()
--- a/wickspring/harbour/log.py
+++ b/wickspring/common/logs.py
@@ -20,12 +20,12 @@
     sys.stderr.write(" ".join(f"{key}={quote(value)}" for key, value in pairs) + "\n")
 
 
-def setup(node: str) -> None:
+def setup_logging(node: str) -> None:
     """Have events written to standard error, under this node's name."""
     _node[0] = node
     eliot.add_destinations(_write)
 
 
-def event(name: str, **pairs: object) -> None:
+def log_event(name: str, **pairs: object) -> None:
     """Log one event."""
     eliot.log_message(message_type=name, **pairs)
--- a/wickspring/harbour/chart.py
+++ b/wickspring/common/routing_table.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Bounds:
+class ClientLimits:
     """What clients are held to: bytes and seconds."""
 
     head: int = 16 * 1024
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class Chart:
+class RoutingTable:
     """One version of the configuration, laid out."""
 
     version: int = 0
@@ -68,7 +68,7 @@
     services: dict[str, Service] = field(default_factory=dict)
     tenants: dict[str, Tenant] = field(default_factory=dict)
     guarded: bool = False  # keys are asked for
-    bounds: Bounds = Bounds()
+    bounds: ClientLimits = ClientLimits()
 
     def route(self, host: str, target: str) -> Route | None:
         """Return the route of a request, by the longest prefix of its path."""
@@ -79,7 +79,7 @@
         return next((one for one in routes or () if path.startswith(one.prefix)), None)
 
 
-def version_of(text: str) -> int:
+def parse_version(text: str) -> int:
     """Read `r12`; ValueError where it is not a version."""
     if not isinstance(text, str) or not text.startswith("r") or not text[1:].isdecimal():
         raise ValueError(f"not a version: {text!r}")
@@ -99,10 +99,10 @@
     )  # fmt: skip
 
 
-def lay_out(document: bytes) -> Chart:
+def build_routing_table(document: bytes) -> RoutingTable:
     """Lay out a configuration that has been checked."""
     tree = msgspec.json.decode(document)
-    chart = Chart(version_of(tree["generation"]))
+    chart = RoutingTable(parse_version(tree["generation"]))
     for socket in tree["sockets"]:
         routes = sorted(map(_route, socket["policy"]), key=lambda route: -len(route.prefix))
         chart.hosts[socket["host"].lower()] = routes
@@ -119,8 +119,8 @@
         service = Service(one["name"], one.get("health_path", "/health"), int(one.get("max_conns", 0)))
         chart.services[service.name] = service
     limits = tree.get("limits", {})
-    usual = Bounds()
-    chart.bounds = Bounds(
+    usual = ClientLimits()
+    chart.bounds = ClientLimits(
         int(limits.get("max_header_bytes", usual.head)), int(limits.get("max_body_bytes", usual.body)),
         float(limits.get("header_timeout_s", usual.header_s)),
         float(limits.get("idle_timeout_s", usual.idle_s)),
--- a/wickspring/harbour/seeds.py
+++ b/wickspring/common/seeds.py
@@ -6,17 +6,17 @@
 
 from __future__ import annotations
 
-from wickspring.harbour import lines, log
-from wickspring.harbour.boot import Boot, read
-from wickspring.harbour.kinds import FaultError
+from wickspring.common import logs, settings_file
+from wickspring.common.errors import GatewayError
+from wickspring.common.settings import NodeSettings, parse_settings
 
-LOST_MS = 2000.0  # without any lighthouse, after which the file is read again, and then as often
+REREAD_AFTER_MS = 2000.0  # without any lighthouse, after which the file is read again, and then as often
 
 
-class Seeds:
+class SeedList:
     """What the settings file says of seeds."""
 
-    def __init__(self, boot: Boot) -> None:
+    def __init__(self, boot: NodeSettings) -> None:
         self._ips = boot.seed_ips()
         self._reached_at: float | None = None
 
@@ -24,10 +24,10 @@
         """Return the seeds; with nobody reached for a while, as the file names them now."""
         if reached or self._reached_at is None:
             self._reached_at = now
-        elif now - self._reached_at > LOST_MS:
+        elif now - self._reached_at > REREAD_AFTER_MS:
             self._reached_at = now
             try:
-                self._ips = read(lines.load()).seed_ips()
-            except FaultError as error:
-                log.event("settings_bad", reason=error)
+                self._ips = parse_settings(settings_file.read_settings_file()).seed_ips()
+            except GatewayError as error:
+                logs.log_event("settings_bad", reason=error)
         return self._ips
--- a/wickspring/harbour/boot.py
+++ b/wickspring/common/settings.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from wickspring.harbour.kinds import Fault, FaultError, Kind
-from wickspring.harbour.lines import Address as Address
-from wickspring.harbour.lines import parse_address as parse_address
-from wickspring.harbour.lines import split
+from wickspring.common.errors import ErrorDetail, ErrorKind, GatewayError
+from wickspring.common.settings_file import Address as Address
+from wickspring.common.settings_file import parse_address as parse_address
+from wickspring.common.settings_file import parse_lines
 
 _LISTS = frozenset({"serves", "seed_addrs", "in_force"})
 CONFIG_MODE = "highest"  # whichever version is highest holds: the only rule that the core knows
@@ -35,7 +35,7 @@
     disk_mb: float = 0.0
 
 
-class Tolerates(msgspec.Struct, frozen=True):
+class ToleratedLosses(msgspec.Struct, frozen=True):
     """What may be lost at once."""
 
     machines: int = 1
@@ -62,7 +62,7 @@
     recovery_s: float = 15.0
 
 
-class Boot(msgspec.Struct, frozen=True):
+class NodeSettings(msgspec.Struct, frozen=True):
     """All that a process is told when it starts."""
 
     node_name: str
@@ -80,7 +80,7 @@
     data_dir: str = ""
     heartbeat_s: float = 1.5
     config_mode: str = CONFIG_MODE
-    tolerates: Tolerates = Tolerates()
+    tolerates: ToleratedLosses = ToleratedLosses()
     guarantees: Guarantees = Guarantees()
 
     @property
@@ -93,20 +93,20 @@
         return sorted({seed.rpartition(":")[0] for seed in self.seed_addrs})
 
 
-def read(text: str) -> Boot:
-    """Read the text of a settings file; `FaultError` names the field at fault."""
+def parse_settings(text: str) -> NodeSettings:
+    """Read the text of a settings file; `GatewayError` names the field at fault."""
     tree: dict[str, Any] = {}
-    for name, value in split(text).items():
+    for name, value in parse_lines(text).items():
         *path, last = name.split(".")
         at = tree
         for step in path:
             below = at.setdefault(step, {})
             if not isinstance(below, dict):
-                raise FaultError(Fault(Kind.BAD_SETTINGS, f"{name}: {step} is a value already"))
+                raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, f"{name}: {step} is a value already"))
             at = below
         at[last] = [one for one in value.split(",") if one] if name in _LISTS else value
     try:
-        boot = msgspec.convert(tree, Boot, strict=False)
+        boot = msgspec.convert(tree, NodeSettings, strict=False)
         for text in (boot.bind.front_http, boot.bind.ready_addr, boot.bind.control_addr, *boot.seed_addrs):
             if text:
                 parse_address(text)
@@ -115,5 +115,5 @@
         if boot.config_mode != CONFIG_MODE:
             raise ValueError(f"config_mode: {boot.config_mode!r} is not known, only {CONFIG_MODE!r}")
     except (msgspec.ValidationError, ValueError) as error:
-        raise FaultError(Fault(Kind.BAD_SETTINGS, str(error))) from error
+        raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, str(error))) from error
     return boot
--- a/wickspring/harbour/lines.py
+++ b/wickspring/common/settings_file.py
@@ -11,9 +11,9 @@
 import socket
 from pathlib import Path
 
-from wickspring.harbour.kinds import Fault, FaultError, Kind
+from wickspring.common.errors import ErrorDetail, ErrorKind, GatewayError
 
-VARIABLE = "WICKSPRING_BOOT"
+SETTINGS_VARIABLE = "WICKSPRING_BOOT"
 SECTION = "settings"  # as the reader calls all of the file
 
 Address = tuple[str, int]
@@ -24,7 +24,7 @@
     try:
         socket.inet_pton(socket.AF_INET, text)
     except (OSError, ValueError, TypeError):
-        raise FaultError(Fault(Kind.BAD_SETTINGS, f"not an address: {text!r}")) from None
+        raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, f"not an address: {text!r}")) from None
     return text
 
 
@@ -33,11 +33,11 @@
     host, _, port = text.rpartition(":")
     number = int(port) if port.isdigit() and port.isascii() and len(port) < 6 else 0
     if not 0 < number < 65536:
-        raise FaultError(Fault(Kind.BAD_SETTINGS, f"not an address: {text!r}"))
+        raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, f"not an address: {text!r}"))
     return parse_ip(host), number
 
 
-def split(text: str) -> dict[str, str]:
+def parse_lines(text: str) -> dict[str, str]:
     """Return names and values, in no depth; of a name that comes twice, the last."""
     reader = configparser.RawConfigParser(delimiters=("=",), comment_prefixes=("#", "!"), strict=False)
     reader.optionxform = str  # type: ignore[assignment, method-assign]
@@ -45,16 +45,16 @@
     try:
         reader.read_string(f"[{SECTION}]\n{lines}")
     except (configparser.Error, ValueError) as error:
-        raise FaultError(Fault(Kind.BAD_SETTINGS, str(error))) from error
+        raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, str(error))) from error
     if reader.sections() != [SECTION] or reader.defaults():
-        raise FaultError(Fault(Kind.BAD_SETTINGS, "sections are not known here"))
+        raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, "sections are not known here"))
     return dict(reader[SECTION])
 
 
-def load(path: str = "") -> str:
+def read_settings_file(path: str = "") -> str:
     """Return the text of the file that the environment names."""
-    name = path or os.environ.get(VARIABLE, "")
+    name = path or os.environ.get(SETTINGS_VARIABLE, "")
     try:
         return Path(name).read_text()
     except OSError as error:
-        raise FaultError(Fault(Kind.BAD_SETTINGS, f"{VARIABLE}: {error}")) from error
+        raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, f"{SETTINGS_VARIABLE}: {error}")) from error
--- a/wickspring/lab/answers.py
+++ b/wickspring/lab/answers.py
@@ -21,10 +21,10 @@
 import trio
 import trio.testing
 
-from wickspring.harbour.boot import Boot, Limits
-from wickspring.harbour.cable import Caller
-from wickspring.harbour.chart import lay_out
-from wickspring.harbour.servers import Server
+from wickspring.common.connection import ReconnectingClient
+from wickspring.common.endpoints import Endpoint
+from wickspring.common.routing_table import build_routing_table
+from wickspring.common.settings import Limits, NodeSettings
 from wickspring.lab.clock import VirtualClock
 from wickspring.lab.harbour import HOST, KEY, PREFIX, document
 from wickspring.net import host
@@ -507,17 +507,17 @@
     async def _main(self) -> None:
         async with trio.open_nursery() as nursery:
             limits = Limits(memory_mb=256.0, max_fds=1024)
-            boot = Boot("edge-a-1", "10.1.0.30", "a", "7340,7355", ["10.1.0.33:8783"], limits=limits)
+            boot = NodeSettings("edge-a-1", "10.1.0.30", "a", "7340,7355", ["10.1.0.33:8783"], limits=limits)
             self.pilot = pilot = Pilot(boot, nursery, self.seed)
             nursery.start_soon(pilot.timers.run)
             pilot.tidy()
             timeout = f'"timeout_s": {self.timeout_s}'.encode()
-            chart = lay_out(document(1, once=ONCE).replace(b'"timeout_s": 2.0', timeout))
+            chart = build_routing_table(document(1, once=ONCE).replace(b'"timeout_s": 2.0', timeout))
             pilot.moorings.chart, pilot.moorings.fleet = chart, 1
             pilot._charted(chart)
             for number, name in enumerate(self.peers):
                 service = ("looker", "doer")[number % 2]
-                pilot.choice.heard(pilot.clock.now(), Server(name, service, f"10.0.0.{number}:80", "a", 2))
+                pilot.choice.heard(pilot.clock.now(), Endpoint(name, service, f"10.0.0.{number}:80", "a", 2))
             self.nursery = nursery
             cast(Any, pilot.upstream).connect = self._connect
             if self.drains:
@@ -694,7 +694,7 @@
 def stood_in(failed: list[str]) -> Iterator[None]:
     """Let pilots be built without sockets and with a virtual clock."""
 
-    async def nothing(_: Caller) -> None: ...
+    async def nothing(_: ReconnectingClient) -> None: ...
 
     handler, logger = _Failed(failed), logging.getLogger("wickspring")
     logger.addHandler(handler)
@@ -702,7 +702,7 @@
         with (
             mock.patch.object(host, "Clock", VirtualClock),
             mock.patch.object(programs, "Udp", Silence),
-            mock.patch.object(Caller, "run", nothing),
+            mock.patch.object(ReconnectingClient, "run", nothing),
         ):
             yield
     finally:
--- a/wickspring/lab/capacity_site.py
+++ b/wickspring/lab/capacity_site.py
@@ -30,10 +30,10 @@
 import trio.testing
 from trio._core import _run as scheduling
 
-from wickspring.harbour import boot as boots
-from wickspring.harbour import cable as cables
-from wickspring.harbour.cable import Cable, Message
-from wickspring.harbour.process import GC_AFTER
+from wickspring.common import connection as cables
+from wickspring.common import settings as boots
+from wickspring.common.connection import Message, PeerConnection
+from wickspring.common.lifecycle import GC_AFTER
 from wickspring.interface import Status
 from wickspring.lab.clock import VirtualClock
 from wickspring.lighthouse import light as lights
@@ -115,10 +115,10 @@
         self.bytes[key] += size
         self.messages[key] += 1
 
-    def take(self, role: str, take: Callable[[Cable, Message], None]) -> Callable[[Cable, Message], None]:
+    def take(self, role: str, take: Callable[[PeerConnection, Message], None]) -> Callable[[PeerConnection, Message], None]:
         """Return a handler of messages whose time is put down to the part of each."""
 
-        def metered(cable: Cable, message: Message) -> None:
+        def metered(cable: PeerConnection, message: Message) -> None:
             name = str(message[0])
             before = self._switch((role, PART_OF.get(name, name)))
             try:
@@ -193,13 +193,13 @@
 
     def listen(
         self, ip: str, role: str, nursery: trio.Nursery, clock: VirtualClock,
-        serve: Callable[[Cable], Awaitable[None]],
+        serve: Callable[[PeerConnection], Awaitable[None]],
     ) -> None:  # fmt: skip
         """Listen at an IP."""
 
         def taken(pipe: Pipe) -> None:
             with self.meter.inside(role, "rest"):
-                nursery.start_soon(serve, Cable(pipe, clock))  # type: ignore[arg-type]
+                nursery.start_soon(serve, PeerConnection(pipe, clock))  # type: ignore[arg-type]
 
         self.listening[ip] = role, taken
 
@@ -269,16 +269,16 @@
 @contextmanager
 def hollow(net: Net) -> Iterator[None]:
     """Put the pipes, the meter and virtual time into the programs' modules."""
-    meter, read = net.meter, Cable.read
+    meter, read = net.meter, PeerConnection.read
 
-    def send(self: Cable, *message: Any) -> None:
+    def send(self: PeerConnection, *message: Any) -> None:
         data = msgpack.packb(message)
         pipe: Any = self.link
         if not pipe.broken:
             meter.said(pipe.flow, message[0], len(data))
         pipe.send(data)
 
-    async def metered(self: Cable, take: Callable[[Cable, Message], None]) -> None:
+    async def metered(self: PeerConnection, take: Callable[[PeerConnection, Message], None]) -> None:
         pipe: Any = self.link
         await read(self, meter.take(pipe.role, take))
 
@@ -292,8 +292,8 @@
             (pilots, "Udp", partial(Wire, net)),
             (pilots, "Upstream", HollowUpstream),
             (trio.to_thread, "run_sync", _inline),
-            (Cable, "send", send),
-            (Cable, "read", metered),
+            (PeerConnection, "send", send),
+            (PeerConnection, "read", metered),
         ):
             stack.enter_context(patch.object(target, name, value))
         yield
@@ -353,8 +353,8 @@
         self.servers: dict[str, dict[str, Any]] = {}
         self._lives = 0
 
-    def _boot(self, ip: str, first: bool = True) -> boots.Boot:
-        return boots.Boot(
+    def _boot(self, ip: str, first: bool = True) -> boots.NodeSettings:
+        return boots.NodeSettings(
             f"n-{ip}", ip, "a", f"{PORT},{PORT + 15}", [f"{one}:8783" for one in self.cores[:3]],
             bind=boots.Bind(control_addr=f"{ip}:8783"), is_first_start=first,
             data_dir=f"{self.folder}/{ip}", region="r",
--- a/wickspring/lab/capacity_units.py
+++ b/wickspring/lab/capacity_units.py
@@ -25,8 +25,8 @@
 import msgpack
 import trio
 
-from wickspring.harbour.chart import lay_out
-from wickspring.harbour.servers import Server, digest
+from wickspring.common.endpoints import Endpoint, endpoints_digest
+from wickspring.common.routing_table import build_routing_table
 from wickspring.lab.capacity_site import document
 from wickspring.lighthouse.berths import Berths
 from wickspring.lighthouse.check import check
@@ -91,16 +91,16 @@
     if times:
         found["pack_ms"] = took_ms(lambda: zlib.compress(body, 6), tries=1)
         found["check_ms"] = took_ms(lambda: check(body), tries=1)
-        found["lay_out_ms"] = took_ms(lambda: lay_out(zlib.decompress(packed)))
-        found["chart_mb"] = held_mb(lambda: lay_out(body))
-        found["lay_out_peak_mb"] = peak_mb(lambda: lay_out(zlib.decompress(packed)))
+        found["lay_out_ms"] = took_ms(lambda: build_routing_table(zlib.decompress(packed)))
+        found["chart_mb"] = held_mb(lambda: build_routing_table(body))
+        found["lay_out_peak_mb"] = peak_mb(lambda: build_routing_table(zlib.decompress(packed)))
     return found
 
 
 def lookup(routes: int, hosts: int) -> float:
     """Return the time of finding a drawn request's route, us."""
     body = document(1, 1, routes, 4, hosts=hosts)
-    chart, random = lay_out(body), Random(1)
+    chart, random = build_routing_table(body), Random(1)
     sockets = json.loads(body)["sockets"]
     rules = [(one["host"], rule["pattern"]["path_prefix"]) for one in sockets for rule in one["policy"]]
     asked = [random.choice(rules) for _ in range(200)]
@@ -112,11 +112,11 @@
     return 1000.0 * took_ms(all_) / len(asked)
 
 
-def servers(count: int) -> list[Server]:
+def servers(count: int) -> list[Endpoint]:
     """Return so many servers, in services as large as the target's."""
     services = max(1, round(count * SERVICES))
     return [
-        Server(
+        Endpoint(
             f"i-{n:06d}-{n * 7919 % 0xFFFFFF:06x}", f"s{n % services}ab1c",
             f"10.{n // 60000}.{n // 250 % 240}.{n % 250}:8080", "a", 8, 0, 1, 0.0, "v1",
         )
@@ -149,13 +149,13 @@
         berths.offers(0.0, "a", mine)
 
     def pilot_digest() -> int:
-        return digest(
+        return endpoints_digest(
             [one.server for id_, one in choice.berths.items() if not one.lost and choice.takes(id_)]
         )
 
     return {
         "whole_bytes": float(len(msgpack.packb(["whole", [one.pack(0.0) for one in told], {}]))),
-        "core_digest_ms": took_ms(lambda: digest(register.whole())),
+        "core_digest_ms": took_ms(lambda: endpoints_digest(register.whole())),
         "ingress_digest_ms": took_ms(pilot_digest),
         "advice_ms": took_ms(advise),
         "sweep_ms": took_ms(lambda: register.sweep(1.0)),
@@ -241,7 +241,7 @@
         berths.offers(0.0, "a", mine)
 
     return {
-        "tick": profile(lambda: digest(register.whole()), 50),
+        "tick": profile(lambda: endpoints_digest(register.whole()), 50),
         "advice": profile(advise, 50),
         "order": profile(lambda: check(body), 1),
     }
--- a/wickspring/lab/drill.py
+++ b/wickspring/lab/drill.py
@@ -18,7 +18,7 @@
 
 import trio
 
-from wickspring.harbour.quotas import ceiling
+from wickspring.common.quota_rule import quota_ceiling
 from wickspring.lab.harbour import DRAIN_S, Harbour, Standin, document
 
 SPAN_S, EXCESS, SLACK = 5.0, 0.1, 20.0  # of the rule for quotas, as settings leave them
@@ -58,7 +58,7 @@
                 times[id_] = times.get(id_, 0) + count
         served = [ask for ask in self.asked if ask.status == 200]
         took = sorted(ask.took for ask in served) or [0.0]
-        most = ceiling(self.rate, self.rate, SPAN_S, EXCESS, SLACK)
+        most = quota_ceiling(self.rate, self.rate, SPAN_S, EXCESS, SLACK)
         return {
             "asked": len(self.asked),
             "served": len(served),
--- a/wickspring/lab/flotilla.py
+++ b/wickspring/lab/flotilla.py
@@ -16,7 +16,7 @@
 import trio
 import trio.testing
 
-from wickspring.harbour.cable import Cable, Message
+from wickspring.common.connection import Message, PeerConnection
 from wickspring.lab.clock import VirtualClock
 from wickspring.lighthouse.replica import DIGEST_SIZE
 from wickspring.pilot.flotilla import Flotilla, State
@@ -83,10 +83,10 @@
         """Return the state to compare."""
         return self.version, bytes(DIGEST_SIZE) if self.version else b"", 0, 0
 
-    def tell_all(self, cable: Cable, version: int, digest: bytes) -> None:
+    def tell_all(self, cable: PeerConnection, version: int, digest: bytes) -> None:
         """Nothing is told over cables here."""
 
-    def take(self, cable: Cable, message: Message) -> None:
+    def take(self, cable: PeerConnection, message: Message) -> None:
         """Nothing comes over cables here."""
 
     def alone(self) -> bool:
--- a/wickspring/lighthouse/berths.py
+++ b/wickspring/lighthouse/berths.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from wickspring.harbour.servers import Server
+from wickspring.common.endpoints import Endpoint
 
 OFFERS = 4  # servers named in one answer
 MEMORY = 12.0  # answers in the mean of a server's speed
@@ -59,7 +59,7 @@
         for book in (self.out, self.slow, self.shunned):
             book.pop(server, None)
 
-    def cost(self, now: float, server: Server, zone: str) -> float:
+    def cost(self, now: float, server: Endpoint, zone: str) -> float:
         """Return about how long an answer takes there, by the usual time."""
         cost = self.slow.get(server.id, 1.0) * (1.0 + self.out[server.id] / max(1, server.slots))
         if server.zone != zone:
@@ -70,7 +70,7 @@
             cost *= SHUN_COST
         return cost * (1.0 + EVEN * self.random.random())
 
-    def offers(self, now: float, zone: str, servers: Iterable[Server]) -> list[tuple[str, float]]:
+    def offers(self, now: float, zone: str, servers: Iterable[Endpoint]) -> list[tuple[str, float]]:
         """Return those of a service's servers that are best taken now, with their costs."""
         costs = [(self.cost(now, one, zone), one.id) for one in servers]
         return [(id_, round(cost, 2)) for cost, id_ in sorted(costs)[:OFFERS]]
--- a/wickspring/lighthouse/calls.py
+++ b/wickspring/lighthouse/calls.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from wickspring.harbour.kinds import ANSWERS, Fault
-from wickspring.harbour.servers import Server
+from wickspring.common.endpoints import Endpoint
+from wickspring.common.errors import ERROR_RESPONSES, ErrorDetail
 from wickspring.lighthouse.core import Entered
 from wickspring.lighthouse.replica import Order
 from wickspring.net.clock import Clock
@@ -35,10 +35,10 @@
     retry_after: str = ""
 
 
-def fault(what: Fault) -> Said:
+def fault(what: ErrorDetail) -> Said:
     """Answer a fault by its kind."""
     said = msgspec.json.encode({"kind": what.kind.value, "reason": what.reason})
-    return Said(what.status, said, f"{BACK_S}" if ANSWERS[what.kind].comes_back else "")
+    return Said(what.status, said, f"{BACK_S}" if ERROR_RESPONSES[what.kind].comes_back else "")
 
 
 class Serves(Protocol):
@@ -60,7 +60,7 @@
     async def leaves(self, server: str, state: int) -> bool:
         """Have it made safe that a server leaves."""
 
-    def beat(self, server: Server) -> None:
+    def beat(self, server: Endpoint) -> None:
         """Take a beat."""
 
     def beat_target(self, zone: str) -> str:
--- a/wickspring/lighthouse/check.py
+++ b/wickspring/lighthouse/check.py
@@ -9,8 +9,8 @@
 from expression import Error, Ok, Result
 from marshmallow import INCLUDE, Schema, ValidationError, fields, validate, validates_schema
 
-from wickspring.harbour.chart import version_of
-from wickspring.harbour.kinds import Fault, Kind
+from wickspring.common.errors import ErrorDetail, ErrorKind
+from wickspring.common.routing_table import parse_version
 
 TARGET_PAST_TIMEOUT_S = 60.0  # a target so much above its route's timeout is a slip of the pen
 MOST_REASONS = 300  # characters of what is answered
@@ -20,7 +20,7 @@
 
 def _version(text: str) -> None:
     try:
-        if version_of(text) > MOST_VERSION:
+        if parse_version(text) > MOST_VERSION:
             raise ValueError("too high a version")
     except ValueError as error:
         raise ValidationError(str(error)) from error
@@ -140,18 +140,18 @@
 _schema = _Config()
 
 
-def check(body: bytes) -> Result[int, Fault]:
+def check(body: bytes) -> Result[int, ErrorDetail]:
     """Check a whole document; its version, or the fault that its sender is told."""
     try:
         tree = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return Error(Fault(Kind.INVALID_CONFIG, f"cannot be read whole: {error}"))
+        return Error(ErrorDetail(ErrorKind.INVALID_CONFIG, f"cannot be read whole: {error}"))
     if not isinstance(tree, dict):
-        return Error(Fault(Kind.INVALID_CONFIG, "not an object"))
+        return Error(ErrorDetail(ErrorKind.INVALID_CONFIG, "not an object"))
     try:
         _schema.load(tree)
     except ValidationError as error:
-        return Error(Fault(Kind.INVALID_CONFIG, str(error.messages)[:MOST_REASONS]))
+        return Error(ErrorDetail(ErrorKind.INVALID_CONFIG, str(error.messages)[:MOST_REASONS]))
     except RecursionError:
-        return Error(Fault(Kind.INVALID_CONFIG, "too deep"))
-    return Ok(version_of(tree["generation"]))
+        return Error(ErrorDetail(ErrorKind.INVALID_CONFIG, "too deep"))
+    return Ok(parse_version(tree["generation"]))
--- a/wickspring/lighthouse/contact.py
+++ b/wickspring/lighthouse/contact.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from wickspring.harbour.standing import Contact
+from wickspring.common.config_status import QuorumContact
 
 GAP_MS = 1000.0  # without contact, beyond which callers are sent on at once
 ALONE_MS = 1500.0  # without contact, after which pilots that have nothing may have what the disk holds
@@ -21,25 +21,25 @@
         self.settle_ms = SETTLE_BEATS * beat_ms
         self.last = now
         self.since: float | None = None  # passing over short gaps
-        self.level = Contact.NONE
+        self.level = QuorumContact.NONE
 
-    def look(self, now: float, in_contact: bool) -> Contact:
+    def look(self, now: float, in_contact: bool) -> QuorumContact:
         """Note whether there is contact at this moment; return how far it goes."""
         if now - self.last > GAP_MS:
             self.since = None
         if not in_contact:
-            self.level = Contact.NONE
+            self.level = QuorumContact.NONE
             return self.level
         if self.since is None:
             self.since = now
         self.last = now
-        self.level = Contact.SETTLED if now - self.since >= self.settle_ms else Contact.FRESH
+        self.level = QuorumContact.SETTLED if now - self.since >= self.settle_ms else QuorumContact.FRESH
         return self.level
 
     def gone(self, now: float) -> bool:
         """Tell whether there has been none for so long that callers are better off elsewhere."""
-        return self.level is Contact.NONE and now - self.last > GAP_MS
+        return self.level is QuorumContact.NONE and now - self.last > GAP_MS
 
     def alone(self, now: float) -> bool:
         """Tell whether there has been none for so long that the last known is better than nothing."""
-        return self.level is Contact.NONE and now - self.last > ALONE_MS
+        return self.level is QuorumContact.NONE and now - self.last > ALONE_MS
--- a/wickspring/lighthouse/core.py
+++ b/wickspring/lighthouse/core.py
@@ -12,11 +12,11 @@
 
 import trio
 
-from wickspring.harbour import log
-from wickspring.harbour.boot import Boot
-from wickspring.harbour.cable import UNREADABLE, Cable, Caller, Message
-from wickspring.harbour.lines import parse_ip
-from wickspring.harbour.seeds import Seeds
+from wickspring.common import logs
+from wickspring.common.connection import DECODE_ERRORS, Message, PeerConnection, ReconnectingClient
+from wickspring.common.seeds import SeedList
+from wickspring.common.settings import NodeSettings
+from wickspring.common.settings_file import parse_ip
 from wickspring.lighthouse.chain import Chain
 from wickspring.lighthouse.lease import Lease, grants
 from wickspring.lighthouse.logbook import Logbook
@@ -65,17 +65,17 @@
     """This machine's part in the core."""
 
     def __init__(
-        self, boot: Boot, keeper: Logbook, clock: Clock, nursery: trio.Nursery, random: Random,
+        self, boot: NodeSettings, keeper: Logbook, clock: Clock, nursery: trio.Nursery, random: Random,
         told: Callable[[Replica], None], viewed: Callable[[], None], heard: Callable[[str, Message], None],
     ) -> None:  # fmt: skip
         self.boot, self.keeper, self.clock, self.nursery, self.random = boot, keeper, clock, nursery, random
         self._told, self._viewed, self._heard = told, viewed, heard
         self.ip = boot.ip
-        self.callers: dict[str, Caller] = {}
+        self.callers: dict[str, ReconnectingClient] = {}
         self.states: dict[str, Told] = {}  # what the others said of themselves last,
         self.asked_at: dict[str, float] = {}  # and when they were asked for that
         self.leaving = False
-        self.seeds = Seeds(boot)
+        self.seeds = SeedList(boot)
         self.saving_since = 0.0
         self._tickets = 0
         self._waiting: dict[int, Callable[[Verdict], None]] = {}
@@ -110,7 +110,7 @@
         """Keep a cable to each of these machines."""
         for ip in ips:
             if ip != self.ip and ip not in self.callers:
-                caller = Caller(
+                caller = ReconnectingClient(
                     (ip, self.boot.talk_port), self.clock, self.nursery, self.random,
                     partial(self._greet, ip), self._take,
                 )  # fmt: skip
@@ -123,7 +123,7 @@
         if ip in self.callers:
             self.callers[ip].hurry()
 
-    def _greet(self, ip: str, cable: Cable) -> None:
+    def _greet(self, ip: str, cable: PeerConnection) -> None:
         cable.send("hello", "core", self.ip, {})
         cable.send("tick", self.clock.now())
         self._queue(lambda: self.chain.reached(ip))
@@ -156,7 +156,7 @@
             self.boot.bind.control_addr, [ip for ip in self.callers if self.live(ip)],
         ]  # fmt: skip
 
-    def _take(self, cable: Cable, message: Message) -> None:
+    def _take(self, cable: PeerConnection, message: Message) -> None:
         """Hear an answer on a cable that this machine called."""
         if message[0] == "tock":
             ip = str(message[1])
@@ -168,7 +168,7 @@
         elif message[0] == "cores":
             self.know([parse_ip(ip) for ip in message[1]])
 
-    def take(self, cable: Cable, message: Message) -> bool:
+    def take(self, cable: PeerConnection, message: Message) -> bool:
         """Hear another core machine on a cable that it called; False where it says no such thing."""
         name, ip = message[0], cable.name
         if name == "tick":
@@ -271,8 +271,8 @@
             for event in events:
                 try:
                     event()
-                except (*UNREADABLE, AssertionError) as error:
-                    log.event("core_message_bad", reason=error)
+                except (*DECODE_ERRORS, AssertionError) as error:
+                    logs.log_event("core_message_bad", reason=error)
             out, done, news = chain.out, chain.done, chain.news
             chain.out, chain.done, chain.news = [], [], []
             if chain.dirty:
@@ -285,7 +285,7 @@
                 if answer is not None:
                     answer(verdict)
             if self.lease.take_up(self.clock.now(), chain.view):
-                log.event(
+                logs.log_event(
                     "view", epoch=chain.view.epoch, voters=",".join(ip for ip, _ in chain.view.voters),
                     chain=",".join(ip for ip, _ in chain.view.chain), member=chain.member,
                 )  # fmt: skip
@@ -303,7 +303,7 @@
                     await trio.to_thread.run_sync(self.keeper.save, durable, replica)
                 break
             except (sqlite3.Error, OSError) as error:
-                log.event("save_failed", reason=error)
+                logs.log_event("save_failed", reason=error)
                 await trio.sleep(SAVE_AGAIN_S)
         self.saving_since = 0.0
 
@@ -313,7 +313,7 @@
             async with self._disk:
                 await trio.to_thread.run_sync(self.keeper.save_servers, servers)
         except (sqlite3.Error, OSError) as error:
-            log.event("save_failed", reason=error)
+            logs.log_event("save_failed", reason=error)
 
     def behind(self, ip: str) -> list[str]:
         """Say in what another core machine's copy is behind, and why; nothing where it is as good as this."""
--- a/wickspring/lighthouse/light.py
+++ b/wickspring/lighthouse/light.py
@@ -11,14 +11,14 @@
 
 import trio
 
-from wickspring.harbour import log
-from wickspring.harbour.boot import Boot
-from wickspring.harbour.cable import Cable, Message, answer
-from wickspring.harbour.early import Started
-from wickspring.harbour.kinds import Fault, Kind
-from wickspring.harbour.lines import parse_ip
-from wickspring.harbour.servers import READY, Server, digest
-from wickspring.harbour.standing import Contact
+from wickspring.common import logs
+from wickspring.common.bootstrap import Bootstrap
+from wickspring.common.config_status import QuorumContact
+from wickspring.common.connection import Message, PeerConnection, accept_connections
+from wickspring.common.endpoints import READY, Endpoint, endpoints_digest
+from wickspring.common.errors import ErrorDetail, ErrorKind
+from wickspring.common.settings import NodeSettings
+from wickspring.common.settings_file import parse_ip
 from wickspring.lighthouse.berths import Berths
 from wickspring.lighthouse.calls import Call, Said, fault
 from wickspring.lighthouse.contact import ContactLog
@@ -51,7 +51,7 @@
 class Light(Host):
     """One lighthouse."""
 
-    def __init__(self, boot: Boot, nursery: trio.Nursery, seed: int) -> None:
+    def __init__(self, boot: NodeSettings, nursery: trio.Nursery, seed: int) -> None:
         super().__init__(nursery, boot.limits.memory_mb)
         self.boot, self.random = boot, Random(seed)
         self.core = Core(
@@ -63,7 +63,7 @@
         self.tally = Tally(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack)
         self.berths = Berths(self.random.getrandbits(32))
         self.resources = [make(self) for make in RESOURCES]
-        self.pilots: dict[Cable, str] = {}
+        self.pilots: dict[PeerConnection, str] = {}
         self.offers = Offers()
         self.contact = ContactLog(self.clock.now(), 1000.0 * boot.heartbeat_s)
         self._saved: set[str] = set()  # servers on disk
@@ -83,7 +83,7 @@
         now = self.clock.now()
         self.register.leave(self.core.chain.replica.leaving)
         for told in self.core.keeper.load_servers():
-            server = Server.unpack(told, now)
+            server = Endpoint.unpack(told, now)
             self.register.beat(now, server)
             self._saved.add(server.id)
 
@@ -118,7 +118,7 @@
                 call = Call(method, path, body, found.groupdict())
                 self.nursery.start_soon(self._call, client, resource, call, feed)
                 return
-        said = fault(Fault(Kind.NOT_FOUND, path))
+        said = fault(ErrorDetail(ErrorKind.NOT_FOUND, path))
         client.answer(said.status, "", said.body)
 
     async def _call(self, client: Client, resource: Any, call: Call, feed: Feed | None) -> None:
@@ -131,7 +131,7 @@
         try:
             said = await resource.call(call)
         except Exception as error:  # one call's trouble must not end the process
-            log.event("call_failed", path=call.path, reason=repr(error))
+            logs.log_event("call_failed", path=call.path, reason=repr(error))
             said = Said(500)
         client.answer(said.status, said.retry_after, said.body)
 
@@ -140,7 +140,7 @@
 
     # Orders.
 
-    def look(self) -> Contact:
+    def look(self) -> QuorumContact:
         """Look how far this machine is in contact with the core."""
         return self.contact.look(self.clock.now(), self.core.in_contact)
 
@@ -175,17 +175,17 @@
         return NOT_ENTERED
 
     async def _in_contact(self) -> None:
-        while self.look() is Contact.NONE:
+        while self.look() is QuorumContact.NONE:
             await trio.sleep(LOOK_S)
 
     # Servers.
 
-    def beat(self, server: Server) -> None:
+    def beat(self, server: Endpoint) -> None:
         """Take a beat that came to this machine."""
         news = self.register.beat(self.clock.now(), server)
         self._fresh[server.id] = server.seq
         if news is not None:
-            log.event("server", id=news.id, service=news.service, state=news.state, address=news.address)
+            logs.log_event("server", id=news.id, service=news.service, state=news.state, address=news.address)
             told = [news.pack(self.clock.now())]
             self.core.say_all("servers", told)
             self._tell("servers", told)
@@ -193,7 +193,7 @@
     async def leaves(self, server: str, state: int) -> bool:
         """Have it made safe that a server leaves; False where that did not come about in time."""
         order, known = Order(leaving={server: state}), self.core.chain.safe.leaving.get(server, READY)
-        if known != READY and self.look() is not Contact.NONE:
+        if known != READY and self.look() is not QuorumContact.NONE:
             if state > known:
                 self.nursery.start_soon(self.core.enter, order)
             return True
@@ -241,22 +241,22 @@
         """How many pilots are in reach."""
         return len({name for cable, name in self.pilots.items() if cable.live})
 
-    def _offer(self, cable: Cable) -> None:
+    def _offer(self, cable: PeerConnection) -> None:
         """Hand a pilot the configuration, where it has none or an older one."""
         contact, alone = self.look(), self.contact.alone(self.clock.now())
         self.offers.offer(cable, contact, self.core.chain.replica.config if alone else None)
 
-    def _whole(self, cable: Cable) -> None:
-        now, fresh = self.clock.now(), self.look() is Contact.SETTLED
+    def _whole(self, cable: PeerConnection) -> None:
+        now, fresh = self.clock.now(), self.look() is QuorumContact.SETTLED
         cable.send("whole", [one.pack(now) for one in self.register.whole()], self.register.leaving, fresh)
 
     def digest(self) -> int:
         """Return a number for all that is known of servers."""
-        return digest(self.register.whole())
+        return endpoints_digest(self.register.whole())
 
     # Cables.
 
-    async def cable(self, cable: Cable) -> None:
+    async def cable(self, cable: PeerConnection) -> None:
         """Serve one cable that another process has called."""
         try:
             await cable.read(self._take)
@@ -265,7 +265,7 @@
                 self.berths.gone(cable.name)
             cable.close()
 
-    def _take(self, cable: Cable, message: Message) -> None:
+    def _take(self, cable: PeerConnection, message: Message) -> None:
         name = message[0]
         if name == "hello":
             cable.name = parse_ip(message[2])
@@ -317,7 +317,7 @@
             cable.send(*self._view())
             self._whole(cable)
 
-    def _add(self, cable: Cable, number: int, name: str, again: bool, epoch: int) -> None:
+    def _add(self, cable: PeerConnection, number: int, name: str, again: bool, epoch: int) -> None:
         now = self.clock.now()
         tenant = self.offers.chart.tenants.get(name)
         if tenant is None or not self.core.keeps or epoch != self.core.lease.epoch:
@@ -333,7 +333,7 @@
         now = self.clock.now()
         if message[0] == "servers":
             for told in message[1]:
-                server = Server.unpack(told, now)
+                server = Endpoint.unpack(told, now)
                 known = self.register.servers.get(server.id)
                 if self.register.beat(now, server) is not None and known is None:
                     self._tell("servers", [server.pack(now)])
@@ -361,7 +361,7 @@
         elif now - self._short_since > SHORT_MS:
             self._short_since = math.inf
             if short:
-                log.event("core_bears_too_little", lacks="; ".join(short))
+                logs.log_event("core_bears_too_little", lacks="; ".join(short))
 
     async def upkeep(self) -> None:
         """Look after servers and views, again and again."""
@@ -371,7 +371,7 @@
             await trio.sleep(SWEEP_MS * self.random.uniform(0.9, 1.1) / 1000.0)
             now = self.clock.now()
             contact = self.look()
-            if contact is Contact.SETTLED:
+            if contact is QuorumContact.SETTLED:
                 self._tell_short(now)
             if self._cores() != cores:
                 cores = self._cores()
@@ -396,16 +396,16 @@
                 await self.core.save_servers([one.pack(now) for one in known])
             self.sweep(now, contact)
 
-    def sweep(self, now: float, contact: Contact) -> None:
+    def sweep(self, now: float, contact: QuorumContact) -> None:
         """Look whose beats have stopped; pilots are told while this machine hears of all that beat."""
         known_before = set(self.register.servers)
         self._silent |= set(self.register.sweep(now))
         for id_ in known_before - set(self.register.servers):
             self.berths.forget(id_)
-        if contact is Contact.SETTLED and self._silent:
+        if contact is QuorumContact.SETTLED and self._silent:
             lost, self._silent = sorted(self._silent & self.register.lost), set()
             if lost:
-                log.event("servers_silent", ids=",".join(lost))
+                logs.log_event("servers_silent", ids=",".join(lost))
                 self._tell("lost", lost)
 
     def status(self) -> dict[str, Any]:
@@ -465,7 +465,7 @@
             await trio.sleep(0.05)
 
 
-async def run(started: Started, seed: int, ended: trio.Event) -> None:
+async def run(started: Bootstrap, seed: int, ended: trio.Event) -> None:
     """Run a lighthouse until told to end."""
     boot = started.boot
     async with trio.open_nursery() as nursery:
@@ -473,15 +473,15 @@
         core = light.core
         nursery.start_soon(light.timers.run)
         nursery.start_soon(core.run)
-        nursery.start_soon(partial(answer, started.talk, light.clock, nursery, light.cable))
+        nursery.start_soon(partial(accept_connections, started.talk, light.clock, nursery, light.cable))
         nursery.start_soon(core.tick)
         nursery.start_soon(light.upkeep)
         light.tidy()
         if started.control is not None:
             nursery.start_soon(accept, started.control, light, serve)
         held = core.chain.replica.config.version
-        log.event("lit", disk=core.chain.me[1], epoch=light.epoch, held=held)
+        logs.log_event("lit", disk=core.chain.me[1], epoch=light.epoch, held=held)
         await ended.wait()
         await step_down(light)
-        log.event("out", epoch=core.chain.view.epoch)
+        logs.log_event("out", epoch=core.chain.view.epoch)
         nursery.cancel_scope.cancel()
--- a/wickspring/lighthouse/logbook.py
+++ b/wickspring/lighthouse/logbook.py
@@ -30,8 +30,8 @@
 import msgpack
 from zope.interface import Interface, implementer
 
+from wickspring.common import logs as logs_module
 from wickspring.core.invariants import holds
-from wickspring.harbour import log
 from wickspring.lighthouse import logbook_older
 from wickspring.lighthouse.logbook_older import NotWholeError
 from wickspring.lighthouse.replica import Config, Replica, digest_of
@@ -122,7 +122,7 @@
             try:
                 return what()
             except (sqlite3.OperationalError, OSError) as error:
-                log.event("open_failed", reason=error)
+                logs_module.log_event("open_failed", reason=error)
                 self._pause(OPEN_AGAIN_S)
         return what()
 
--- a/wickspring/lighthouse/offers.py
+++ b/wickspring/lighthouse/offers.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickspring.harbour import log
-from wickspring.harbour.cable import Cable
-from wickspring.harbour.chart import Chart, lay_out
-from wickspring.harbour.standing import Contact, Standing
+from wickspring.common import logs
+from wickspring.common.config_status import ConfigStatus, QuorumContact
+from wickspring.common.connection import PeerConnection
+from wickspring.common.routing_table import RoutingTable, build_routing_table
 from wickspring.lighthouse.replica import Config
 
 
@@ -31,7 +31,7 @@
     """What is safe, as pilots get it, and what each of them was handed."""
 
     def __init__(self) -> None:
-        self.chart = Chart()
+        self.chart = RoutingTable()
         self.copy = _Copy()
         self._last_known = _Copy()
 
@@ -41,33 +41,33 @@
         if config.version < known or (config.version == known and config.digest == self.copy.digest):
             return False
         if config.version == known:
-            log.event("config_two_texts", version=known, digest=config.digest.hex())
+            logs.log_event("config_two_texts", version=known, digest=config.digest.hex())
         try:
-            self.chart, self.copy = lay_out(config.document), _Copy.of(config)
+            self.chart, self.copy = build_routing_table(config.document), _Copy.of(config)
         except (KeyError, TypeError, ValueError) as error:
-            log.event("chart_unusable", version=config.version, reason=repr(error))
+            logs.log_event("chart_unusable", version=config.version, reason=repr(error))
             return False
-        log.event("chart", version=config.version)
+        logs.log_event("chart", version=config.version)
         return True
 
-    def holds(self, cable: Cable, version: Any, digest: Any) -> None:
+    def holds(self, cable: PeerConnection, version: Any, digest: Any) -> None:
         """Hear which configuration a pilot goes by."""
         cable.about["holds"] = int(version), bytes(digest)
 
-    def offer(self, cable: Cable, contact: Contact, last_known: Config | None) -> None:
+    def offer(self, cable: PeerConnection, contact: QuorumContact, last_known: Config | None) -> None:
         """Hand a pilot the configuration, where it has said that it has an older one or none.
 
         The last known, which may never have become safe, goes only to one that has none.
         """
         version, digest = cable.about.get("holds", (0, b""))
-        copy, standing = self.copy, Standing.SAFE if contact is Contact.NONE else Standing.CURRENT
+        copy, standing = self.copy, ConfigStatus.SAFE if contact is QuorumContact.NONE else ConfigStatus.CURRENT
         if not copy.version:
             if version or last_known is None:
                 return
             if (self._last_known.version, self._last_known.digest) != (last_known.version, last_known.digest):
                 self._last_known = _Copy.of(last_known)
-            copy, standing = self._last_known, Standing.HELD
-        other = copy.version == version and copy.digest != digest and standing is Standing.CURRENT
+            copy, standing = self._last_known, ConfigStatus.HELD
+        other = copy.version == version and copy.digest != digest and standing is ConfigStatus.CURRENT
         offer = copy.version, copy.digest, standing, version, digest  # it may wait with what it was handed
         if (copy.version > version or other) and cable.about.get("offered") != offer:
             cable.about["offered"] = offer
--- a/wickspring/lighthouse/register.py
+++ b/wickspring/lighthouse/register.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from wickspring.harbour.servers import GONE, READY, Server
+from wickspring.common.endpoints import GONE, READY, Endpoint
 
 SILENT_BEATS = 2.7  # beats after which a server that has not called is taken for lost
 FORGET_MS = 60_000.0  # after which a lost or gone one is forgotten; its id does not come back
@@ -21,16 +21,16 @@
 
     def __init__(self, beat_ms: float) -> None:
         self.beat_ms = beat_ms
-        self.servers: dict[str, Server] = {}
+        self.servers: dict[str, Endpoint] = {}
         self.heard_at: dict[str, float] = {}
         self.lost: set[str] = set()  # silent for too long
         self.leaving: dict[str, int] = {}  # as the chain holds them; the last word
 
-    def _state(self, server: Server) -> Server:
+    def _state(self, server: Endpoint) -> Endpoint:
         state = max(server.state, self.leaving.get(server.id, READY))
         return server if state == server.state else replace(server, state=state)
 
-    def beat(self, now: float, told: Server) -> Server | None:
+    def beat(self, now: float, told: Endpoint) -> Endpoint | None:
         """Take a beat, or news of one; return the server where that is news for pilots."""
         known = self.servers.get(told.id)
         told = self._state(told)
@@ -49,7 +49,7 @@
         same = replace(told, seq=known.seq, cold_until=known.cold_until) == known
         return None if same and not moved else told
 
-    def alive(self, now: float, told: Iterable[tuple[str, int]]) -> list[Server]:
+    def alive(self, now: float, told: Iterable[tuple[str, int]]) -> list[Endpoint]:
         """Note that beats have come to another core machine; return the servers that are back by them."""
         back = []
         for server, seq in told:
@@ -61,7 +61,7 @@
                     back.append(known)
         return back
 
-    def leave(self, leaving: dict[str, int]) -> list[Server]:
+    def leave(self, leaving: dict[str, int]) -> list[Endpoint]:
         """Take in who leaves, by the chain; return the servers for which that is news."""
         self.leaving.update(leaving)
         news = []
@@ -85,6 +85,6 @@
                 self.lost.discard(id_)
         return news
 
-    def whole(self) -> list[Server]:
+    def whole(self) -> list[Endpoint]:
         """Return all servers that are not taken for lost."""
         return [one for one in self.servers.values() if one.id not in self.lost]
--- a/wickspring/lighthouse/resources.py
+++ b/wickspring/lighthouse/resources.py
@@ -9,17 +9,17 @@
 import msgspec
 from zope.interface import Interface, implementer
 
-from wickspring.harbour import log
-from wickspring.harbour.kinds import Fault, FaultError, Kind
-from wickspring.harbour.lines import parse_address
-from wickspring.harbour.servers import DRAINING, GONE, READY, Server
+from wickspring.common import logs
+from wickspring.common.endpoints import DRAINING, GONE, READY, Endpoint
+from wickspring.common.errors import ErrorDetail, ErrorKind, GatewayError
+from wickspring.common.settings_file import parse_address
 from wickspring.lighthouse import snapshot
 from wickspring.lighthouse.calls import Call, Said, Serves, fault
 from wickspring.lighthouse.check import check
 from wickspring.lighthouse.replica import Order, Replica, Verdict
 
 _STATES = {"ready": READY, "draining": DRAINING}
-NOBODY = Fault(Kind.NOT_SAFE_YET, "no majority of the core answers")
+NOBODY = ErrorDetail(ErrorKind.NOT_SAFE_YET, "no majority of the core answers")
 MOST_SLOTS = 100_000
 MOST_SEQ = 2**62  # what is larger cannot be told over a cable
 
@@ -74,12 +74,12 @@
 
     method, path = "POST", re.compile(r"/servers/(?P<id>[^/]{1,200})/heartbeat\Z")
 
-    def _read(self, call: Call) -> Server:
+    def _read(self, call: Call) -> Endpoint:
         told = msgspec.json.decode(call.body, type=_Beat, strict=False)
         info, how = told.build_info, told.condition
         parse_address(told.address)
         left = 1000.0 * how.cold_left_s
-        return Server(
+        return Endpoint(
             call.parts["id"], info.service, told.address, info.zone, info.capacity, _STATES[how.state],
             how.call_seq, self.light.clock.now() + left if left > 0 else 0.0, info.generation,
         )  # fmt: skip
@@ -88,13 +88,13 @@
         """Take a beat; one that says `draining` is answered once that can no longer be forgotten."""
         try:
             server = self._read(call)
-        except (msgspec.MsgspecError, UnicodeDecodeError, FaultError) as error:
-            return fault(Fault(Kind.BAD_REQUEST, f"heartbeat: {error}"))
+        except (msgspec.MsgspecError, UnicodeDecodeError, GatewayError) as error:
+            return fault(ErrorDetail(ErrorKind.BAD_REQUEST, f"heartbeat: {error}"))
         if self.light.cut_off:  # the others may take the server for lost while it calls here
             return fault(NOBODY)
         self.light.beat(server)
         if server.state == DRAINING and not await self.light.leaves(server.id, DRAINING):
-            return fault(Fault(Kind.NOT_SAFE_YET, "draining"))
+            return fault(ErrorDetail(ErrorKind.NOT_SAFE_YET, "draining"))
         target = self.light.beat_target(server.zone)
         return Said(200, msgspec.json.encode({"beat_target": target} if target else {}))
 
@@ -108,7 +108,7 @@
         """Take a server's word that it ends."""
         if await self.light.leaves(call.parts["id"], GONE):
             return Said(200)
-        return fault(Fault(Kind.NOT_SAFE_YET, "deregister"))
+        return fault(ErrorDetail(ErrorKind.NOT_SAFE_YET, "deregister"))
 
 
 class ConfigReplace(_Resource):
@@ -120,24 +120,24 @@
         """Check a whole configuration, and acknowledge it once it is safe."""
         checked = check(call.body)
         if checked.is_error():  # a fact of the text alone, so it is refused in contact or not
-            log.event("config_refused", reason=checked.error.reason)
+            logs.log_event("config_refused", reason=checked.error.reason)
             return fault(checked.error)
         version = checked.ok
         entered = await self.light.order(Order(version, call.body))
         if entered.verdict is not Verdict.SAFE:
             return _not_safe(entered.verdict, "configuration", version)
-        log.event("config_acknowledged", version=version)
+        logs.log_event("config_acknowledged", version=version)
         return Said(200, msgspec.json.encode({"generation": f"r{version}"}))
 
 
 def _not_safe(verdict: Verdict, what: str, version: int = 0) -> Said:
     """Answer an order that is not kept: refused for good only where that can never change."""
     if verdict is Verdict.CONFLICT:
-        log.event("config_conflict", version=version)
-        return fault(Fault(Kind.VERSION_TAKEN, f"r{version} is another text's"))
+        logs.log_event("config_conflict", version=version)
+        return fault(ErrorDetail(ErrorKind.VERSION_TAKEN, f"r{version} is another text's"))
     if version:
-        log.event("config_not_safe", version=version)
-    return fault(Fault(Kind.NOT_SAFE_YET, what))
+        logs.log_event("config_not_safe", version=version)
+    return fault(ErrorDetail(ErrorKind.NOT_SAFE_YET, what))
 
 
 class ConfigRead(_Resource):
@@ -151,7 +151,7 @@
         if safe is None:
             return fault(NOBODY)
         if not safe.config.document:
-            return fault(Fault(Kind.NO_CONFIG))
+            return fault(ErrorDetail(ErrorKind.NO_CONFIG))
         return Said(200, safe.config.document)
 
 
@@ -181,7 +181,7 @@
         if entered.verdict is not Verdict.SAFE or entered.replica is None:
             return _not_safe(entered.verdict, "snapshot", brought.version)
         version, leaving = entered.replica.config.version, len(entered.replica.leaving)
-        log.event("snapshot_brought", version=brought.version, held=version, leaving=leaving)
+        logs.log_event("snapshot_brought", version=brought.version, held=version, leaving=leaving)
         return Said(200, msgspec.json.encode({"generation": f"r{version}", "leaving": leaving}))
 
 
--- a/wickspring/lighthouse/snapshot.py
+++ b/wickspring/lighthouse/snapshot.py
@@ -16,7 +16,7 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from wickspring.harbour.kinds import Fault, Kind
+from wickspring.common.errors import ErrorDetail, ErrorKind
 from wickspring.lighthouse.check import check
 from wickspring.lighthouse.replica import DIGEST_SIZE, Order, Replica, digest_of
 
@@ -60,8 +60,8 @@
     return _sum(one.format, one.epoch, one.number, one.digest, one.history, one.config, leaving)
 
 
-def _refused(reason: str) -> Result[Order, Fault]:
-    return Error(Fault(Kind.INVALID_SNAPSHOT, reason))
+def _refused(reason: str) -> Result[Order, ErrorDetail]:
+    return Error(ErrorDetail(ErrorKind.INVALID_SNAPSHOT, reason))
 
 
 def pack(replica: Replica, epoch: int) -> bytes:
@@ -76,7 +76,7 @@
     return msgspec.json.encode(one)
 
 
-def unpack(body: bytes) -> Result[Order, Fault]:
+def unpack(body: bytes) -> Result[Order, ErrorDetail]:
     """Read a snapshot and check it whole; the order that brings it back, or the fault its sender is told."""
     try:
         form = msgspec.json.decode(body, type=_Format).format
@@ -89,7 +89,7 @@
     return _refused(f"format {form}, this program knows 1 to {FORMAT}")
 
 
-def _read(told: _Snapshot) -> Result[Order, Fault]:
+def _read(told: _Snapshot) -> Result[Order, ErrorDetail]:
     if told.sum != _sum_of(told):
         return _refused("its sum does not fit: it was cut or changed")
     numbers = [0, *(number for number, _ in told.history), told.number]
@@ -101,13 +101,13 @@
     return _order(told.config, told.leaving, told.number)
 
 
-def _read_1(told: _Snapshot1) -> Result[Order, Fault]:
+def _read_1(told: _Snapshot1) -> Result[Order, ErrorDetail]:
     if told.sum != _sum(told.config, sorted(told.leavers.items())):
         return _refused("its sum does not fit: it was cut or changed")
     return _order(told.config, told.leavers, None)
 
 
-def _order(config: str, leaving: dict[str, int], number: int | None) -> Result[Order, Fault]:
+def _order(config: str, leaving: dict[str, int], number: int | None) -> Result[Order, ErrorDetail]:
     if any(not server or not 0 < state <= MOST_STATE for server, state in leaving.items()):
         return _refused("leaving: states are 1 and 2")
     if not config:
--- a/wickspring/lighthouse/tally.py
+++ b/wickspring/lighthouse/tally.py
@@ -24,7 +24,7 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 
-from wickspring.harbour.quotas import ALONE_SHARE, WINDOWS, ceiling
+from wickspring.common.quota_rule import ISOLATED_SHARE, WINDOWS_PER_SPAN, quota_ceiling
 
 BURST_MORE = 2.0  # units above the burst that are given out: windows are not cut where the rule's are
 SHADOW_WINDOWS = 8  # that are told to the other machines, of tenants that have used up much
@@ -56,12 +56,12 @@
         elif window > self.level_at:
             self.level = min(most, self.level + (window - self.level_at) * brings)
         self.level_at = window
-        while self.windows and self.windows[0][0] < window - WINDOWS:
+        while self.windows and self.windows[0][0] < window - WINDOWS_PER_SPAN:
             self.total -= self.windows.popleft()[1]
 
     def _work_out(self, window: int, brings: float, most: float) -> float:
         """Work out what is left from what was spent; below 0 where that was more than there was."""
-        level, at = most, window - WINDOWS
+        level, at = most, window - WINDOWS_PER_SPAN
         for number, units in self.windows:
             level = min(most, level + max(0, number - at) * brings) - units
             at = number
@@ -77,15 +77,15 @@
         self.level = (self.level or 0.0) - 1.0
         part = self.parts.setdefault(pilot, {})
         part[window] = part.get(window, 0) + 1
-        if len(part) > 2 * WINDOWS:
-            for old in [w for w in part if w < window - WINDOWS]:
+        if len(part) > 2 * WINDOWS_PER_SPAN:
+            for old in [w for w in part if w < window - WINDOWS_PER_SPAN]:
                 del part[old]
 
     def replace(self, window: int, pilot: str, told: Iterable[tuple[int, int]]) -> None:
         """Put a pilot's own word, windows ago and units, in the place of what is held of it."""
         part: dict[int, int] = {}
         for ago, units in told:
-            if 0 <= ago <= WINDOWS and 0 < units <= MOST_UNITS:
+            if 0 <= ago <= WINDOWS_PER_SPAN and 0 < units <= MOST_UNITS:
                 part[window - ago] = part.get(window - ago, 0) + units
         self.parts[pilot] = part
         self.sum_up(window)
@@ -95,10 +95,10 @@
         sums: dict[int, int] = {}
         for held in self.parts.values():
             for at, units in held.items():
-                if at >= window - WINDOWS:
+                if at >= window - WINDOWS_PER_SPAN:
                     sums[at] = sums.get(at, 0) + units
         for at, units in self.shadow.items():
-            if at >= window - WINDOWS:
+            if at >= window - WINDOWS_PER_SPAN:
                 sums[at] = max(units, sums.get(at, 0))
         self.windows = deque(sorted(sums.items()))
         self.total, self.level = sum(sums.values()), None
@@ -109,7 +109,7 @@
 
     def __init__(self, span_s: float, excess: float, slack: float) -> None:
         self.span_s, self.excess, self.slack = span_s, excess, slack
-        self.window_ms = 1000.0 * span_s / WINDOWS
+        self.window_ms = 1000.0 * span_s / WINDOWS_PER_SPAN
         self.counts: dict[str, Count] = {}
 
     def _count(self, now: float, tenant: str, rate: float, burst: float) -> tuple[int, float, Count]:
@@ -129,13 +129,13 @@
             if now >= until:
                 del count.away[pilot]
         share = sum(share for share, _ in count.away.values())
-        return ALONE_SHARE * share * ceiling(rate, burst, self.span_s, self.excess, self.slack) / WINDOWS
+        return ISOLATED_SHARE * share * quota_ceiling(rate, burst, self.span_s, self.excess, self.slack) / WINDOWS_PER_SPAN
 
     def away(self, now: float, pilot: str) -> None:
         """Note that a pilot has gone silent: it may go on alone."""
         window = int(now / self.window_ms)
         for count in self.counts.values():
-            part = sum(units for at, units in count.parts.get(pilot, {}).items() if at >= window - WINDOWS)
+            part = sum(units for at, units in count.parts.get(pilot, {}).items() if at >= window - WINDOWS_PER_SPAN)
             if part and count.total:
                 count.away[pilot] = min(1.0, part / count.total), now + AWAY_MS
 
@@ -203,9 +203,9 @@
         window = int(now / self.window_ms)
         shadow = self.counts.setdefault(tenant, Count()).shadow
         for ago, units in told:
-            if 0 <= ago <= WINDOWS and 0 < units <= MOST_UNITS:
+            if 0 <= ago <= WINDOWS_PER_SPAN and 0 < units <= MOST_UNITS:
                 shadow[window - ago] = max(units, shadow.get(window - ago, 0))
-        for old in [at for at in shadow if at < window - WINDOWS]:
+        for old in [at for at in shadow if at < window - WINDOWS_PER_SPAN]:
             del shadow[old]
 
     def begin(self, now: float) -> None:
--- a/wickspring/pilot/__main__.py
+++ b/wickspring/pilot/__main__.py
@@ -4,11 +4,11 @@
 
 gc.disable()  # while all is loaded nothing is garbage, and looking for it is a tenth of the start
 
-from wickspring.harbour.early import start  # noqa: E402
+from wickspring.common.bootstrap import bootstrap  # noqa: E402
 
-started = start()  # callers wait in line from here on
+started = bootstrap()  # callers wait in line from here on
 
-from wickspring.harbour.process import main  # noqa: E402
+from wickspring.common.lifecycle import main  # noqa: E402
 from wickspring.pilot.pilot import run  # noqa: E402
 
 main(run, started)
--- a/wickspring/pilot/flotilla.py
+++ b/wickspring/pilot/flotilla.py
@@ -17,11 +17,11 @@
 import msgpack
 import trio
 
+from wickspring.common import logs
+from wickspring.common.connection import DECODE_ERRORS, Message, PeerConnection
+from wickspring.common.settings_file import parse_ip
 from wickspring.gossip.book import Digest, Entry
 from wickspring.gossip.members import Doubt, Members, Place
-from wickspring.harbour import log
-from wickspring.harbour.cable import UNREADABLE, Cable, Message
-from wickspring.harbour.lines import parse_ip
 from wickspring.net.clock import Clock
 from wickspring.net.datagrams import Datagrams
 from wickspring.net.link import Link, connect
@@ -47,10 +47,10 @@
     def state(self) -> State:
         """Return the state to compare."""
 
-    def tell_all(self, cable: Cable, version: int, digest: bytes) -> None:
+    def tell_all(self, cable: PeerConnection, version: int, digest: bytes) -> None:
         """Tell all that is held; the configuration only where it is above a version, or another text."""
 
-    def take(self, cable: Cable, message: Message) -> None:
+    def take(self, cable: PeerConnection, message: Message) -> None:
         """Take in what another pilot tells."""
 
     def alone(self) -> bool:
@@ -127,7 +127,7 @@
         while True:
             await trio.sleep(ROUND_S * self.random.uniform(0.8, 1.2))
             for name in self.members.tick(self.clock.now() / 1000.0):
-                log.event("pilot_gone", pilot=name, left=self.members.size)
+                logs.log_event("pilot_gone", pilot=name, left=self.members.size)
             self.members.write(Place(self.ip), beat=False)
             target = self.members.target()
             if target is not None:
@@ -170,7 +170,7 @@
                 message = msgpack.unpackb(data)
                 if message[1] == ip:
                     self._take(ip, message)
-            except UNREADABLE:
+            except DECODE_ERRORS:
                 continue  # not of this system, or spoilt
 
     def _take(self, ip: str, message: list[Any]) -> None:
@@ -199,7 +199,7 @@
             if answered is not None:
                 answered()
         elif name in ("servers", "leaving"):
-            self.holds.take(Cable(_NOWHERE, self.clock), [name, message[2]])
+            self.holds.take(PeerConnection(_NOWHERE, self.clock), [name, message[2]])
 
     def _doubted(self, doubts: list[Any]) -> None:
         self.members.doubted(Doubt(str(n), float(i), int(b), str(by)) for n, i, b, by in doubts)
@@ -221,7 +221,7 @@
                 sock = await connect((ip, self.port), DIAL_MS)
                 if sock is None:
                     return
-                cable = Cable(Link(sock, self.nursery), self.clock)
+                cable = PeerConnection(Link(sock, self.nursery), self.clock)
                 try:
                     cable.send("fetch", *self.holds.state()[:2])
                     await cable.read(self.holds.take)
@@ -230,10 +230,10 @@
         finally:
             self._fetching = False
 
-    async def serve(self, cable: Cable) -> None:
+    async def serve(self, cable: PeerConnection) -> None:
         """Tell all to a pilot that fetches."""
 
-        def take(cable: Cable, message: Message) -> None:
+        def take(cable: PeerConnection, message: Message) -> None:
             if message[0] == "fetch":
                 self.holds.tell_all(cable, int(message[1]), bytes(message[2]))
                 cable.link.finish()
--- a/wickspring/pilot/moorings.py
+++ b/wickspring/pilot/moorings.py
@@ -11,14 +11,14 @@
 import msgspec
 import trio
 
-from wickspring.harbour import log
-from wickspring.harbour.boot import Boot
-from wickspring.harbour.cable import TICK_MS, Cable, Caller, Message
-from wickspring.harbour.chart import Chart, lay_out
-from wickspring.harbour.lines import parse_ip
-from wickspring.harbour.seeds import Seeds
-from wickspring.harbour.servers import Server
-from wickspring.harbour.standing import Contact, Standing
+from wickspring.common import logs
+from wickspring.common.config_status import ConfigStatus, QuorumContact
+from wickspring.common.connection import HEARTBEAT_MS, Message, PeerConnection, ReconnectingClient
+from wickspring.common.endpoints import Endpoint
+from wickspring.common.routing_table import RoutingTable, build_routing_table
+from wickspring.common.seeds import SeedList
+from wickspring.common.settings import NodeSettings
+from wickspring.common.settings_file import parse_ip
 from wickspring.lighthouse.replica import digest_of
 from wickspring.net.clock import Clock
 from wickspring.pilot.policy.adoption import Adoption, Advice, Copy
@@ -31,7 +31,7 @@
 class Knows(Protocol):
     """What is told of servers goes here."""
 
-    def heard(self, now: float, server: Server, fresh: bool = True) -> bool:
+    def heard(self, now: float, server: Endpoint, fresh: bool = True) -> bool:
         """Take in what is told of a server; True where that is news."""
 
     def left(self, leaving: dict[str, int]) -> dict[str, int]:
@@ -49,10 +49,10 @@
     """All cables of one pilot."""
 
     def __init__(
-        self, boot: Boot, clock: Clock, nursery: trio.Nursery, random: Random, servers: Knows,
+        self, boot: NodeSettings, clock: Clock, nursery: trio.Nursery, random: Random, servers: Knows,
         past: Callable[[], list[tuple[str, list[tuple[int, int]]]]],
         digest: Callable[[], int],
-        charted: Callable[[Chart], None],
+        charted: Callable[[RoutingTable], None],
         passed_on: Callable[[str, object], None],
         introduced: Callable[[list[str]], None],
         told: Callable[[], None],
@@ -61,39 +61,39 @@
         self.servers, self._past, self._digest, self._charted = servers, past, digest, charted
         self._passed_on, self._introduced, self._told = passed_on, introduced, told
         self.packed = b""  # the configuration, as it came
-        self.chart = Chart()
+        self.chart = RoutingTable()
         self.adoption = Adoption(clock.now())
         self.epoch = -1
         self.members: list[str] = []
         self.fleet = 0  # pilots, as the lighthouses count them
         self.whole_from: set[str] = set()  # lighthouses that have told all servers they know
-        self.callers: dict[str, Caller] = {}
-        self._adds: dict[int, tuple[Caller, Answered]] = {}
+        self.callers: dict[str, ReconnectingClient] = {}
+        self._adds: dict[int, tuple[ReconnectingClient, Answered]] = {}
         self._berths: dict[int, Offered] = {}
         self._number = 0
         self._fleets: dict[str, int] = {}  # pilots, as each lighthouse counts them
         self._keepers: dict[str, str] = {}
-        self.seeds = Seeds(boot)
+        self.seeds = SeedList(boot)
         self.know(boot.seed_ips())
 
     def know(self, ips: list[str]) -> None:
         """Keep a cable to each of these lighthouses."""
         for ip in ips:
             if ip not in self.callers:
-                caller = Caller(
+                caller = ReconnectingClient(
                     (ip, self.boot.talk_port), self.clock, self.nursery, self.random, self._greet, self.take,
                     self._lost,
                 )  # fmt: skip
                 self.callers[ip] = caller
                 self.nursery.start_soon(caller.run)
 
-    def _greet(self, cable: Cable) -> None:
+    def _greet(self, cable: PeerConnection) -> None:
         about = {"version": self.chart.version, "digest": self.adoption.digest, "zone": self.boot.zone}
         cable.send("hello", "pilot", self.boot.ip, about)
         cable.about["told"] = self.chart.version, self.adoption.digest
         self._tell_past(cable)
 
-    def _tell_past(self, cable: Cable) -> None:
+    def _tell_past(self, cable: PeerConnection) -> None:
         for tenant, told in self._past():
             cable.send("past", tenant, told)
 
@@ -102,24 +102,24 @@
         """Return the lighthouses in reach."""
         return [ip for ip, caller in self.callers.items() if caller.live]
 
-    def _contact(self) -> Contact:
+    def _contact(self) -> QuorumContact:
         """Return how the lighthouse in reach that stands best stands with the core."""
         told = [
-            caller.cable.about.get("contact", Contact.NONE)
+            caller.cable.about.get("contact", QuorumContact.NONE)
             for caller in self.callers.values() if caller.live and caller.cable is not None
         ]  # fmt: skip
-        return max(told, default=Contact.NONE)
+        return max(told, default=QuorumContact.NONE)
 
     @property
     def in_contact(self) -> bool:
         """Tell whether a lighthouse in reach is in contact with a majority of the core."""
-        return self._contact() > Contact.NONE
+        return self._contact() > QuorumContact.NONE
 
     @property
-    def standing(self) -> Standing:
+    def standing(self) -> ConfigStatus:
         """Return what this pilot may say of its configuration to others."""
         known = self.adoption.standing
-        return Standing.CURRENT if known is Standing.SAFE and self.in_contact else known
+        return ConfigStatus.CURRENT if known is ConfigStatus.SAFE and self.in_contact else known
 
     @property
     def informed(self) -> bool:
@@ -129,7 +129,7 @@
 
     # What is told.
 
-    def take(self, cable: Cable, message: Message, by_lighthouse: bool = True) -> None:
+    def take(self, cable: PeerConnection, message: Message, by_lighthouse: bool = True) -> None:
         """Take in what a lighthouse, or another pilot, tells."""
         name, now = message[0], self.clock.now()
         if name == "sum":
@@ -145,7 +145,7 @@
             if offered is not None:
                 offered([(str(id_), float(cost)) for id_, cost in message[2]], int(message[3]))
         elif name == "servers":
-            news = [one for told in message[1] if self.servers.heard(now, one := Server.unpack(told, now))]
+            news = [one for told in message[1] if self.servers.heard(now, one := Endpoint.unpack(told, now))]
             if news:
                 self._passed_on("servers", [one.pack(now) for one in news])
         elif name == "leaving":
@@ -159,14 +159,14 @@
         elif name == "whole":
             fresh = bool(message[3])
             self.servers.left({str(id_): int(state) for id_, state in message[2].items()})
-            if fresh or self._contact() < Contact.SETTLED:  # else there is somebody who knows better
+            if fresh or self._contact() < QuorumContact.SETTLED:  # else there is somebody who knows better
                 for told in message[1]:
-                    self.servers.heard(now, Server.unpack(told, now), fresh)
+                    self.servers.heard(now, Endpoint.unpack(told, now), fresh)
             self.whole_from.add(cable.name)
             self._told()
         elif name == "chart":
             _, version, packed, digest, standing = message
-            copy = Copy(int(version), bytes(digest), bytes(packed), Standing(standing))
+            copy = Copy(int(version), bytes(digest), bytes(packed), ConfigStatus(standing))
             self._told_chart(copy, self.adoption.told(now, copy, by_lighthouse))
         elif name == "view":
             cable.name = str(message[3][0])
@@ -177,10 +177,10 @@
             self._fleets[cable.name] = int(message[3])
             self.fleet = max(self._fleets.values())
             cable.about["digest"] = int(message[4])
-            contact = cable.about["contact"] = Contact(message[6])
+            contact = cable.about["contact"] = QuorumContact(message[6])
             if message[5]:  # else as last told on this cable
                 cable.about["safe"] = bytes(message[5])
-            if contact > Contact.NONE:
+            if contact > QuorumContact.NONE:
                 safe = cable.about.get("safe", b"")
                 confirmed = self.adoption.confirmed(now, int(message[2]), safe)
                 if confirmed is not None:
@@ -190,9 +190,9 @@
         if advice in (Advice.PASS_OVER, Advice.WAIT):
             return
         if advice is Advice.GIVE_WAY:
-            log.event("config_gave_way", version=copy.version)
+            logs.log_event("config_gave_way", version=copy.version)
         elif advice is Advice.FENCE:
-            log.event("config_two_texts", version=copy.version, digest=copy.digest.hex())
+            logs.log_event("config_two_texts", version=copy.version, digest=copy.digest.hex())
         self._take_chart(copy)
 
     def _take_chart(self, copy: Copy) -> None:
@@ -200,14 +200,14 @@
             document = zlib.decompress(copy.packed)
             if digest_of(document) != copy.digest:
                 raise ValueError("not the text of its digest")
-            self.chart = lay_out(document)
+            self.chart = build_routing_table(document)
         except (zlib.error, msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
-            log.event("chart_unusable", version=copy.version, reason=repr(error))
+            logs.log_event("chart_unusable", version=copy.version, reason=repr(error))
             self.adoption.drop(copy)
             return
         self.packed = copy.packed
         self.adoption.took(copy)
-        log.event("chart", version=copy.version, standing=copy.standing.name.lower())
+        logs.log_event("chart", version=copy.version, standing=copy.standing.name.lower())
         self._charted(self.chart)
         self._told()
 
@@ -249,7 +249,7 @@
         if number in self._adds:
             self._adds[number] = self._adds[number][0], late
 
-    def _lost(self, caller: Caller) -> None:
+    def _lost(self, caller: ReconnectingClient) -> None:
         """Forget what was asked on a cable that has ended: the next one begins with all that was sent on."""
         for number in [n for n, (asked, _) in self._adds.items() if asked is caller]:
             del self._adds[number]
@@ -309,9 +309,9 @@
                 swept = now
                 self._compare()
                 self._forget(now)
-            await trio.sleep(TICK_MS * self.random.uniform(0.85, 1.15) / 1000.0)
+            await trio.sleep(HEARTBEAT_MS * self.random.uniform(0.85, 1.15) / 1000.0)
 
-    def _tick(self, caller: Caller) -> None:
+    def _tick(self, caller: ReconnectingClient) -> None:
         """Say that this pilot is there; which configuration it goes by only where that is news."""
         mine = self.chart.version, self.adoption.digest
         cable = caller.cable
@@ -330,7 +330,7 @@
         mine, best = self._digest(), self._contact()
         live = [
             one.cable for one in self.callers.values()
-            if one.live and one.cable is not None and one.cable.about.get("contact", Contact.NONE) == best
+            if one.live and one.cable is not None and one.cable.about.get("contact", QuorumContact.NONE) == best
         ]  # fmt: skip
         differ = [cable for cable in live if cable.about.get("digest", mine) != mine]
         if differ:
--- a/wickspring/pilot/pilot.py
+++ b/wickspring/pilot/pilot.py
@@ -9,15 +9,15 @@
 import trio
 
 from wickspring import interface as api
+from wickspring.common import logs
+from wickspring.common.bootstrap import Bootstrap
+from wickspring.common.connection import Message, PeerConnection, accept_connections
+from wickspring.common.endpoints import endpoints_digest
+from wickspring.common.errors import ErrorDetail, ErrorKind, GatewayError
+from wickspring.common.routing_table import RoutingTable
+from wickspring.common.settings import Address, NodeSettings
 from wickspring.connections.limits import ConnectionLimits
 from wickspring.connections.pools import Conn
-from wickspring.harbour import log
-from wickspring.harbour.boot import Address, Boot
-from wickspring.harbour.cable import Cable, Message, answer
-from wickspring.harbour.chart import Chart
-from wickspring.harbour.early import Started
-from wickspring.harbour.kinds import Fault, FaultError, Kind
-from wickspring.harbour.servers import digest
 from wickspring.interface import Readiness
 from wickspring.net.calls import Client
 from wickspring.net.datagrams import Udp
@@ -47,7 +47,7 @@
 class Pilot(Requests):
     """One pilot."""
 
-    def __init__(self, boot: Boot, nursery: trio.Nursery, seed: int) -> None:
+    def __init__(self, boot: NodeSettings, nursery: trio.Nursery, seed: int) -> None:
         super().__init__(nursery, boot.limits.memory_mb)
         self.boot, self.random = boot, Random(seed)
         bounds = boot.guarantees
@@ -90,7 +90,7 @@
     # What is told.
 
     def _digest(self) -> int:
-        return digest(
+        return endpoints_digest(
             [one.server for id_, one in self.choice.berths.items() if not one.lost and self.choice.takes(id_)]
         )
 
@@ -105,16 +105,16 @@
         mine = self.moorings.adoption
         return mine.version, mine.digest, len(self.choice.leaving), self._digest()
 
-    def tell_all(self, cable: Cable, version: int, digest: bytes) -> None:
+    def tell_all(self, cable: PeerConnection, version: int, endpoints_digest: bytes) -> None:
         """Tell another pilot all that is held here."""
         now, moorings = self.clock.now(), self.moorings
         mine = moorings.adoption
-        if mine.version > version or (mine.version == version and mine.digest != digest):
+        if mine.version > version or (mine.version == version and mine.digest != endpoints_digest):
             cable.send("chart", mine.version, moorings.packed, mine.digest, int(moorings.standing))
         known = [one.server.pack(now) for one in self.choice.berths.values() if not one.lost]
         cable.send("whole", known, self.choice.leaving, moorings.in_contact)
 
-    def take(self, cable: Cable, message: Message) -> None:
+    def take(self, cable: PeerConnection, message: Message) -> None:
         """Take in what another pilot tells."""
         if message[0] in ("chart", "whole", "servers", "leaving"):
             self.moorings.take(cable, message, by_lighthouse=False)
@@ -123,7 +123,7 @@
         """Tell whether no lighthouse is in reach."""
         return not self.moorings.live
 
-    def _charted(self, chart: Chart) -> None:
+    def _charted(self, chart: RoutingTable) -> None:
         bounds = chart.bounds
         self.patience = Patience(
             silent=1000.0 * bounds.idle_s, head=1000.0 * bounds.header_s, idle=1000.0 * bounds.idle_s,
@@ -161,7 +161,7 @@
         """Forget what is past, and tell the figures."""
         self.later(FIGURES_MS * self.random.uniform(0.9, 1.1), self.upkeep)
         self.choice.forget(self.clock.now(), FORGET_MS)
-        log.event(
+        logs.log_event(
             "figures", owed=len(self.requests), connections=len(self.connections), **self.tally,
             **self.upstream.report(),
         )  # fmt: skip
@@ -177,7 +177,7 @@
             some = bool(moorings.chart.version) and bool(moorings.whole_from)
             self.ready = bool(self.choice.services) and (moorings.informed or (late and some))
             if self.ready:
-                log.event("ready", version=moorings.chart.version, servers=len(self.choice.berths))
+                logs.log_event("ready", version=moorings.chart.version, servers=len(self.choice.berths))
         return self.ready
 
 
@@ -224,17 +224,17 @@
     await watch.serve(Http1Connection(link, watch, patience=Patience(idle=15_000.0)), link)
 
 
-async def run(started: Started, seed: int, ended: trio.Event) -> None:
+async def run(started: Bootstrap, seed: int, ended: trio.Event) -> None:
     """Run a pilot until told to end."""
     boot, front, ready = started.boot, started.front, started.ready
     if front is None or ready is None:
-        raise FaultError(Fault(Kind.BAD_SETTINGS, "bind: a pilot needs front_http and ready_addr"))
+        raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, "bind: a pilot needs front_http and ready_addr"))
     async with trio.open_nursery() as nursery:
         pilot = Pilot(boot, nursery, seed)
         nursery.start_soon(pilot.timers.run)
         nursery.start_soon(pilot.moorings.tick)
         nursery.start_soon(pilot.flotilla.run)
-        nursery.start_soon(answer, started.talk, pilot.clock, nursery, pilot.flotilla.serve)
+        nursery.start_soon(accept_connections, started.talk, pilot.clock, nursery, pilot.flotilla.serve)
         pilot.tidy()
         pilot.upkeep()
         watch = Watch(pilot)
@@ -242,10 +242,10 @@
         watch.tidy()
         nursery.start_soon(accept, ready, watch, serve_watch)
         nursery.start_soon(accept, front, pilot, serve)
-        log.event("afloat", ip=boot.ip, zone=boot.zone)
+        logs.log_event("afloat", ip=boot.ip, zone=boot.zone)
         await ended.wait()
         pilot.draining = True
-        log.event("draining", owed=len(pilot.requests))
+        logs.log_event("draining", owed=len(pilot.requests))
         with trio.move_on_after(0.93 * boot.guarantees.grace_s):
             await trio.sleep(ACCEPT_ON_S)
             take_rest(front, pilot, serve)
@@ -255,5 +255,5 @@
             for connection in list(pilot.connections):
                 connection.end_quiet()
             await trio.sleep(0.1)
-        log.event("moored", owed=len(pilot.requests))
+        logs.log_event("moored", owed=len(pilot.requests))
         nursery.cancel_scope.cancel()
--- a/wickspring/pilot/policy/adoption.py
+++ b/wickspring/pilot/policy/adoption.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from wickspring.harbour.standing import Standing
+from wickspring.common.config_status import ConfigStatus
 
 ALONE_MS = 1500.0  # without a word of anybody in contact, after which the last known is better than nothing
 
@@ -26,7 +26,7 @@
     version: int
     digest: bytes
     packed: bytes
-    standing: Standing
+    standing: ConfigStatus
 
 
 class Advice(Enum):
@@ -43,21 +43,21 @@
     """What one pilot goes by, and what it would go by for want of better."""
 
     def __init__(self, now: float) -> None:
-        self.version, self.digest, self.standing = 0, b"", Standing.HELD
+        self.version, self.digest, self.standing = 0, b"", ConfigStatus.HELD
         self.waiting: Copy | None = None
         self._current_at = now
 
     def told(self, now: float, copy: Copy, by_lighthouse: bool = True) -> Advice:
         """Say what to do with a copy; it counts as taken up only with `took`."""
-        if copy.standing is Standing.CURRENT:
+        if copy.standing is ConfigStatus.CURRENT:
             self._current_at = now
         if copy.version < self.version or not copy.version:
             return Advice.PASS_OVER
         if copy.version == self.version:
             return self._same_number(copy, by_lighthouse)
         if self.version:
-            return Advice.TAKE if copy.standing >= Standing.SAFE else Advice.PASS_OVER
-        if copy.standing is Standing.CURRENT:
+            return Advice.TAKE if copy.standing >= ConfigStatus.SAFE else Advice.PASS_OVER
+        if copy.standing is ConfigStatus.CURRENT:
             return Advice.TAKE
         best = self.waiting
         if best is None or (copy.standing, copy.version) > (best.standing, best.version):
@@ -66,11 +66,11 @@
 
     def _same_number(self, copy: Copy, by_lighthouse: bool) -> Advice:
         if copy.digest == self.digest:
-            self.standing = max(self.standing, min(copy.standing, Standing.SAFE))
+            self.standing = max(self.standing, min(copy.standing, ConfigStatus.SAFE))
             return Advice.PASS_OVER
-        if self.standing is Standing.HELD and copy.standing >= Standing.SAFE:
+        if self.standing is ConfigStatus.HELD and copy.standing >= ConfigStatus.SAFE:
             return Advice.GIVE_WAY
-        if by_lighthouse and copy.standing is Standing.CURRENT:
+        if by_lighthouse and copy.standing is ConfigStatus.CURRENT:
             return Advice.FENCE
         return Advice.PASS_OVER
 
@@ -79,9 +79,9 @@
         self._current_at = now
         waiting, told = self.waiting, (version, digest)
         if version and told == (self.version, self.digest):
-            self.standing = Standing.SAFE
+            self.standing = ConfigStatus.SAFE
         elif not self.version and waiting is not None and told == (waiting.version, waiting.digest):
-            return Copy(version, digest, waiting.packed, Standing.CURRENT)
+            return Copy(version, digest, waiting.packed, ConfigStatus.CURRENT)
         return None
 
     def due(self, now: float) -> Copy | None:
@@ -91,7 +91,7 @@
     def took(self, copy: Copy) -> None:
         """Go by a copy from now on."""
         self.version, self.digest = copy.version, copy.digest
-        self.standing = min(copy.standing, Standing.SAFE)
+        self.standing = min(copy.standing, ConfigStatus.SAFE)
         self.waiting = None
 
     def drop(self, copy: Copy) -> None:
--- a/wickspring/pilot/policy/choice.py
+++ b/wickspring/pilot/policy/choice.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from wickspring.harbour.servers import READY, Server
+from wickspring.common.endpoints import READY, Endpoint
 
 NEAR_DRAWS, FAR_DRAWS = 4, 2  # servers drawn of the own zone and of others, of which the best is taken
 MEMORY = 10.0  # answers in a mean
@@ -23,7 +23,7 @@
 class Berth:
     """One server as this pilot knows it."""
 
-    server: Server
+    server: Endpoint
     out: dict[int, float] = field(default_factory=dict)  # tries out, and when each was sent
     slow: float = 1.0  # its answer times, by those of its service
     failures: int = 0  # in a row
@@ -44,7 +44,7 @@
 
     # News.
 
-    def heard(self, now: float, server: Server, fresh: bool = True) -> bool:
+    def heard(self, now: float, server: Endpoint, fresh: bool = True) -> bool:
         """Take in what is told of a server; True where that is news.
 
         What is not fresh, of a lighthouse that may not know who has ended, brings no lost one back.
@@ -56,7 +56,7 @@
         elif server.seq >= known.server.seq or server.state > known.server.state:
             state = max(server.state, known.server.state)
             if state != server.state:
-                server = Server(
+                server = Endpoint(
                     server.id, server.service, server.address, server.zone, server.slots, state, server.seq,
                     server.cold_until, server.generation,
                 )  # fmt: skip
--- a/wickspring/pilot/policy/quota.py
+++ b/wickspring/pilot/policy/quota.py
@@ -11,8 +11,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from wickspring.harbour.chart import Tenant
-from wickspring.harbour.quotas import ALONE_SHARE, WINDOWS, ceiling
+from wickspring.common.quota_rule import ISOLATED_SHARE, WINDOWS_PER_SPAN, quota_ceiling
+from wickspring.common.routing_table import Tenant
 
 PART_LEAST = 0.25  # of an even part, for a pilot that does not know its own
 PART_MEMORY = 12.0  # answers in the mean of the part
@@ -41,13 +41,13 @@
 
     def __init__(self, span_s: float, excess: float, slack: float) -> None:
         self.span_s, self.excess, self.slack = span_s, excess, slack
-        self.window_ms = 1000.0 * span_s / WINDOWS
+        self.window_ms = 1000.0 * span_s / WINDOWS_PER_SPAN
         self.accounts: dict[str, Account] = {}
 
     def _account(self, now: float, tenant: str) -> tuple[int, Account]:
         window = int(now / self.window_ms)
         account = self.accounts.setdefault(tenant, Account())
-        while account.windows and account.windows[0][0] < window - WINDOWS:
+        while account.windows and account.windows[0][0] < window - WINDOWS_PER_SPAN:
             account.own -= account.windows.popleft()[1]
         return window, account
 
@@ -84,13 +84,13 @@
     def alone(self, now: float, tenant: Tenant, pilots: int) -> Ruling:
         """Rule on a request whose add nobody has answered; its unit is noted already."""
         _, account = self._account(now, tenant.name)
-        whole = ceiling(tenant.rate, tenant.burst, self.span_s, self.excess, self.slack)
+        whole = quota_ceiling(tenant.rate, tenant.burst, self.span_s, self.excess, self.slack)
         part = account.part if account.part >= 0 else PART_LEAST / max(1, pilots)
-        if account.own <= ALONE_SHARE * part * whole:
+        if account.own <= ISOLATED_SHARE * part * whole:
             return Ruling(True)
         self.taken_back(now, tenant.name)
         oldest = account.windows[0][0] if account.windows else int(now / self.window_ms)
-        return Ruling(False, max(self.window_ms, (oldest + WINDOWS + 1) * self.window_ms - now))
+        return Ruling(False, max(self.window_ms, (oldest + WINDOWS_PER_SPAN + 1) * self.window_ms - now))
 
     def past(self, now: float) -> list[tuple[str, list[tuple[int, int]]]]:
         """Return all that was sent on within the span, windows ago and units, for a keeper."""
--- a/wickspring/pilot/policy/tries.py
+++ b/wickspring/pilot/policy/tries.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from wickspring.common.errors import ErrorKind
+from wickspring.common.routing_table import Route
 from wickspring.core.invariants import holds
-from wickspring.harbour.chart import Route
-from wickspring.harbour.kinds import Kind
 
 END_MS = 12.0  # before a deadline at which the final answer is given
 WORTH_MS = 25.0  # of its time that must be left for a further try to make sense
@@ -78,8 +78,8 @@
         return self.begun + max(HEDGE_TIMES * usual, HEDGE_AIM * 1000.0 * self.route.target_s)
 
     @property
-    def verdict(self) -> Kind:
+    def verdict(self) -> ErrorKind:
         """Return what a request without a good answer ends with."""
         if self.never and self.out == 0:
-            return Kind.NO_SERVER
-        return Kind.TIMED_OUT if self.timed_out else Kind.MAY_HAVE_RUN
+            return ErrorKind.NO_SERVER
+        return ErrorKind.TIMED_OUT if self.timed_out else ErrorKind.MAY_HAVE_RUN
--- a/wickspring/pilot/request.py
+++ b/wickspring/pilot/request.py
@@ -14,10 +14,10 @@
 
 import trio
 
+from wickspring.common.errors import ERROR_RESPONSES, ErrorKind
+from wickspring.common.routing_table import Route, Tenant
+from wickspring.common.settings import NodeSettings, parse_address
 from wickspring.core.invariants import holds
-from wickspring.harbour.boot import Boot, parse_address
-from wickspring.harbour.chart import Route, Tenant
-from wickspring.harbour.kinds import ANSWERS, Kind
 from wickspring.interface import Status
 from wickspring.net.calls import Client, retry_after
 from wickspring.net.feed import Feed
@@ -100,7 +100,7 @@
     """The requests of one pilot, and what is decided on each."""
 
     parts_run = True
-    boot: Boot
+    boot: NodeSettings
     random: Random
     choice: Choice
     quota: Quota
@@ -146,20 +146,20 @@
         host = headers.get("host", "")
         route = chart.route(host, target)
         if route is None:
-            self._refuse(client, Kind.NO_ROUTE)
+            self._refuse(client, ErrorKind.NO_ROUTE)
             return
         tenant = chart.keys.get(headers.get("x-key", ""))
         if tenant is None and chart.guarded and not route.public:
-            self._refuse(client, Kind.NO_KEY)
+            self._refuse(client, ErrorKind.NO_KEY)
             return
         id_, left = headers.get(ID, ""), headers.get("x-deadline-ms", "")
         pairs = client.pairs() if isinstance(client, Http1Connection) else list(headers.items())
         ids = sum(name == ID for name, _ in pairs)
         if not id_ or ids > 1 or (left and not left.isdecimal()):
-            self._refuse(client, Kind.BAD_REQUEST)
+            self._refuse(client, ErrorKind.BAD_REQUEST)
             return
         if not route.pure and id_ in self.ids:
-            self._refuse(client, Kind.AT_WORK)
+            self._refuse(client, ErrorKind.AT_WORK)
             return
         wait = min(float(left or "inf"), MOST_LEFT_MS, 1000.0 * route.timeout_s)
         service = self._service(route)
@@ -195,7 +195,7 @@
     ) -> None:  # fmt: skip
         """Keep a request for a moment after the start, until it is known where requests go."""
         if self.clock.now() - self.begun_at > START_MS or feed is not None:
-            self._refuse(client, Kind.NOT_READY, self.random.uniform(*BACK_MS))
+            self._refuse(client, ErrorKind.NOT_READY, self.random.uniform(*BACK_MS))
             return
         self._last += 1
         number = self._last
@@ -212,7 +212,7 @@
         if known:
             self.ask(*waiting)
         else:
-            self._refuse(waiting[0], Kind.NOT_READY, self.random.uniform(*BACK_MS))
+            self._refuse(waiting[0], ErrorKind.NOT_READY, self.random.uniform(*BACK_MS))
 
     def _informed(self) -> None:
         """Take up what waited for the first news."""
@@ -260,7 +260,7 @@
                 request.ruled = True
                 self._go(request)
             else:
-                self._end(request, Kind.OVER_QUOTA, ruling.wait * self.random.uniform(1.0, 1.2))
+                self._end(request, ErrorKind.OVER_QUOTA, ruling.wait * self.random.uniform(1.0, 1.2))
 
         timer = self.timers.at(now + ADD_MS, alone)
         number = self.moorings.add(tenant.name, request.again, answered)
@@ -430,7 +430,7 @@
     def _land(self, request: Request, landing: Landing) -> None:
         """Give the client the server's answer as it came, unless it would be read as `it has not run`."""
         if landing.code in PROMISES:
-            self._end(request, Kind.MAY_HAVE_RUN)
+            self._end(request, ErrorKind.MAY_HAVE_RUN)
             return
         client = self._place(request)
         self._finish(request)
@@ -450,7 +450,7 @@
         kind = request.tries.verdict
         tenant, now = request.tenant, self.clock.now()
         counted = tenant is not None and tenant.rate > 0 and not request.tries.route.public
-        unused = kind is Kind.NO_SERVER and counted
+        unused = kind is ErrorKind.NO_SERVER and counted
         if unused and tenant is not None and self.quota.taken_back(now, tenant.name):
             self.moorings.give_back(tenant.name)
         self._end(request, kind, self.random.uniform(*BACK_MS))
@@ -462,11 +462,11 @@
             tries.timed_out = True
             self._end(request, tries.verdict, self.random.uniform(*BACK_MS))
 
-    def _end(self, request: Request, kind: Kind, wait: float = 0.0) -> None:
+    def _end(self, request: Request, kind: ErrorKind, wait: float = 0.0) -> None:
         tries = request.tries
         never = tries.never and tries.out == 0
-        if not holds(never or ANSWERS[kind].status not in PROMISES, "what may have run is not refused"):
-            kind = Kind.MAY_HAVE_RUN
+        if not holds(never or ERROR_RESPONSES[kind].status not in PROMISES, "what may have run is not refused"):
+            kind = ErrorKind.MAY_HAVE_RUN
         client = self._place(request)
         self._finish(request)
         if client is not None:
@@ -482,9 +482,9 @@
         if request.feed is not None:
             request.feed.close()
 
-    def _refuse(self, client: Client, kind: Kind, wait: float = 0.0) -> None:
+    def _refuse(self, client: Client, kind: ErrorKind, wait: float = 0.0) -> None:
         self.tally[f"refused[{kind.value}]"] += 1
-        answer = ANSWERS[kind]
+        answer = ERROR_RESPONSES[kind]
         client.answer(answer.status, retry_after(wait) if answer.comes_back else "", b"")
 
     def leave(self, number: int) -> None:
