--- a/tests/control_side.py
+++ b/tests/control_side.py
@@ -13,15 +13,16 @@
 import trio.testing
 
 from tests.test_gateway_parts import SETTINGS, document
+from wickspring.common import connection as connection_module
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import PeerConnection
 from wickspring.common.endpoints import Endpoint
+from wickspring.controlplane import process as light_module
+from wickspring.controlplane.api.calls import ApiRequest, ApiResponse
+from wickspring.controlplane.api.resources import ConfigRead, ConfigReplace, Deregister, Heartbeat
+from wickspring.controlplane.process import ControlPlane
+from wickspring.controlplane.replication.replica import Replica
 from wickspring.lab.clock import VirtualClock
-from wickspring.lighthouse import light as light_module
-from wickspring.lighthouse.calls import Call, Said
-from wickspring.lighthouse.light import Light
-from wickspring.lighthouse.replica import Replica
-from wickspring.lighthouse.resources import ConfigRead, ConfigReplace, Deregister, Heartbeat
 from wickspring.net import host
 from wickspring.pilot import flotilla, pilot
 from wickspring.pilot.pilot import Pilot
@@ -112,7 +113,7 @@
     def __init__(self, nursery: trio.Nursery, random: Random) -> None:
         self.nursery, self.random = nursery, random
         self.books = {ip: Book() for ip in LIGHTS}
-        self.lights: dict[str, Light] = {}
+        self.lights: dict[str, ControlPlane] = {}
         self.pilots: dict[str, Pilot] = {}
         self.taken: dict[str, list[int]] = {}  # numbers that each pilot has gone by
         self.scopes: dict[str, trio.CancelScope] = {}
@@ -154,7 +155,7 @@
 
     # Machines.
 
-    async def start_light(self, ip: str, first: bool = False) -> Light:
+    async def start_light(self, ip: str, first: bool = False) -> ControlPlane:
         settings = SETTINGS.replace("ip=10.1.0.30", f"ip={ip}").replace("edge-a-1", ip)
         settings = settings.replace("bind.front_http=10.1.0.30:8782", f"bind.control_addr={ip}:8783")
         settings = settings.replace("bind.ready_addr=10.1.0.30:8789\n", "")
@@ -186,7 +187,7 @@
         await made.wait()
 
     def _light(self, told: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
-        light = self.lights[told.ip] = Light(told, nursery, self.random.getrandbits(32))
+        light = self.lights[told.ip] = ControlPlane(told, nursery, self.random.getrandbits(32))
         for task in (light.core.run, light.core.tick, light.upkeep):
             nursery.start_soon(task)
 
@@ -219,7 +220,7 @@
         """Wait until all lighthouses are in contact, and have been for long enough."""
         await self.until(lambda: all(one.look().name == "SETTLED" for one in self.lights.values()))
 
-    async def until_safe(self, ip: str, version: int) -> Said:
+    async def until_safe(self, ip: str, version: int) -> ApiResponse:
         """Send a configuration again until it is acknowledged, as an operator does."""
         for _ in range(20):
             said = await replace(self.lights[ip], version)
@@ -246,24 +247,24 @@
     return json.dumps(document(generation=f"r{version}", note=mark)).encode()
 
 
-async def replace(light: Light, version: int, mark: str = "") -> Said:
-    return await ConfigReplace(light).call(Call("POST", "", text(version, mark)))
+async def replace(light: ControlPlane, version: int, mark: str = "") -> ApiResponse:
+    return await ConfigReplace(light).call(ApiRequest("POST", "", text(version, mark)))
 
 
-async def read(light: Light) -> Said:
-    return await ConfigRead(light).call(Call("GET", "", b""))
+async def read(light: ControlPlane) -> ApiResponse:
+    return await ConfigRead(light).call(ApiRequest("GET", "", b""))
 
 
-async def beat(light: Light, id_: str, seq: int, state: str = "ready", zone: str = "a") -> Said:
+async def beat(light: ControlPlane, id_: str, seq: int, state: str = "ready", zone: str = "a") -> ApiResponse:
     told = {
         "address": "10.1.2.9:8080", "build_info": {"service": "s", "zone": zone, "capacity": 2},
         "condition": {"state": state, "call_seq": seq},
     }  # fmt: skip
-    return await Heartbeat(light).call(Call("POST", "", json.dumps(told).encode(), {"id": id_}))
+    return await Heartbeat(light).call(ApiRequest("POST", "", json.dumps(told).encode(), {"id": id_}))
 
 
-async def deregister(light: Light, id_: str) -> Said:
-    return await Deregister(light).call(Call("POST", "", b"", {"id": id_}))
+async def deregister(light: ControlPlane, id_: str) -> ApiResponse:
+    return await Deregister(light).call(ApiRequest("POST", "", b"", {"id": id_}))
 
 
 def server(id_: str, seq: int = 1) -> Endpoint:
--- a/tests/logbooks.py
+++ b/tests/logbooks.py
@@ -11,8 +11,8 @@
 
 import msgpack
 
-from wickspring.lighthouse.logbook import FILE, Logbook, _sum
-from wickspring.lighthouse.replica import Order, Replica
+from wickspring.controlplane.replication.replica import Replica, Update
+from wickspring.controlplane.storage import FILE, ReplicaStore, _sum
 
 Files = dict[str, bytes]  # by name
 
@@ -28,7 +28,7 @@
     """Return a copy to which numbers from 1 on were given."""
     one = Replica()
     for number in range(1, numbers + 1):
-        one.take(Order(number, b"%d %s" % (number, document)), 3)
+        one.take(Update(number, b"%d %s" % (number, document)), 3)
     one.leave(leaving or {})
     return one
 
@@ -56,10 +56,10 @@
         db.execute(f"pragma user_version={schema}")
 
 
-def reopened(book: Logbook) -> Logbook:
+def reopened(book: ReplicaStore) -> ReplicaStore:
     """Return the same file, as the next process finds it."""
     book.close()
-    return Logbook(str(book.path.parent))
+    return ReplicaStore(str(book.path.parent))
 
 
 def files(folder: Path) -> Files:
@@ -72,7 +72,7 @@
     folder.mkdir()
     for name, data in left.items():
         (folder / name).write_bytes(data)
-    book = Logbook(str(folder))
+    book = ReplicaStore(str(folder))
     found = book.load()
     book.close()
     for path in folder.iterdir():
--- a/tests/test_berths.py
+++ b/tests/test_berths.py
@@ -13,9 +13,9 @@
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import PeerConnection
 from wickspring.common.endpoints import DRAINING, Endpoint
-from wickspring.lighthouse.berths import OFFERS, Berths
-from wickspring.lighthouse.light import Light
-from wickspring.lighthouse.views import View
+from wickspring.controlplane.load_tracker import OFFERS, LoadTracker
+from wickspring.controlplane.process import ControlPlane
+from wickspring.controlplane.replication.view import View
 from wickspring.pilot.policy.choice import Choice
 
 
@@ -26,7 +26,7 @@
 def waits(told: bool, seed: int) -> float:
     """Play 8 pilots on 12 servers of two slots, two thirds busy; the mean time that requests wait, ms."""
     random, lot = Random(seed), servers(12)
-    berths, pilots = Berths(seed), [Choice("a", seed + n) for n in range(8)]
+    berths, pilots = LoadTracker(seed), [Choice("a", seed + n) for n in range(8)]
     for pilot in pilots:
         for one in lot:
             pilot.heard(0.0, one)
@@ -61,7 +61,7 @@
 
 
 def test_what_is_slow_silent_failing_or_leaving_is_not_offered_first() -> None:
-    berths, lot = Berths(1), servers(6)
+    berths, lot = LoadTracker(1), servers(6)
     del lot[0]
     for _ in range(6):
         berths.sent("p", "i1")  # and never answers
@@ -116,7 +116,7 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            light = Light(settings_module.parse_settings(settings), nursery, 1)
+            light = ControlPlane(settings_module.parse_settings(settings), nursery, 1)
             for one in servers(2):
                 light.register.beat(light.clock.now(), one)
             heard = Heard()
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -16,11 +16,11 @@
 import pytest
 
 from tests.logbooks import Files, after_power, files
-from wickspring.lighthouse import logbook
-from wickspring.lighthouse.chain import Chain
-from wickspring.lighthouse.logbook import FILE, Logbook
-from wickspring.lighthouse.replica import Order, Verdict
-from wickspring.lighthouse.views import Reach, View
+from wickspring.controlplane import storage
+from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.replica import CommitOutcome, Update
+from wickspring.controlplane.replication.view import PeerObservation, View
+from wickspring.controlplane.storage import FILE, ReplicaStore
 
 IPS = ("m0", "m1", "m2")
 FIRST = tuple((ip, "first") for ip in IPS)
@@ -37,19 +37,19 @@
 
     def __init__(self, ip: str, folder: Path, random: Random) -> None:
         self.ip, self.folder, self.random = ip, folder, random
-        self.chain: Chain | None = None
+        self.chain: ReplicationChain | None = None
         self.fails = 0  # saves, from now on, in which power is lost
         self.told = 0  # bytes that others have said to it
 
     def start(self, now: float, first: bool = False) -> None:
-        self.book = Logbook(str(self.folder))
+        self.book = ReplicaStore(str(self.folder))
         found = self.book.load()
         assert first == (found is None) and not self.book.set_aside
         seed = self.random.getrandbits(32)
         if found is None:
-            self.chain = Chain(self.ip, "first", View(1, FIRST, FIRST), seed)
+            self.chain = ReplicationChain(self.ip, "first", View(1, FIRST, FIRST), seed)
         else:
-            self.chain = Chain(self.ip, str(found[0]["disk"]), View(), seed, found[1])
+            self.chain = ReplicationChain(self.ip, str(found[0]["disk"]), View(), seed, found[1])
             self.chain.restore(found[0])
         self.chain.dirty = True
         self.chain.begin(now)
@@ -89,7 +89,7 @@
         self.random, self.now, self.next_tick = Random(seed), 0.0, 0.0
         self.machines = {ip: Machine(ip, folder / ip, self.random) for ip in IPS}
         self.way: deque[tuple[str, str, list[Any]]] = deque()
-        self.verdicts: dict[int, Verdict] = {}
+        self.verdicts: dict[int, CommitOutcome] = {}
         self.lost = self.acked = self.ticket = 0
         for machine in self.machines.values():
             machine.start(0.0, first=True)
@@ -113,14 +113,14 @@
         self.way += [(machine.ip, to, message) for to, message in out]
         self.verdicts |= dict(done)
 
-    def reaches(self, own: str) -> dict[str, Reach]:
+    def reaches(self, own: str) -> dict[str, PeerObservation]:
         found = {}
         sees = frozenset(ip for ip, one in self.machines.items() if one.chain is not None)
         for ip, machine in self.machines.items():
             chain = machine.chain
             if ip != own and chain is not None:
                 safe = chain.safe
-                found[ip] = Reach(
+                found[ip] = PeerObservation(
                     True, chain.me[1], False, "", chain.view.epoch, safe.config.epoch, safe.config.version,
                     len(safe.leaving), safe.leaving_sum, chain.replica.config.identity, sees - {ip},
                 )  # fmt: skip
@@ -148,7 +148,7 @@
         while self.now < end:
             self.step()
 
-    def order(self, order: Order) -> None:
+    def order(self, order: Update) -> None:
         """Have it acknowledged, by whichever machine is head."""
         for _ in range(2000):
             for machine in self.machines.values():
@@ -163,13 +163,13 @@
                     if ticket in self.verdicts:
                         break
                     self.step()
-                if self.verdicts.get(ticket) is Verdict.SAFE:
+                if self.verdicts.get(ticket) is CommitOutcome.SAFE:
                     self.check(order)
                     return
             self.step()
         raise AssertionError("the core never acknowledged it")
 
-    def check(self, order: Order) -> None:
+    def check(self, order: Update) -> None:
         """What is acknowledged is on the disks of all of a chain; nothing acknowledged is taken back."""
         self.acked = max(self.acked, order.version)
         newest = max((one.chain.view for one in self.machines.values() if one.chain), key=lambda v: v.epoch)
@@ -180,14 +180,14 @@
     def changes(self, numbers: range) -> None:
         for number in numbers:
             text = b"%d %s" % (number, TEXT)
-            self.order(Order(number, text, {f"s{number}": 1, f"s{number - 5}": 2}))
+            self.order(Update(number, text, {f"s{number}": 1, f"s{number - 5}": 2}))
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_member_away_through_hundreds_of_changes_catches_up_whole(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    monkeypatch.setattr(logbook, "CHECKPOINT_PAGES", 60)
+    monkeypatch.setattr(storage, "CHECKPOINT_PAGES", 60)
     core = Core(tmp_path, seed)
     core.changes(range(1, 11))
     away = core.machines[core.random.choice(IPS)]
@@ -214,7 +214,7 @@
         one.stop()
     for one in (away, others[0]):
         one.start(core.now)
-    core.order(Order())
+    core.order(Update())
     core.changes(range(346, 348))
     assert away.chain is not None and away.chain.replica.config.version == 347
 
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -4,15 +4,22 @@
 
 import pytest
 
+from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.lease import LEASE_MS, Lease, grants
+from wickspring.controlplane.replication.replica import Replica, Update
+from wickspring.controlplane.replication.view import (
+    ClusterObservation,
+    FaultTolerance,
+    PeerObservation,
+    View,
+    differs,
+    next_view,
+)
 from wickspring.lab.keel import ANSWER_MS, Core
 from wickspring.lab.keel_faults import Chaos, Episodes
 from wickspring.lab.keel_states import ONE_NUMBER, explore
-from wickspring.lighthouse.chain import Chain
-from wickspring.lighthouse.lease import LEASE_MS, Lease, grants
-from wickspring.lighthouse.replica import Order, Replica
-from wickspring.lighthouse.views import Reach, Scene, Tolerance, View, changes, next_view
 
-ONE, TWO, THREE, ZONE = Tolerance(1), Tolerance(2), Tolerance(3), Tolerance(1, 1)
+ONE, TWO, THREE, ZONE = FaultTolerance(1), FaultTolerance(2), FaultTolerance(3), FaultTolerance(1, 1)
 
 
 @pytest.mark.parametrize(
@@ -23,7 +30,7 @@
     ],
 )  # fmt: skip
 def test_nothing_acknowledged_is_lost(
-    machines: int, seeds: int, zones: int, tolerance: Tolerance, runs: int
+    machines: int, seeds: int, zones: int, tolerance: FaultTolerance, runs: int
 ) -> None:
     """Writers reuse numbers with other texts; the core answers once all is well, and copies become one."""
     acks = refusals = reads = usable = 0
@@ -46,7 +53,7 @@
     ],
 )  # fmt: skip
 def test_it_goes_on_while_all_that_is_tolerated_is_away(
-    machines: int, seeds: int, zones: int, tolerance: Tolerance, runs: int
+    machines: int, seeds: int, zones: int, tolerance: FaultTolerance, runs: int
 ) -> None:
     """Losses up to what is tolerated, one after another, each as soon as the one before is over."""
     wipes = replaced = left = 0
@@ -70,17 +77,17 @@
     """The head hears nothing of the view that the other two agree on, though they hear it."""
 
     class Other(Lease):
-        def usable(self, now: float, chain: Chain) -> bool:
+        def usable(self, now: float, chain: ReplicationChain) -> bool:
             return super().usable(now, chain) if wait else self.held(now, chain)
 
     Other.lasts_ms = lasts_ms
     members = tuple((ip, "first") for ip in "abc")
-    chains = {ip: Chain(ip, "first", View(1, members, members), at) for at, ip in enumerate("abc")}
+    chains = {ip: ReplicationChain(ip, "first", View(1, members, members), at) for at, ip in enumerate("abc")}
     leases = {ip: Other() for ip in "ab"}
     chains["b"].begin(0.0)
     for ip, one in leases.items():
         one.take_up(0.0, chains[ip].view)
-    reach = {"a": Reach(True, "first", hampered=True, epoch=1), "c": Reach(True, "first", epoch=1)}
+    reach = {"a": PeerObservation(True, "first", hampered=True, epoch=1), "c": PeerObservation(True, "first", epoch=1)}
     used, together = set(), 0
     for now in range(0, 4000, 5):
         if now % 200 == 0:
@@ -104,7 +111,7 @@
 
 
 def test_a_machine_that_is_in_no_view_keeps_nothing() -> None:
-    chain, lease = Chain("a", "new", View(), 1), Lease()
+    chain, lease = ReplicationChain("a", "new", View(), 1), Lease()
     lease.take_up(0.0, chain.view)
     assert not lease.usable(5000.0, chain)
 
@@ -128,14 +135,14 @@
     members = tuple((ip, "first") for ip in ("m0", "m1", "m2", "m5"))
     zones = {"m1": "z1", "m2": "z2", "m3": "z0", "m4": "z1", "m5": "z2"}
     for there in (("m1", "m2", "m5"), tuple(zones)):
-        reach = {ip: Reach(True, "first", zone=zones[ip]) for ip in there}
-        scene = Scene(("m0", "first"), "z0", False, reach)
+        reach = {ip: PeerObservation(True, "first", zone=zones[ip]) for ip in there}
+        scene = ClusterObservation(("m0", "first"), "z0", False, reach)
         view = View(2, members, members)
         following = next_view(view, scene, ZONE)
         assert len(following.voters) == (3 if len(there) == 3 else 5)
         most = max(sum(scene.zone_of(one) == zone for one in following.voters) for zone in ("z0", "z1", "z2"))
         assert most <= (len(following.voters) - 1) // 2
-        assert not changes(following, next_view(following, scene, ZONE))
+        assert not differs(following, next_view(following, scene, ZONE))
 
 
 def test_one_text_under_two_numbers_keeps_the_history_whole() -> None:
@@ -158,7 +165,7 @@
 def test_no_order_of_events_breaks_a_small_core(loses: str, one_number: int, two_numbers: int) -> None:
     """Two writers give one number two texts; or two numbers. Every state is visited: the counts say so."""
     assert explore(ONE_NUMBER, loses) == one_number
-    assert explore((Order(1, b"1"), Order(2, b"2")), loses) == two_numbers
+    assert explore((Update(1, b"1"), Update(2, b"2")), loses) == two_numbers
 
 
 @pytest.mark.parametrize("returns", ["empty", "its disk"])
--- a/tests/test_chain_defects.py
+++ b/tests/test_chain_defects.py
@@ -7,55 +7,55 @@
 
 import pytest
 
+from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.lease import Lease
+from wickspring.controlplane.replication.paxos import Ballot, PaxosVoter, Proposal, Value
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
+from wickspring.controlplane.replication.view import FaultTolerance, Member, PeerObservation, View
 from wickspring.lab.keel import BrokenError
 from wickspring.lab.keel_faults import Chaos, Episodes
 from wickspring.lab.keel_states import ONE_NUMBER, explore
-from wickspring.lighthouse.chain import Chain
-from wickspring.lighthouse.decree import Ballot, Decree, Proposal, Value
-from wickspring.lighthouse.lease import Lease
-from wickspring.lighthouse.replica import Order, Replica, Verdict
-from wickspring.lighthouse.views import Member, Reach, Tolerance, View
 
 
-class Careless(Chain):
+class Careless(ReplicationChain):
     """A head that acknowledges an order whatever text its number has."""
 
     def _up(self, seq: int, told: Replica) -> None:
         super()._up(seq, told)
-        self.done = [(ticket, Verdict.SAFE) for ticket, _ in self.done]
+        self.done = [(ticket, CommitOutcome.SAFE) for ticket, _ in self.done]
 
 
-class Hasty(Chain):
+class Hasty(ReplicationChain):
     """A head that acknowledges before the tail has answered."""
 
-    def enter(self, now: float, ticket: int, order: Order) -> None:
+    def enter(self, now: float, ticket: int, order: Update) -> None:
         super().enter(now, ticket, order)
         if self._waiting.pop(ticket, None) is not None:
-            self.done.append((ticket, Verdict.SAFE))
+            self.done.append((ticket, CommitOutcome.SAFE))
 
 
-class Stern(Chain):
+class Stern(ReplicationChain):
     """A head that refuses for good what another text of its number has gone before, safe or not."""
 
-    def enter(self, now: float, ticket: int, order: Order) -> None:
+    def enter(self, now: float, ticket: int, order: Update) -> None:
         super().enter(now, ticket, order)
         waiting = self._waiting.get(ticket)
-        if waiting and self.replica.config.judge(order.version, waiting.digest) == Verdict.CONFLICT:
+        if waiting and self.replica.config.judge(order.version, waiting.digest) == CommitOutcome.CONFLICT:
             del self._waiting[ticket]
-            self.done.append((ticket, Verdict.CONFLICT))
+            self.done.append((ticket, CommitOutcome.CONFLICT))
 
 
-class Sure(Chain):
+class Sure(ReplicationChain):
     """A head that confirms by itself, without contact, what its own copy holds."""
 
-    def enter(self, now: float, ticket: int, order: Order) -> None:
+    def enter(self, now: float, ticket: int, order: Update) -> None:
         if order.version or order.leaving or not self.member or self.head != self.ip:
             super().enter(now, ticket, order)
         else:
-            self.done.append((ticket, Verdict.SAFE))
+            self.done.append((ticket, CommitOutcome.SAFE))
 
 
-class Early(Chain):
+class Early(ReplicationChain):
     """A machine that calls safe, as it starts, what its disk holds."""
 
     def begin(self, now: float) -> None:
@@ -64,7 +64,7 @@
             self._is_safe(self.replica)
 
 
-class Forgetful(Chain):
+class Forgetful(ReplicationChain):
     """A machine that leaves as soon as it is told to."""
 
     @property
@@ -72,7 +72,7 @@
         return self.leaving
 
 
-class Voteless(Chain):
+class Voteless(ReplicationChain):
     """A machine that leaves once no chain has it, though it still has a vote."""
 
     @property
@@ -80,7 +80,7 @@
         return not self.member
 
 
-class Hollow(Chain):
+class Hollow(ReplicationChain):
     """Text left out for who holds a text of that number; and who lacks it says that it is saved."""
 
     def _down(self, seq: int, told: Replica) -> None:
@@ -97,7 +97,7 @@
         super()._take_pass(now, sender, view, seq, told)
 
 
-class Bare(Chain):
+class Bare(ReplicationChain):
     """A machine that takes up a view without the state with which it begins."""
 
     def _install(self, now: float, view: View, state: Replica | None) -> None:
@@ -105,7 +105,7 @@
         super()._install(now, view, None)
 
 
-class Numbered(Chain):
+class Numbered(ReplicationChain):
     """A machine that keeps a text which an ended epoch left unconfirmed, where its number is no lower."""
 
     def _install(self, now: float, view: View, state: Replica | None) -> None:
@@ -115,7 +115,7 @@
         super()._install(now, view, state)
 
 
-class Alone(Chain):
+class Alone(ReplicationChain):
     """A voter that takes a view for agreed by itself."""
 
     def _take_promise(  # type: ignore[no-untyped-def]
@@ -158,27 +158,27 @@
     lasts_ms = 3000.0
 
 
-def chaos(seed: int, chain: type[Chain]) -> None:
+def chaos(seed: int, chain: type[ReplicationChain]) -> None:
     Chaos(seed, 3, chain=chain).play(25_000.0)
 
 
-def wiped(seed: int, chain: type[Chain]) -> None:
+def wiped(seed: int, chain: type[ReplicationChain]) -> None:
     Amnesiac(seed, 3, chain=chain).play(25_000.0, 9000.0)
 
 
-def leaving(seed: int, chain: type[Chain]) -> None:
+def leaving(seed: int, chain: type[ReplicationChain]) -> None:
     Leaving(seed, 3, chain=chain).play(8)
 
 
-def leaving_of_five(seed: int, chain: type[Chain]) -> None:
-    Leaving(seed, 5, 5, chain=chain, tolerance=Tolerance(2)).play(8)
+def leaving_of_five(seed: int, chain: type[ReplicationChain]) -> None:
+    Leaving(seed, 5, 5, chain=chain, tolerance=FaultTolerance(2)).play(8)
 
 
-def kept(seed: int, chain: type[Chain]) -> None:
+def kept(seed: int, chain: type[ReplicationChain]) -> None:
     Cut(seed, 4, chain=chain, lease=Kept).play(25_000.0)
 
 
-DEFECTS: list[tuple[Callable[[int, type[Chain]], None], type[Chain], int, str]] = [
+DEFECTS: list[tuple[Callable[[int, type[ReplicationChain]], None], type[ReplicationChain], int, str]] = [
     (chaos, Careless, 0, "has another text of it"),  # acknowledged with another text
     (chaos, Hasty, 0, "acknowledged, m1 has"),
     (chaos, Stern, 0, "no other text of it is safe"),  # refused, though no other text is safe
@@ -192,17 +192,17 @@
     (chaos, Alone, 0, "two views|differ|no read"),  # a view agreed by one
     (
         wiped,
-        Chain,
+        ReplicationChain,
         58,
         "holds the state of its view|two |acknowledged|differ|no read",
     ),  # a wiped disk's name used again
-    (kept, Chain, 5, "usable at once"),  # a lease kept too long
+    (kept, ReplicationChain, 5, "usable at once"),  # a lease kept too long
 ]
 
 
 @pytest.mark.parametrize(("play", "chain", "seed", "what"), DEFECTS)
 def test_seeded_defects_are_caught(
-    play: Callable[[int, type[Chain]], None], chain: type[Chain], seed: int, what: str
+    play: Callable[[int, type[ReplicationChain]], None], chain: type[ReplicationChain], seed: int, what: str
 ) -> None:
     """The listed seed is tried first; a change of the chain draws other runs, and then another may be it."""
     with pytest.raises(AssertionError, match=what) as caught:
@@ -212,34 +212,34 @@
 
 
 @pytest.mark.parametrize("chain", [Careless, Hasty, Stern, Alone])
-def test_exploring_finds_them_too(chain: type[Chain]) -> None:
+def test_exploring_finds_them_too(chain: type[ReplicationChain]) -> None:
     with pytest.raises(BrokenError):
         for loses in "abc":
             explore(ONE_NUMBER, loses, chain=chain)
 
 
-class Loose(Decree):
+class Loose(PaxosVoter):
     """Promises of a majority are enough, though no machine of the chain is among them."""
 
     @staticmethod
     def promised_by(
         one: Proposal, view: View, member: Member, told: Replica, accepted: tuple[Ballot, Value] | None
     ) -> bool:
-        return Decree.promised_by(one, view, member, told, accepted) or view.decides(one.promises)
+        return PaxosVoter.promised_by(one, view, member, told, accepted) or view.decides(one.promises)
 
 
-@pytest.mark.parametrize(("decree", "agreed"), [(Decree, False), (Loose, True)])
+@pytest.mark.parametrize(("decree", "agreed"), [(PaxosVoter, False), (Loose, True)])
 def test_a_view_needs_the_promise_of_one_who_has_what_was_acknowledged(
-    decree: type[Decree], agreed: bool
+    decree: type[PaxosVoter], agreed: bool
 ) -> None:
     """Of three voters the head alone is the chain, and is away: the others may not go on without it."""
     members = tuple((ip, "first") for ip in "abc")
     view = View(1, members, members[:1])
-    chains = {ip: Chain(ip, "first", view, 1) for ip in "bc"}
+    chains = {ip: ReplicationChain(ip, "first", view, 1) for ip in "bc"}
     for ip, one in chains.items():
         one.decree = decree()
         one.begin(0.0)
-        one.reach = {other: Reach(other != "a", "first", epoch=1) for other in "abc" if other != ip}
+        one.reach = {other: PeerObservation(other != "a", "first", epoch=1) for other in "abc" if other != ip}
     for now in range(2000, 12_000, 200):
         for one in chains.values():
             one.tick(now, one.reach)
--- a/tests/test_chain_history.py
+++ b/tests/test_chain_history.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from wickspring.controlplane.replication.replica import CommitOutcome, Update
+from wickspring.controlplane.replication.view import FaultTolerance
 from wickspring.lab.keel import Core
-from wickspring.lighthouse.replica import Order, Verdict
-from wickspring.lighthouse.views import Tolerance
 
 CHANGES = 500
 TEXT = 2000  # bytes
@@ -24,10 +24,10 @@
         """Send the next change; again if it is not acknowledged in time."""
         if self.changed >= ends:
             return
-        order = Order(self.changed + 1, b"%d" % (self.changed + 1) + b"." * TEXT)
+        order = Update(self.changed + 1, b"%d" % (self.changed + 1) + b"." * TEXT)
 
-        def heard(verdict: Verdict) -> None:
-            if verdict == Verdict.SAFE:
+        def heard(verdict: CommitOutcome) -> None:
+            if verdict == CommitOutcome.SAFE:
                 self.changed = max(self.changed, order.version)
 
         self.send_order(self.random.choice(sorted(self.machines)), order, heard)
@@ -51,10 +51,10 @@
 @pytest.mark.parametrize("how", ["its disk", "empty", "twice ended"])
 @pytest.mark.parametrize(
     ("machines", "tolerance", "away"),  # the head, one in the middle, the tail; one of five
-    [(3, Tolerance(1), 0), (3, Tolerance(1), 1), (3, Tolerance(1), 2), (5, Tolerance(2), 1)],
+    [(3, FaultTolerance(1), 0), (3, FaultTolerance(1), 1), (3, FaultTolerance(1), 2), (5, FaultTolerance(2), 1)],
 )
 def test_a_machine_away_through_hundreds_of_changes(
-    machines: int, tolerance: Tolerance, away: int, how: str
+    machines: int, tolerance: FaultTolerance, away: int, how: str
 ) -> None:
     core = Busy(500 + away, machines, machines, tolerance=tolerance)
     core.run(2500.0)
@@ -100,12 +100,12 @@
     others = {(one.ip, ip) for ip in core.machines if ip != one.ip}
     core.cut = others | {(ip, there) for there, ip in others}
     core.start(one)
-    answers: list[Verdict] = []
-    for order in (Order(), Order(10, b"other"), Order(61, b"new")) * 5:
+    answers: list[CommitOutcome] = []
+    for order in (Update(), Update(10, b"other"), Update(61, b"new")) * 5:
         core.send_order(one.ip, order, answers.append)
         core.run(core.now + 1000.0)
         assert one.chain is not None and one.chain.safe.config.version == 0
-    assert set(answers) <= {Verdict.NOT_YET}
+    assert set(answers) <= {CommitOutcome.NOT_YET}
     core.cut.clear()
     assert until(core, "it does not catch up", CATCH_UP_MS, one.ip) <= CATCH_UP_MS
     core.ends_well()
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -32,14 +32,14 @@
 from wickspring.common.connection import PeerConnection
 from wickspring.common.endpoints import GONE, READY
 from wickspring.common.errors import GatewayError
-from wickspring.lighthouse import snapshot
-from wickspring.lighthouse.calls import Call, Said
-from wickspring.lighthouse.contact import ALONE_MS, GAP_MS, ContactLog
-from wickspring.lighthouse.core import Core, Entered
-from wickspring.lighthouse.light import LEAVE_SHARE, Light, step_down
-from wickspring.lighthouse.register import Register
-from wickspring.lighthouse.replica import Order, Replica, Verdict, digest_of
-from wickspring.lighthouse.resources import BringSnapshot, ConfigReplace, TakeSnapshot
+from wickspring.controlplane.api.calls import ApiRequest, ApiResponse
+from wickspring.controlplane.api.resources import BringSnapshot, ConfigReplace, TakeSnapshot
+from wickspring.controlplane.endpoint_registry import EndpointRegistry
+from wickspring.controlplane.process import LEAVE_SHARE, ControlPlane, drain
+from wickspring.controlplane.quorum_contact import ALONE_MS, GAP_MS, QuorumContactMonitor
+from wickspring.controlplane.replication import snapshot
+from wickspring.controlplane.replication.node import ReplicationNode, UpdateResult
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
 from wickspring.pilot.policy import adoption
 from wickspring.pilot.policy.adoption import Adoption, Advice, Copy
 from wickspring.pilot.policy.choice import Choice
@@ -50,11 +50,11 @@
 
 def snapshot_of(version: int) -> bytes:
     replica = Replica()
-    replica.take(Order(version, text(version)), 1)
+    replica.take(Update(version, text(version)), 1)
     return snapshot.pack(replica, 1)
 
 
-async def all_calls(light: Light, version: int) -> dict[str, Said]:
+async def all_calls(light: ControlPlane, version: int) -> dict[str, ApiResponse]:
     """Send one of each call that a lighthouse without contact must not answer for good."""
     return {
         "new": await replace(light, version),
@@ -65,8 +65,8 @@
         "draining": await beat(light, "i1", 50, "draining"),
         "ready": await beat(light, "i2", 50),
         "ended": await deregister(light, "i3"),
-        "snapshot taken": await TakeSnapshot(light).call(Call("GET", "", b"")),
-        "snapshot brought": await BringSnapshot(light).call(Call("POST", "", snapshot_of(version))),
+        "snapshot taken": await TakeSnapshot(light).call(ApiRequest("GET", "", b"")),
+        "snapshot brought": await BringSnapshot(light).call(ApiRequest("POST", "", snapshot_of(version))),
     }
 
 
@@ -103,7 +103,7 @@
             for call, said in (await all_calls(light, version)).items():
                 assert said.status == 503 and said.retry_after, call
             assert trio.current_time() == asked  # at once
-            invalid = await ConfigReplace(light).call(Call("POST", "", b"{}"))
+            invalid = await ConfigReplace(light).call(ApiRequest("POST", "", b"{}"))
             assert invalid.status == 400  # a fact of the text
             assert (await replace(others[version % len(others)], version)).status == 200
             assert (await replace(others[0], version, "other")).status == 409
@@ -237,13 +237,13 @@
 
 
 def test_the_scenario_sees_what_is_handed_out_before_contact(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin = Light._begin
+    begin = ControlPlane._begin
 
-    def hasty(light: Light) -> None:
+    def hasty(light: ControlPlane) -> None:
         begin(light)
         light._safe(light.core.chain.replica)
 
-    monkeypatch.setattr(Light, "_begin", hasty)
+    monkeypatch.setattr(ControlPlane, "_begin", hasty)
     monkeypatch.setattr(adoption, "ALONE_MS", 0.0)  # and a pilot that takes what comes first
     assert plays_first_news(monkeypatch, True) == [1, 2]
 
@@ -274,13 +274,13 @@
         site.cut(victim)
         site.kill(victim)
         if defect:
-            begin = Light._begin
+            begin = ControlPlane._begin
 
-            def hasty(light: Light) -> None:
+            def hasty(light: ControlPlane) -> None:
                 begin(light)
                 light._safe(light.core.chain.replica)
 
-            monkeypatch.setattr(Light, "_begin", hasty)
+            monkeypatch.setattr(ControlPlane, "_begin", hasty)
         light, begun, heard = await site.start_light(victim), trio.current_time(), Heard()
         cable = cast(PeerConnection, heard)
         light._take(cable, ["hello", "pilot", PILOTS[0], {"version": 0, "digest": b""}])
@@ -295,7 +295,7 @@
     play(monkeypatch, restarted)
 
 
-def in_light(monkeypatch: pytest.MonkeyPatch, test: Callable[[Light], Any]) -> None:
+def in_light(monkeypatch: pytest.MonkeyPatch, test: Callable[[ControlPlane], Any]) -> None:
     """Play with one lighthouse whose core is told what to answer."""
 
     async def run(site: Site) -> None:
@@ -304,29 +304,29 @@
     play(monkeypatch, run)
 
 
-def core_says(monkeypatch: pytest.MonkeyPatch, verdict: Verdict, contact: list[bool]) -> None:
-    async def enter(core: Core, order: Order, read: bool = False) -> Entered:
-        return Entered(verdict, Replica() if read else None)
+def core_says(monkeypatch: pytest.MonkeyPatch, verdict: CommitOutcome, contact: list[bool]) -> None:
+    async def enter(core: ReplicationNode, order: Update, read: bool = False) -> UpdateResult:
+        return UpdateResult(verdict, Replica() if read else None)
 
-    monkeypatch.setattr(Core, "enter", enter)
-    monkeypatch.setattr(Core, "in_contact", property(lambda core: contact[0]))
+    monkeypatch.setattr(ReplicationNode, "enter", enter)
+    monkeypatch.setattr(ReplicationNode, "in_contact", property(lambda core: contact[0]))
 
 
-@pytest.mark.parametrize("verdict", [Verdict.SAFE, Verdict.CONFLICT])
+@pytest.mark.parametrize("verdict", [CommitOutcome.SAFE, CommitOutcome.CONFLICT])
 @pytest.mark.parametrize("defect", [False, True])
 def test_nothing_is_confirmed_or_refused_without_contact(
-    monkeypatch: pytest.MonkeyPatch, verdict: Verdict, defect: bool
+    monkeypatch: pytest.MonkeyPatch, verdict: CommitOutcome, defect: bool
 ) -> None:
     """Whatever the chain says; with the defect seeded, that it believes itself in contact, it is."""
 
-    async def test(light: Light) -> None:
+    async def test(light: ControlPlane) -> None:
         contact = [True]
         core_says(monkeypatch, verdict, contact)
-        usual = 200 if verdict is Verdict.SAFE else 409
+        usual = 200 if verdict is CommitOutcome.SAFE else 409
         assert (await replace(light, 3)).status == usual
         contact[0] = False
         if defect:
-            monkeypatch.setattr(ContactLog, "look", lambda *_: QuorumContact.SETTLED)
+            monkeypatch.setattr(QuorumContactMonitor, "look", lambda *_: QuorumContact.SETTLED)
         begun = trio.current_time()
         said = await replace(light, 3)
         assert said.status == (usual if defect else 503)
@@ -340,10 +340,10 @@
 
 
 def test_a_short_gap_is_waited_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test(light: Light) -> None:
+    async def test(light: ControlPlane) -> None:
         contact = [False]
-        core_says(monkeypatch, Verdict.SAFE, contact)
-        said: list[Said] = []
+        core_says(monkeypatch, CommitOutcome.SAFE, contact)
+        said: list[ApiResponse] = []
 
         async def order() -> None:
             said.append(await replace(light, 3))
@@ -440,7 +440,7 @@
 
 
 def test_a_beat_that_came_elsewhere_brings_a_server_back() -> None:
-    register = Register(1500.0)
+    register = EndpointRegistry(1500.0)
     register.beat(0.0, server("i1"))
     assert register.sweep(5000.0) == ["i1"] and not register.whole()
     assert [one.id for one in register.alive(5100.0, [("i1", 2), ("i9", 1)])] == ["i1"]
@@ -522,7 +522,7 @@
 
 
 def test_contact_by_the_clock() -> None:
-    monitor = ContactLog(0.0, 1500.0)
+    monitor = QuorumContactMonitor(0.0, 1500.0)
     assert monitor.look(100.0, False) is QuorumContact.NONE and not monitor.gone(100.0)
     assert monitor.look(GAP_MS + 1.0, False) is QuorumContact.NONE and monitor.gone(GAP_MS + 1.0)
     assert not monitor.alone(GAP_MS + 1.0) and monitor.alone(ALONE_MS + 1.0)
@@ -543,11 +543,11 @@
 def test_a_lighthouse_ends_once_it_may_or_its_grace_is_nearly_over(
     monkeypatch: pytest.MonkeyPatch, free_after_s: float
 ) -> None:
-    async def leave(light: Light) -> None:
+    async def leave(light: ControlPlane) -> None:
         begun = trio.current_time()
         free = property(lambda core: trio.current_time() - begun >= free_after_s)
-        monkeypatch.setattr(Core, "may_leave", free)
-        await step_down(light)
+        monkeypatch.setattr(ReplicationNode, "may_leave", free)
+        await drain(light)
         most = LEAVE_SHARE * light.boot.guarantees.grace_s
         assert light.core.leaving and light.draining
         assert min(free_after_s, most) <= trio.current_time() - begun <= min(free_after_s, most) + 0.06
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -16,12 +16,12 @@
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
 from wickspring.common.routing_table import build_routing_table
 from wickspring.common.seeds import SeedList
-from wickspring.lighthouse.chain import Chain
-from wickspring.lighthouse.check import check
-from wickspring.lighthouse.logbook import FILE, Logbook
-from wickspring.lighthouse.register import Register
-from wickspring.lighthouse.replica import Order, Replica
-from wickspring.lighthouse.views import View
+from wickspring.controlplane.api.config_validation import validate_config
+from wickspring.controlplane.endpoint_registry import EndpointRegistry
+from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.replica import Replica, Update
+from wickspring.controlplane.replication.view import View
+from wickspring.controlplane.storage import FILE, ReplicaStore
 
 SETTINGS = """node_name=edge-a-1
 role=pilot
@@ -77,7 +77,7 @@
 
 def test_a_configuration_is_laid_out() -> None:
     body = json.dumps(document()).encode()
-    assert check(body).ok == 7
+    assert validate_config(body).ok == 7
     chart = build_routing_table(body)
     deep, flat = chart.route("h.example", "/a/b/c?x=/a/"), chart.route("H.example:80", "/a/c")
     assert deep is not None and deep.name == "r2" and not deep.pure and deep.services == (("t", 1.0),)
@@ -123,7 +123,7 @@
      "shared_key", "same_place", "no_weight", "no_version", "no_host"],
 )  # fmt: skip
 def test_invalid_configurations_are_refused_by_kind(change: str) -> None:
-    found = check(broken(change))
+    found = validate_config(broken(change))
     assert found.is_error() and found.error.kind is ErrorKind.INVALID_CONFIG and found.error.reason
 
 
@@ -141,7 +141,7 @@
         for _ in range(random.randint(1, 4)):
             at = random.randrange(len(wrong))
             wrong[at : at + random.choice((0, 1, 5, 30))] = random.choice(values)
-        found = check(bytes(wrong))
+        found = validate_config(bytes(wrong))
         if found.is_ok():
             build_routing_table(bytes(wrong))
 
@@ -149,18 +149,18 @@
 def test_the_logbook_outlives_its_process_and_sets_aside_what_it_cannot_read(tmp_path: Path) -> None:
     members = (("a", "d1"), ("b", "d2"))
     replica = Replica()
-    replica.take(Order(9, b"doc", {"i1": 1}), 3)
-    chain = Chain("a", "d1", View(3, members, members), 1, replica)
+    replica.take(Update(9, b"doc", {"i1": 1}), 3)
+    chain = ReplicationChain("a", "d1", View(3, members, members), 1, replica)
     chain.decree.accept(4, (2, "b"), (View(4, members, members[1:]), replica.begun(4)))
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     assert book.load() is None
     book.save({**chain.durable(), "disk": "d1"}, chain.replica)
     book.close()
-    again = Logbook(str(tmp_path))
+    again = ReplicaStore(str(tmp_path))
     found = again.load()
     assert found is not None
     durable, held = found
-    fresh = Chain("a", str(durable["disk"]), View(), 2, held)
+    fresh = ReplicationChain("a", str(durable["disk"]), View(), 2, held)
     fresh.restore(durable)
     assert (fresh.view, fresh.replica, fresh.me) == (chain.view, chain.replica, chain.me)
     assert (fresh.decree.promised, fresh.decree.accepted) == (chain.decree.promised, chain.decree.accepted)
@@ -168,12 +168,12 @@
     with closing(sqlite3.connect(tmp_path / FILE)) as db:
         db.execute("update part set data = ? where name = 'config'", (b"\x93junk",))
         db.commit()
-    spoilt = Logbook(str(tmp_path))
+    spoilt = ReplicaStore(str(tmp_path))
     assert spoilt.load() is None and spoilt.set_aside  # as a machine with an empty disk: it has no vote
     spoilt.close()
     assert (tmp_path / f"{FILE}.bad").exists()
     (tmp_path / FILE).write_bytes(b"no database at all" * 99)
-    torn = Logbook(str(tmp_path))
+    torn = ReplicaStore(str(tmp_path))
     assert torn.load() is None and torn.set_aside
 
 
@@ -181,7 +181,7 @@
     with sqlite3.connect(tmp_path / FILE) as db:
         db.execute("pragma user_version=99")
     with pytest.raises(ValueError, match="newer program"):
-        Logbook(str(tmp_path))
+        ReplicaStore(str(tmp_path))
 
 
 def beat(seq: int, state: int = READY, id_: str = "i1") -> Endpoint:
@@ -189,7 +189,7 @@
 
 
 def test_the_register_tells_news_once_and_late_calls_nothing() -> None:
-    register = Register(1500.0)
+    register = EndpointRegistry(1500.0)
     assert register.beat(0.0, beat(1)) is not None
     assert register.beat(1500.0, beat(2)) is None
     left = register.beat(2000.0, beat(4, DRAINING))
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -16,9 +16,17 @@
 from tests.logbooks import DURABLE, MEMBERS, OLD, files, found_in, reopened, replica, write_older
 from tests.test_gateway_parts import document
 from wickspring.common.errors import ErrorKind
-from wickspring.lighthouse import logbook, snapshot
-from wickspring.lighthouse.logbook import BAD, FILE, LOG_MOST, OPEN_TRIES, PAGE, Logbook
-from wickspring.lighthouse.replica import HISTORY_MOST, Config, Order, Replica, Verdict, digest_of
+from wickspring.controlplane import storage
+from wickspring.controlplane.replication import snapshot
+from wickspring.controlplane.replication.replica import (
+    HISTORY_MOST,
+    CommitOutcome,
+    Config,
+    Replica,
+    Update,
+    digest_of,
+)
+from wickspring.controlplane.storage import BAD, FILE, LOG_MOST, OPEN_TRIES, PAGE, ReplicaStore
 
 BODY = json.dumps(document()).encode()
 
@@ -29,7 +37,7 @@
     write_older(tmp_path, schema, 9, b"doc", leavers)
     durable = {**DURABLE, "view": [3, MEMBERS, MEMBERS]}
     held = Replica(Config(3, 9, b"doc", digest_of(b"doc")), dict(leavers))
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     assert book.load() == (durable, held) and book.load_servers() == ["s1"]
     book = reopened(book)
     found = book.load()
@@ -44,7 +52,7 @@
 ) -> None:
     accepted = [slot, [2, "b"], [slot, MEMBERS[1:]]]
     write_older(tmp_path, 2, 9, b"doc", {"i1": 1}, {**OLD, "accepted": accepted})
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     found = book.load()
     assert found is not None
     state = Replica(Config(4, 9, b"doc", digest_of(b"doc")), {"i1": 1})
@@ -55,7 +63,7 @@
 
 def test_an_older_empty_file_stays_empty(tmp_path: Path) -> None:
     write_older(tmp_path, 2, 0, b"", {})
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     found = book.load()
     assert found is not None and found[1].config.version == 0 and found[1].config.epoch == 3
     book.close()
@@ -72,7 +80,7 @@
     write_older(tmp_path, 2, 9, b"doc", {"i1": 1})
     with closing(sqlite3.connect(tmp_path / FILE, isolation_level=None)) as db:
         db.execute(spoilt)
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     assert book.set_aside and book.load() is None and (tmp_path / f"{FILE}{BAD}").exists()
     book.close()
 
@@ -86,12 +94,12 @@
         def refuse(*_: Any) -> None:
             raise sqlite3.OperationalError("database or disk is full")
 
-        patched.setattr(Logbook, "_put_leaving", refuse)
+        patched.setattr(ReplicaStore, "_put_leaving", refuse)
         pauses: list[float] = []
         with pytest.raises(sqlite3.OperationalError):
-            Logbook(str(tmp_path), pauses.append)
+            ReplicaStore(str(tmp_path), pauses.append)
         assert len(pauses) == OPEN_TRIES - 1
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     found = book.load()  # nothing was given up because the disk refused
     assert found is not None and found[1] == Replica(Config(3, 9, b"doc", digest_of(b"doc")), {"i1": 1})
     book.close()
@@ -99,11 +107,11 @@
 
 def test_saves_under_random_load_are_read_back_whole(tmp_path: Path) -> None:
     random, held, durable = Random(4), Replica(), dict(DURABLE)
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     for step in range(300):
         epoch = 3 + step // 50
         if random.random() < 0.3:
-            held.take(Order(held.config.version + random.randint(1, 3), b"%d" % step), epoch)
+            held.take(Update(held.config.version + random.randint(1, 3), b"%d" % step), epoch)
         held.leave({f"i{random.randrange(80)}": random.choice((1, 2))})
         if len(held.leaving) > 60:  # as where too many are remembered
             del held.leaving[next(iter(held.leaving))]
@@ -136,12 +144,12 @@
      "delete from history where version = 2", "drop table history", "update part set sum = null"],
 )  # fmt: skip
 def test_what_does_not_add_up_is_set_aside(tmp_path: Path, torn: str) -> None:
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     book.save(DURABLE, replica(9, {"i1": 1, "i2": 1}))
     book.close()
     with closing(sqlite3.connect(tmp_path / FILE, isolation_level=None)) as db:
         db.execute(torn)
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     assert book.load() is None and book.set_aside and (tmp_path / f"{FILE}{BAD}").exists()
     book.save(DURABLE, replica(10, {"i3": 1}))
     book = reopened(book)
@@ -151,7 +159,7 @@
 
 @pytest.mark.parametrize("name", ["chain", "accepted", "config", "document", "seal"])
 def test_a_part_of_another_save_makes_no_copy_however_sound_it_is(tmp_path: Path, name: str) -> None:
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     accepted = [4, [2, "b"], [4, MEMBERS, MEMBERS], replica(1).pack()]
     book.save({**DURABLE, "accepted": accepted}, replica(8))
     row = book.db.execute("select * from part where name = ?", (name,)).fetchone()
@@ -159,13 +167,13 @@
     book.close()
     with closing(sqlite3.connect(tmp_path / FILE, isolation_level=None)) as db:
         db.execute("insert or replace into part values (?, ?, ?)", row)
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     assert book.load() is None and book.set_aside
     book.close()
 
 
 def test_the_known_servers_are_no_part_of_the_copy(tmp_path: Path) -> None:
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     book.save_servers([["s1", 1]])
     book = reopened(book)
     assert book.load() is None and book.load_servers() == [["s1", 1]]
@@ -178,7 +186,7 @@
 
 
 def test_a_copy_without_its_text_is_not_saved(tmp_path: Path) -> None:
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     book.save(DURABLE, replica(2))
     for config in (Config(3, 9, b"", digest_of(b"x")), Config(3, 9, b"y", digest_of(b"x"))):
         with pytest.raises((AssertionError, ValueError)):
@@ -190,7 +198,7 @@
 
 def test_the_accepted_state_is_checked_as_a_copy_is(tmp_path: Path) -> None:
     for state in (Config(4, 9, b"", digest_of(b"x")), Config(4, 9, b"y", digest_of(b"x"))):
-        book = Logbook(str(tmp_path))
+        book = ReplicaStore(str(tmp_path))
         accepted = [4, [2, "b"], [4, MEMBERS, MEMBERS], Replica(state).pack()]
         book.save({**DURABLE, "accepted": accepted}, replica(2))
         book = reopened(book)
@@ -202,7 +210,7 @@
 
 
 def test_a_full_disk_leaves_the_last_whole_state_and_takes_the_next(tmp_path: Path) -> None:
-    book, held = Logbook(str(tmp_path / "a")), replica(3, {"i1": 1}, b"x" * 20_000)
+    book, held = ReplicaStore(str(tmp_path / "a")), replica(3, {"i1": 1}, b"x" * 20_000)
     book.save(DURABLE, held)
     soft, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
     more = replica(4, {"i1": 2}, b"y" * 600_000)
@@ -221,11 +229,11 @@
 
 
 def test_a_disk_that_refuses_a_read_costs_no_copy(tmp_path: Path) -> None:
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     book.save(DURABLE, replica(3))
     book.close()
     pauses: list[float] = []
-    book = Logbook(str(tmp_path), pauses.append)
+    book = ReplicaStore(str(tmp_path), pauses.append)
     read, refused = book._read, [sqlite3.SQLITE_IOERR, sqlite3.SQLITE_CANTOPEN, sqlite3.SQLITE_FULL]
 
     def reads() -> Any:
@@ -248,10 +256,10 @@
 
 
 def test_files_stay_bounded_after_thousands_of_changes(tmp_path: Path) -> None:
-    book, held = Logbook(str(tmp_path)), Replica()
+    book, held = ReplicaStore(str(tmp_path)), Replica()
     text, most = b"x" * 100_000, {FILE: 0, f"{FILE}-wal": 0}
     for number in range(1, 2001):
-        held.take(Order(number, b"%d %s" % (number, text)), 3)
+        held.take(Update(number, b"%d %s" % (number, text)), 3)
         held.leave({f"server-{number * 3}": 1, f"server-{number * 3 + 1}": 1, f"server-{number - 7}": 2})
         book.save(DURABLE, held)
         if number % 100 == 0:
@@ -267,13 +275,13 @@
 
 
 def test_the_log_gives_back_what_a_large_save_took(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(logbook, "CHECKPOINT_PAGES", 20)
-    monkeypatch.setattr(logbook, "LOG_MOST", 20 * (PAGE + 24))
-    book, held = Logbook(str(tmp_path)), replica(1, {}, b"x" * 4_000_000)
+    monkeypatch.setattr(storage, "CHECKPOINT_PAGES", 20)
+    monkeypatch.setattr(storage, "LOG_MOST", 20 * (PAGE + 24))
+    book, held = ReplicaStore(str(tmp_path)), replica(1, {}, b"x" * 4_000_000)
     book.save(DURABLE, held)
     assert sizes(tmp_path)[f"{FILE}-wal"] > 4_000_000
     for number in range(2, 30):
-        held.take(Order(number, b"%d" % number), 3)
+        held.take(Update(number, b"%d" % number), 3)
         book.save(DURABLE, held)
     assert sizes(tmp_path)[f"{FILE}-wal"] <= 40 * (PAGE + 24)
     book.close()
@@ -281,9 +289,9 @@
 
 def test_a_change_writes_what_it_changes(tmp_path: Path) -> None:
     """Pages of the log, of a copy with 4,096 leaving servers, 512 numbers and a text of 100 KB."""
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     held = replica(600, {f"server-{n}": 1 for n in range(4096)})
-    held.take(Order(601, b"x" * 100_000), 3)
+    held.take(Update(601, b"x" * 100_000), 3)
     book.save(DURABLE, held)
 
     def written(change: Any) -> int:
@@ -299,14 +307,14 @@
     assert written(lambda: held.leave({"server-9": 2})) <= 6
     assert written(lambda: held.leave({"server-new": 1})) <= 12  # and the oldest is forgotten
     assert written(lambda: promised.update(promised=[4, [7, "c"]])) <= 4
-    assert written(lambda: held.take(Order(602, b"y" * 100_000), 3)) <= 25 + 10
-    assert written(lambda: held.take(Order(603, b"z" * 100), 3)) <= 25 + 10  # pages that come free
-    assert written(lambda: held.take(Order(604, b"w" * 100), 3)) <= 10
+    assert written(lambda: held.take(Update(602, b"y" * 100_000), 3)) <= 25 + 10
+    assert written(lambda: held.take(Update(603, b"z" * 100), 3)) <= 25 + 10  # pages that come free
+    assert written(lambda: held.take(Update(604, b"w" * 100), 3)) <= 10
     book.close()
 
 
 def test_the_last_leaving_servers_are_forgotten_on_disk_too(tmp_path: Path) -> None:
-    book = Logbook(str(tmp_path))
+    book = ReplicaStore(str(tmp_path))
     book.save(DURABLE, replica(2, {"i1": 1, "i2": 2}))
     book.save(DURABLE, replica(1))
     book = reopened(book)
@@ -316,7 +324,7 @@
 
 def test_files_that_were_set_aside_do_not_pile_up(tmp_path: Path) -> None:
     for turn in range(8):
-        book = Logbook(str(tmp_path))
+        book = ReplicaStore(str(tmp_path))
         book.save(DURABLE, replica(turn + 1, {}, b"x" * 50_000))
         if turn % 2:
             book.db.execute("update part set data = x'00' where name = 'chain'")
@@ -329,7 +337,7 @@
         stale = b"of one set aside before"
         for ending in ("", "-wal", "-journal"):
             (tmp_path / f"{FILE}{ending}{BAD}").write_bytes(stale)
-        book = Logbook(str(tmp_path))
+        book = ReplicaStore(str(tmp_path))
         assert book.load() is None and book.set_aside
         assert book.load() is None  # the fresh file is sound
         book.close()
@@ -344,16 +352,16 @@
 
 def held_with(number: int) -> Replica:
     one = replica(number - 1)
-    one.take(Order(number, BODY), 3)
+    one.take(Update(number, BODY), 3)
     one.leave({"i1": 1, "i2": 2})
     return one
 
 
 def test_a_snapshot_comes_back_whole_or_is_refused() -> None:
-    body, order = snapshot.pack(held_with(7), 5), Order(7, BODY, {"i1": 1, "i2": 2})
+    body, order = snapshot.pack(held_with(7), 5), Update(7, BODY, {"i1": 1, "i2": 2})
     assert snapshot.unpack(body).ok == order
     empty = Replica(leaving={"i1": 2})
-    assert snapshot.unpack(snapshot.pack(empty, 1)).ok == Order(leaving={"i1": 2})
+    assert snapshot.unpack(snapshot.pack(empty, 1)).ok == Update(leaving={"i1": 2})
     tree = json.loads(body)
     assert tree["format"] == 2 and tree["number"] == 7 and tree["digest"] == digest_of(BODY).hex()
     assert tree["epoch"] == 5 and [number for number, _ in tree["history"]] == [1, 2, 3, 4, 5, 6]
@@ -395,7 +403,7 @@
     leavers = {"i2": 2, "i1": 1}
     told = {"format": 1, "epoch": 4, "config": BODY.decode(), "leavers": leavers}
     told["sum"] = snapshot._sum(BODY.decode(), sorted(leavers.items()))
-    assert snapshot.unpack(json.dumps(told).encode()).ok == Order(7, BODY, leavers)
+    assert snapshot.unpack(json.dumps(told).encode()).ok == Update(7, BODY, leavers)
     assert snapshot.unpack(json.dumps(told | {"leavers": {}}).encode()).is_error()
 
 
@@ -406,5 +414,5 @@
     assert now.take(order, 4)  # as the head of a later epoch does
     assert now.config == before and now.leaving == {"i1": 2, "i3": 1, "i2": 2}
     # Its number was another text's here: it is told so, and nothing changes.
-    assert now.config.judge(order.version, digest_of(order.document)) is Verdict.CONFLICT
+    assert now.config.judge(order.version, digest_of(order.document)) is CommitOutcome.CONFLICT
     assert not now.take(order, 4) and now.config == before  # and again
--- a/tests/test_pilot_policy.py
+++ b/tests/test_pilot_policy.py
@@ -10,7 +10,7 @@
 from wickspring.common.errors import ErrorKind
 from wickspring.common.quota_rule import quota_ceiling
 from wickspring.common.routing_table import Route, Tenant
-from wickspring.lighthouse.tally import Tally
+from wickspring.controlplane.quota_counter import QuotaCounter
 from wickspring.pilot.policy.budget import Budget
 from wickspring.pilot.policy.choice import Choice
 from wickspring.pilot.policy.quota import Quota
@@ -36,7 +36,7 @@
     tenant = Tenant("t", 0, random.choice((7.0, 33.0, 63.0)), random.choice((0.0, 33.0, 63.0)))
     pilots = [Quota(SPAN_S, EXCESS, SLACK) for _ in range(8)]
     weights = [random.choice((1.0, 1.0, 4.0)) for _ in pilots]
-    keeper: Tally | None = Tally(SPAN_S, EXCESS, SLACK)
+    keeper: QuotaCounter | None = QuotaCounter(SPAN_S, EXCESS, SLACK)
     now, sent, away_until = 1e6, list[float](), 0.0
     cut: set[int] = set()  # pilots that no keeper hears
     while now < 1e6 + 60_000.0:
@@ -45,7 +45,7 @@
         if keeper is not None and random.random() < 0.0008:
             keeper, away_until = None, now + random.uniform(200.0, 3000.0)
         if keeper is None and now >= away_until:
-            keeper, cut = Tally(SPAN_S, EXCESS, SLACK), set()
+            keeper, cut = QuotaCounter(SPAN_S, EXCESS, SLACK), set()
             for number, one in enumerate(pilots):
                 for name, told in one.past(now):
                     keeper.past(now, name, f"p{number}", told)
@@ -77,7 +77,7 @@
 
 
 def test_a_keeper_gives_what_the_rate_brings_and_the_burst_once() -> None:
-    tally, granted = Tally(SPAN_S, EXCESS, SLACK), 0
+    tally, granted = QuotaCounter(SPAN_S, EXCESS, SLACK), 0
     for step in range(10_000):  # ten times the rate, for ten seconds
         total, limit, _ = tally.add(float(step), "t", "p", 50.0, 50.0)
         granted += total <= limit
@@ -88,7 +88,7 @@
 
 
 def test_a_unit_that_was_not_used_comes_back() -> None:
-    tally = Tally(SPAN_S, EXCESS, SLACK)
+    tally = QuotaCounter(SPAN_S, EXCESS, SLACK)
     given = [tally.add(1000.0, "t", "p", 1.0, 0.0) for _ in range(10)]
     spent = sum(total <= limit for total, limit, _ in given)
     tally.give_back(1000.0, "t", "p")
@@ -181,7 +181,7 @@
 def test_what_pilots_cut_off_may_send_on_is_kept_back(told: bool, kept: bool) -> None:
     """Half of the pilots of a hot tenant are cut off; without what is kept back the ceiling is passed."""
     random, tenant = Random(3), Tenant("t", 0, 63.0, 63.0)
-    pilots, keeper = [Quota(SPAN_S, EXCESS, SLACK) for _ in range(8)], Tally(SPAN_S, EXCESS, SLACK)
+    pilots, keeper = [Quota(SPAN_S, EXCESS, SLACK) for _ in range(8)], QuotaCounter(SPAN_S, EXCESS, SLACK)
     now, sent, cut = 0.0, list[float](), False
     while now < 25_000.0:
         now += random.expovariate(0.4)
@@ -206,7 +206,7 @@
 
 @pytest.mark.parametrize("told", [True, False])
 def test_what_ended_together_with_its_keeper_is_not_forgotten(told: bool) -> None:
-    keeper, other, units = Tally(SPAN_S, EXCESS, SLACK), Tally(SPAN_S, EXCESS, SLACK), 0
+    keeper, other, units = QuotaCounter(SPAN_S, EXCESS, SLACK), QuotaCounter(SPAN_S, EXCESS, SLACK), 0
     for step in range(2000):
         now = float(step)
         total, limit, _ = keeper.add(now, "t", "p", 63.0, 63.0)
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -17,26 +17,26 @@
 import pytest
 
 from tests.logbooks import DURABLE, LOG, MEMBERS, Files, after_power, files, found_in, replica, write_older
-from wickspring.lighthouse import logbook
-from wickspring.lighthouse.logbook import BAD, FILE, Logbook
-from wickspring.lighthouse.logbook_older import NotWholeError
-from wickspring.lighthouse.replica import Config, Order, Replica, digest_of
+from wickspring.controlplane import storage
+from wickspring.controlplane.replication.replica import Config, Replica, Update, digest_of
+from wickspring.controlplane.storage import BAD, FILE, ReplicaStore
+from wickspring.controlplane.storage_legacy import CorruptStoreError
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_power_lost_in_a_save_leaves_the_state_before_or_after(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    monkeypatch.setattr(logbook, "CHECKPOINT_PAGES", 24)  # so that there are many checkpoints
+    monkeypatch.setattr(storage, "CHECKPOINT_PAGES", 24)  # so that there are many checkpoints
     random, held, durable = Random(seed), Replica(), dict(DURABLE)
-    book = Logbook(str(tmp_path / "a"))
+    book = ReplicaStore(str(tmp_path / "a"))
     book.save(durable, held)
     last, seen = (dict(durable), held.copy()), Counter[str]()
     for step in range(24):
         before = files(tmp_path / "a")
         if random.random() < 0.7:
             text = random.randbytes(random.choice((20, 3000, 20_000)))
-            held.take(Order(held.config.version + 1, text), durable["view"][0])
+            held.take(Update(held.config.version + 1, text), durable["view"][0])
         if random.random() < 0.5:
             held.leave({f"i{random.randrange(30)}": random.choice((1, 2)) for _ in range(9)})
         if random.random() < 0.3:
@@ -67,12 +67,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The file is as its last checkpoint left it, or as any since the log began, whatever came after."""
-    monkeypatch.setattr(logbook, "CHECKPOINT_PAGES", 30)
-    book, held = Logbook(str(tmp_path / "a")), Replica()
+    monkeypatch.setattr(storage, "CHECKPOINT_PAGES", 30)
+    book, held = ReplicaStore(str(tmp_path / "a")), Replica()
     older: list[bytes] = []
     log = b""
     for number in range(1, 60):
-        held.take(Order(number, b"%d" % number * 4000), 3)
+        held.take(Update(number, b"%d" % number * 4000), 3)
         book.save(DURABLE, held)
         now = files(tmp_path / "a")
         if now[LOG][:32] != log:
@@ -93,7 +93,7 @@
     write_older(tmp_path / "a", schema, 9, b"doc" * 3000, {f"i{n}": 1 for n in range(200)})
     before = files(tmp_path / "a")
     held = Replica(Config(3, 9, b"doc" * 3000, digest_of(b"doc" * 3000)), {f"i{n}": 1 for n in range(200)})
-    book = Logbook(str(tmp_path / "a"))
+    book = ReplicaStore(str(tmp_path / "a"))
     after = files(tmp_path / "a")
     book.close()
     for _ in range(5):
@@ -108,9 +108,9 @@
         self.folder = folder
         self.synced, self.since = files(folder), list[tuple[str, str]]()
         self.left: list[Files] = []
-        self._move, self._sync = logbook._move, logbook._sync
-        monkeypatch.setattr(logbook, "_move", self.move)
-        monkeypatch.setattr(logbook, "_sync", self.sync)
+        self._move, self._sync = storage._move, storage._sync
+        monkeypatch.setattr(storage, "_move", self.move)
+        monkeypatch.setattr(storage, "_sync", self.sync)
 
     def losses(self) -> Iterator[Files]:
         for kept in itertools.product((False, True), repeat=len(self.since)):
@@ -137,7 +137,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     folder = tmp_path / "a"
-    book = Logbook(str(folder))
+    book = ReplicaStore(str(folder))
     book.save(DURABLE, replica(3))
     book.db.execute("pragma wal_checkpoint(truncate)")
     book.save({**DURABLE, "promised": [4, [9, "c"]]}, replica(4))
@@ -149,11 +149,11 @@
         for name in (FILE, LOG):
             (folder / name).write_bytes(start[name])
         with monkeypatch.context() as patched:
-            book = Logbook(str(folder))
+            book = ReplicaStore(str(folder))
             names = Names(folder, patched)
 
             def refused(
-                self: Logbook, names: Names = names, start: Files = start, close: Any = Logbook.close
+                self: ReplicaStore, names: Names = names, start: Files = start, close: Any = ReplicaStore.close
             ) -> None:
                 """Close where the disk refuses the checkpoint: the file stays older, the log beside it."""
                 close(self)
@@ -162,7 +162,7 @@
                 names.synced = files(folder)
 
             book._read = _not_whole  # type: ignore[method-assign]
-            patched.setattr(Logbook, "close", refused)
+            patched.setattr(ReplicaStore, "close", refused)
             assert book.load() is None and book.set_aside
             patched.undo()
             book.close()
@@ -175,12 +175,12 @@
 
 
 def _not_whole() -> Any:
-    raise NotWholeError("as where a page is damaged")
+    raise CorruptStoreError("as where a page is damaged")
 
 
 def test_an_old_log_beside_a_new_file_is_nothing(tmp_path: Path) -> None:
     """The file's removal kept, its log's lost."""
-    book = Logbook(str(tmp_path / "a"))
+    book = ReplicaStore(str(tmp_path / "a"))
     book.save(DURABLE, replica(3))
     log = files(tmp_path / "a")[LOG]
     book.close()
@@ -192,26 +192,26 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It was killed between write and sync; its successor tells what it reads, so that must outlast power."""
-    book = Logbook(str(tmp_path / "a"))
+    book = ReplicaStore(str(tmp_path / "a"))
     book.save(DURABLE, replica(3))
     left = files(tmp_path / "a")
     book.close()
     for name, data in left.items():
         (tmp_path / "a" / name).write_bytes(data)
     done: list[str] = []
-    sync, connect = logbook._sync, Logbook._connect
+    sync, connect = storage._sync, ReplicaStore._connect
 
     def synced(path: Path) -> None:
         sync(path)
         done.append(path.name)
 
-    def connected(self: Logbook) -> None:
+    def connected(self: ReplicaStore) -> None:
         done.append("read")
         connect(self)
 
-    monkeypatch.setattr(logbook, "_sync", synced)
-    monkeypatch.setattr(Logbook, "_connect", connected)
-    book = Logbook(str(tmp_path / "a"))
+    monkeypatch.setattr(storage, "_sync", synced)
+    monkeypatch.setattr(ReplicaStore, "_connect", connected)
+    book = ReplicaStore(str(tmp_path / "a"))
     assert set(done[: done.index("read")]) == {"a", FILE, LOG}
     assert done[-1] == "a"  # the file's own name, and the removal of the journal of its making
     assert book.load() == (DURABLE, replica(3))
--- a/tests/test_start_of_the_core.py
+++ b/tests/test_start_of_the_core.py
@@ -10,27 +10,27 @@
 import trio.testing
 
 from wickspring.common import connection
-from wickspring.lighthouse.chain import Chain
-from wickspring.lighthouse.replica import Order, Replica
-from wickspring.lighthouse.views import View
+from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.replica import Replica, Update
+from wickspring.controlplane.replication.view import View
 from wickspring.net.clock import Clock
 
 MEMBERS = tuple((ip, "disk") for ip in "abc")
 
 
-def started() -> dict[str, Chain]:
+def started() -> dict[str, ReplicationChain]:
     """Return the chains of three machines as a loss of all power leaves them, none with a cable yet."""
     replica = Replica()
-    replica.take(Order(7, b"seven"), 3)
+    replica.take(Update(7, b"seven"), 3)
     view = View(3, MEMBERS, MEMBERS)
-    chains = {ip: Chain(ip, "disk", view, at, replica.copy()) for at, ip in enumerate("abc")}
+    chains = {ip: ReplicationChain(ip, "disk", view, at, replica.copy()) for at, ip in enumerate("abc")}
     for chain in chains.values():
         chain.begin(0.0)
         chain.out.clear()  # nobody is in reach yet
     return chains
 
 
-def carry(chains: dict[str, Chain], up: set[tuple[str, str]]) -> None:
+def carry(chains: dict[str, ReplicationChain], up: set[tuple[str, str]]) -> None:
     """Carry what is said over the cables that are up, until nobody says more."""
     while any(chain.out for chain in chains.values()):
         for ip, chain in chains.items():
@@ -57,7 +57,7 @@
 def test_nothing_is_passed_again_by_who_does_not_pass() -> None:
     chains = started()
     chains["c"].reached("a")
-    spare = Chain("d", "disk", View(3, MEMBERS, MEMBERS), 9)
+    spare = ReplicationChain("d", "disk", View(3, MEMBERS, MEMBERS), 9)
     spare.reached("a")
     chains["a"].receive(1.0, "b", ["prepare", 4, [1, "b"], b""])  # promised: it passes nothing in this epoch
     chains["a"].out.clear()
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -17,13 +17,13 @@
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
 from wickspring.common.settings_file import parse_address
+from wickspring.controlplane.api.calls import ApiRequest
+from wickspring.controlplane.api.resources import Heartbeat
+from wickspring.controlplane.process import ControlPlane
+from wickspring.controlplane.replication.replica import Config, Replica, Update, digest_of
+from wickspring.controlplane.replication.view import View
 from wickspring.gossip.book import Digest
 from wickspring.lab.keel_faults import Chaos
-from wickspring.lighthouse.calls import Call
-from wickspring.lighthouse.light import Light
-from wickspring.lighthouse.replica import Config, Order, Replica, digest_of
-from wickspring.lighthouse.resources import Heartbeat
-from wickspring.lighthouse.views import View
 from wickspring.pilot.pilot import Pilot
 
 ODD: list[Any] = [
@@ -90,19 +90,19 @@
         "condition": {"state": "ready", "call_seq": 4, "cold_left_s": 0.5},
     }
 
-    async def play(light: Light) -> None:
+    async def play(light: ControlPlane) -> None:
         taken = 0
         for _ in range(2000):
             try:
                 body = json.dumps(spoil(random, beat)).encode()
             except TypeError:  # bytes have no form in JSON
                 body = b"\xff"
-            said = await Heartbeat(light).call(Call("POST", "", body, {"id": "i1"}))
+            said = await Heartbeat(light).call(ApiRequest("POST", "", body, {"id": "i1"}))
             assert said.status in (200, ERROR_RESPONSES[ErrorKind.BAD_REQUEST].status, ERROR_RESPONSES[ErrorKind.NOT_SAFE_YET].status)
             taken += said.status == 200
         assert 0 < taken < 1000
         beat["condition"] = {"state": "ready", "call_seq": 10**25}  # no cable could carry it
-        said = await Heartbeat(light).call(Call("POST", "", json.dumps(beat).encode(), {"id": "i2"}))
+        said = await Heartbeat(light).call(ApiRequest("POST", "", json.dumps(beat).encode(), {"id": "i2"}))
         assert said.status == 400 and "i2" not in light.register.servers
         for one in light.register.whole():
             parse_address(one.address)
@@ -116,9 +116,9 @@
 
     async def run() -> None:
         async with trio.open_nursery() as nursery:
-            light = Light(settings_module.parse_settings(settings), nursery, 1)
+            light = ControlPlane(settings_module.parse_settings(settings), nursery, 1)
             light.core.lease.take_up(0.0, light.core.chain.view)
-            light.core.chain.safe.take(Order(7, json.dumps(document()).encode()), 1)
+            light.core.chain.safe.take(Update(7, json.dumps(document()).encode()), 1)
             light._safe(light.core.chain.safe)
             await play(light)
             nursery.cancel_scope.cancel()
@@ -141,7 +141,7 @@
         ["shadow", {"n": [[0, 2]]}], ["alive", [["i1", 4]]], ["tell", ["i1"]],
     ]  # fmt: skip
 
-    async def play(light: Light) -> None:
+    async def play(light: ControlPlane) -> None:
         refused = 0
         for _ in range(4000):
             core = random.random() < 0.5
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -6,28 +6,37 @@
 
 import pytest
 
-from wickspring.lighthouse.views import Member, Reach, Scene, Tolerance, View, changes, next_view, shortfalls
+from wickspring.controlplane.replication.view import (
+    ClusterObservation,
+    FaultTolerance,
+    Member,
+    PeerObservation,
+    View,
+    differs,
+    next_view,
+    tolerance_shortfalls,
+)
 
 
 def machines(zones: str) -> list[tuple[Member, str]]:
     return [((f"m{at}", f"d{at}"), zone) for at, zone in enumerate(zones)]
 
 
-def seen_by(me: Member, zones: str, away: str = "", ill: str = "") -> Scene:
+def seen_by(me: Member, zones: str, away: str = "", ill: str = "") -> ClusterObservation:
     reach = {
-        ip: Reach(ip != away, disk, ip == ill, zone)
+        ip: PeerObservation(ip != away, disk, ip == ill, zone)
         for (ip, disk), zone in machines(zones) if ip != me[0]
     }  # fmt: skip
-    return Scene(me, dict(machines(zones))[me], False, reach)
+    return ClusterObservation(me, dict(machines(zones))[me], False, reach)
 
 
 @pytest.mark.parametrize(
     ("zones", "tolerance", "voters"),
-    [("abc", Tolerance(), 3), ("abcd", Tolerance(), 3), ("abcab", Tolerance(2), 5), ("abcd", Tolerance(2), 4),
-     ("aabbcc", Tolerance(1, 1), 3), ("aabbcc", Tolerance(2, 1), 5), ("aaabbcc", Tolerance(3, 1), 7)],
+    [("abc", FaultTolerance(), 3), ("abcd", FaultTolerance(), 3), ("abcab", FaultTolerance(2), 5), ("abcd", FaultTolerance(2), 4),
+     ("aabbcc", FaultTolerance(1, 1), 3), ("aabbcc", FaultTolerance(2, 1), 5), ("aaabbcc", FaultTolerance(3, 1), 7)],
 )  # fmt: skip
 def test_a_core_grows_from_its_seeds_as_far_as_it_has_to(
-    zones: str, tolerance: Tolerance, voters: int
+    zones: str, tolerance: FaultTolerance, voters: int
 ) -> None:
     """The three seeds may lie anywhere; where the machines suffice, nothing is short in the end."""
     for seed in range(50):
@@ -35,57 +44,57 @@
         view = View(1, seeds, seeds)
         for _ in range(4):
             view = next_view(view, seen_by(view.chain[0], zones), tolerance)
-        assert not changes(view, next_view(view, seen_by(view.chain[0], zones), tolerance))
+        assert not differs(view, next_view(view, seen_by(view.chain[0], zones), tolerance))
         assert len(view.voters) == len(view.chain) == voters
-        short = shortfalls(view, tolerance, {ip: zone for (ip, _), zone in machines(zones)}, {})
+        short = tolerance_shortfalls(view, tolerance, {ip: zone for (ip, _), zone in machines(zones)}, {})
         assert bool(short) == (len(zones) < tolerance.voters), short
 
 
 def test_who_is_lost_leaves_the_chain_and_keeps_a_vote_until_replaced() -> None:
     members = tuple(one for one, _ in machines("abc"))
     away = seen_by(members[0], "abc", away="m2")
-    after = next_view(View(1, members, members), away, Tolerance())
+    after = next_view(View(1, members, members), away, FaultTolerance())
     assert after.chain == members[:2] and set(after.voters) == set(members)
     beside_a_spare = seen_by(members[0], "abcd", away="m2")
-    with_spare = next_view(View(1, members, members), beside_a_spare, Tolerance())
+    with_spare = next_view(View(1, members, members), beside_a_spare, FaultTolerance())
     assert with_spare.chain == with_spare.voters == (*members[:2], ("m3", "d3"))
 
 
 def test_an_emptied_disk_is_another_member() -> None:
     members = tuple(one for one, _ in machines("abc"))
     scene = seen_by(members[0], "abc")
-    emptied = Scene(scene.me, "a", False, {**scene.reach, "m2": Reach(True, "new", False, "c")})
-    assert next_view(View(1, members, members), emptied, Tolerance()).chain == (*members[:2], ("m2", "new"))
+    emptied = ClusterObservation(scene.me, "a", False, {**scene.reach, "m2": PeerObservation(True, "new", False, "c")})
+    assert next_view(View(1, members, members), emptied, FaultTolerance()).chain == (*members[:2], ("m2", "new"))
 
 
 def test_the_last_copies_stay_though_their_machines_are_ill_or_leave() -> None:
     members = tuple(one for one, _ in machines("abc"))
     scene = seen_by(members[0], "abc", away="m1", ill="m2")
-    assert next_view(View(1, members, members), scene, Tolerance()).chain == (members[0], members[2])
-    leaving = Scene(scene.me, "a", True, scene.reach)
-    assert set(next_view(View(1, members, members), leaving, Tolerance()).chain) == {members[0], members[2]}
+    assert next_view(View(1, members, members), scene, FaultTolerance()).chain == (members[0], members[2])
+    leaving = ClusterObservation(scene.me, "a", True, scene.reach)
+    assert set(next_view(View(1, members, members), leaving, FaultTolerance()).chain) == {members[0], members[2]}
 
 
 def test_two_that_do_not_reach_each_other_are_not_taken_into_one_chain() -> None:
     """Else the view would change to and fro between one who sees both and one who misses the other."""
     members = tuple(one for one, _ in machines("abc"))
     reach = {
-        "m1": Reach(True, "d1", False, "b", sees=frozenset({"m0", "m2"})),
-        "m2": Reach(True, "d2", False, "c", sees=frozenset({"m1"})),  # and m0 still hears it
+        "m1": PeerObservation(True, "d1", False, "b", sees=frozenset({"m0", "m2"})),
+        "m2": PeerObservation(True, "d2", False, "c", sees=frozenset({"m1"})),  # and m0 still hears it
     }
     view = View(2, members, members[:2])
-    assert not changes(view, next_view(view, Scene(members[0], "a", False, reach), Tolerance()))
+    assert not differs(view, next_view(view, ClusterObservation(members[0], "a", False, reach), FaultTolerance()))
 
 
 def test_what_a_core_cannot_bear_is_said() -> None:
     members = tuple(one for one, _ in machines("aab"))
     view, zones = View(1, members, members), {"m0": "a", "m1": "a", "m2": "b"}
-    assert shortfalls(view, Tolerance(1), zones, {}) == []
-    assert shortfalls(view, Tolerance(2), zones, {}) == ["tolerates.machines=2: 3 voters bear 1"]
-    assert shortfalls(view, Tolerance(1, 1), zones, {}) == ["tolerates.zones=1: 2 of 3 voters may go at once"]
+    assert tolerance_shortfalls(view, FaultTolerance(1), zones, {}) == []
+    assert tolerance_shortfalls(view, FaultTolerance(2), zones, {}) == ["tolerates.machines=2: 3 voters bear 1"]
+    assert tolerance_shortfalls(view, FaultTolerance(1, 1), zones, {}) == ["tolerates.zones=1: 2 of 3 voters may go at once"]
     region = {"a": "r", "b": "r"}
-    assert shortfalls(view, Tolerance(1, 0, 1), zones, region) == [
+    assert tolerance_shortfalls(view, FaultTolerance(1, 0, 1), zones, region) == [
         "tolerates.regions=1: 3 of 3 voters may go at once"
     ]
     alone = View(2, members, members[:1])
-    assert shortfalls(alone, Tolerance(1), zones, {}) == ["tolerates.machines=1: copies are 1"]
+    assert tolerance_shortfalls(alone, FaultTolerance(1), zones, {}) == ["tolerates.machines=1: copies are 1"]
--- a/wickspring/common/__init__.py
+++ b/wickspring/common/__init__.py
@@ -1,1 +1,1 @@
-"""What the pilot (data plane) and the lighthouse (control plane) of a whole gateway share."""
+"""Parts that the data plane, the control plane and their command line share."""
--- a/wickspring/lighthouse/__main__.py
+++ b/wickspring/controlplane/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wickspring.lighthouse`."""
+"""`python -m wickspring.controlplane`."""
 
 import gc
 
@@ -9,6 +9,6 @@
 started = bootstrap()  # callers wait in line from here on
 
 from wickspring.common.lifecycle import main  # noqa: E402
-from wickspring.lighthouse.light import run  # noqa: E402
+from wickspring.controlplane.process import run  # noqa: E402
 
 main(run, started)
--- a/wickspring/lighthouse/calls.py
+++ b/wickspring/controlplane/api/calls.py
@@ -9,15 +9,15 @@
 
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.errors import ERROR_RESPONSES, ErrorDetail
-from wickspring.lighthouse.core import Entered
-from wickspring.lighthouse.replica import Order
+from wickspring.controlplane.replication.node import UpdateResult
+from wickspring.controlplane.replication.replica import Update
 from wickspring.net.clock import Clock
 
 BACK_S = 0.25  # after which a call that could not be made safe may come again
 
 
 @dataclass(slots=True)
-class Call:
+class ApiRequest:
     """One call."""
 
     method: str
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Said:
+class ApiResponse:
     """What is answered."""
 
     status: int
@@ -35,13 +35,13 @@
     retry_after: str = ""
 
 
-def fault(what: ErrorDetail) -> Said:
+def error_response(what: ErrorDetail) -> ApiResponse:
     """Answer a fault by its kind."""
     said = msgspec.json.encode({"kind": what.kind.value, "reason": what.reason})
-    return Said(what.status, said, f"{BACK_S}" if ERROR_RESPONSES[what.kind].comes_back else "")
+    return ApiResponse(what.status, said, f"{BACK_S}" if ERROR_RESPONSES[what.kind].comes_back else "")
 
 
-class Serves(Protocol):
+class ControlPlaneApi(Protocol):
     """The lighthouse, as its handlers know it."""
 
     clock: Clock
@@ -54,7 +54,7 @@
     def epoch(self) -> int:
         """Return the epoch of the view that it knows."""
 
-    async def order(self, order: Order, read: bool = False) -> Entered:
+    async def order(self, order: Update, read: bool = False) -> UpdateResult:
         """Have an order made safe."""
 
     async def leaves(self, server: str, state: int) -> bool:
--- a/wickspring/lighthouse/check.py
+++ b/wickspring/controlplane/api/config_validation.py
@@ -140,7 +140,7 @@
 _schema = _Config()
 
 
-def check(body: bytes) -> Result[int, ErrorDetail]:
+def validate_config(body: bytes) -> Result[int, ErrorDetail]:
     """Check a whole document; its version, or the fault that its sender is told."""
     try:
         tree = msgspec.json.decode(body)
--- a/wickspring/lighthouse/resources.py
+++ b/wickspring/controlplane/api/resources.py
@@ -13,13 +13,13 @@
 from wickspring.common.endpoints import DRAINING, GONE, READY, Endpoint
 from wickspring.common.errors import ErrorDetail, ErrorKind, GatewayError
 from wickspring.common.settings_file import parse_address
-from wickspring.lighthouse import snapshot
-from wickspring.lighthouse.calls import Call, Said, Serves, fault
-from wickspring.lighthouse.check import check
-from wickspring.lighthouse.replica import Order, Replica, Verdict
+from wickspring.controlplane.api.calls import ApiRequest, ApiResponse, ControlPlaneApi, error_response
+from wickspring.controlplane.api.config_validation import validate_config
+from wickspring.controlplane.replication import snapshot
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 
 _STATES = {"ready": READY, "draining": DRAINING}
-NOBODY = ErrorDetail(ErrorKind.NOT_SAFE_YET, "no majority of the core answers")
+NO_QUORUM = ErrorDetail(ErrorKind.NOT_SAFE_YET, "no majority of the core answers")
 MOST_SLOTS = 100_000
 MOST_SEQ = 2**62  # what is larger cannot be told over a cable
 
@@ -52,7 +52,7 @@
 class IResource(Interface):  # type: ignore[misc]
     """A handler of one resource."""
 
-    def call(self, call: Call) -> Any:
+    def call(self, call: ApiRequest) -> Any:
         """Await the answer."""
 
 
@@ -60,13 +60,13 @@
 class _Resource:
     """What every handler has."""
 
-    def __init__(self, light: Serves) -> None:
+    def __init__(self, light: ControlPlaneApi) -> None:
         self.light = light
 
     async def _read_all(self) -> Replica | None:
         """Return all that the chain keeps, as of now; None where that cannot be told."""
-        entered = await self.light.order(Order(), read=True)
-        return entered.replica if entered.verdict is Verdict.SAFE else None
+        entered = await self.light.order(Update(), read=True)
+        return entered.replica if entered.verdict is CommitOutcome.SAFE else None
 
 
 class Heartbeat(_Resource):
@@ -74,7 +74,7 @@
 
     method, path = "POST", re.compile(r"/servers/(?P<id>[^/]{1,200})/heartbeat\Z")
 
-    def _read(self, call: Call) -> Endpoint:
+    def _read(self, call: ApiRequest) -> Endpoint:
         told = msgspec.json.decode(call.body, type=_Beat, strict=False)
         info, how = told.build_info, told.condition
         parse_address(told.address)
@@ -84,19 +84,19 @@
             how.call_seq, self.light.clock.now() + left if left > 0 else 0.0, info.generation,
         )  # fmt: skip
 
-    async def call(self, call: Call) -> Said:
+    async def call(self, call: ApiRequest) -> ApiResponse:
         """Take a beat; one that says `draining` is answered once that can no longer be forgotten."""
         try:
             server = self._read(call)
         except (msgspec.MsgspecError, UnicodeDecodeError, GatewayError) as error:
-            return fault(ErrorDetail(ErrorKind.BAD_REQUEST, f"heartbeat: {error}"))
+            return error_response(ErrorDetail(ErrorKind.BAD_REQUEST, f"heartbeat: {error}"))
         if self.light.cut_off:  # the others may take the server for lost while it calls here
-            return fault(NOBODY)
+            return error_response(NO_QUORUM)
         self.light.beat(server)
         if server.state == DRAINING and not await self.light.leaves(server.id, DRAINING):
-            return fault(ErrorDetail(ErrorKind.NOT_SAFE_YET, "draining"))
+            return error_response(ErrorDetail(ErrorKind.NOT_SAFE_YET, "draining"))
         target = self.light.beat_target(server.zone)
-        return Said(200, msgspec.json.encode({"beat_target": target} if target else {}))
+        return ApiResponse(200, msgspec.json.encode({"beat_target": target} if target else {}))
 
 
 class Deregister(_Resource):
@@ -104,11 +104,11 @@
 
     method, path = "POST", re.compile(r"/servers/(?P<id>[^/]{1,200})/deregister\Z")
 
-    async def call(self, call: Call) -> Said:
+    async def call(self, call: ApiRequest) -> ApiResponse:
         """Take a server's word that it ends."""
         if await self.light.leaves(call.parts["id"], GONE):
-            return Said(200)
-        return fault(ErrorDetail(ErrorKind.NOT_SAFE_YET, "deregister"))
+            return ApiResponse(200)
+        return error_response(ErrorDetail(ErrorKind.NOT_SAFE_YET, "deregister"))
 
 
 class ConfigReplace(_Resource):
@@ -116,28 +116,28 @@
 
     method, path = "POST", re.compile(r"/config/replace\Z")
 
-    async def call(self, call: Call) -> Said:
+    async def call(self, call: ApiRequest) -> ApiResponse:
         """Check a whole configuration, and acknowledge it once it is safe."""
-        checked = check(call.body)
+        checked = validate_config(call.body)
         if checked.is_error():  # a fact of the text alone, so it is refused in contact or not
             logs.log_event("config_refused", reason=checked.error.reason)
-            return fault(checked.error)
+            return error_response(checked.error)
         version = checked.ok
-        entered = await self.light.order(Order(version, call.body))
-        if entered.verdict is not Verdict.SAFE:
+        entered = await self.light.order(Update(version, call.body))
+        if entered.verdict is not CommitOutcome.SAFE:
             return _not_safe(entered.verdict, "configuration", version)
         logs.log_event("config_acknowledged", version=version)
-        return Said(200, msgspec.json.encode({"generation": f"r{version}"}))
+        return ApiResponse(200, msgspec.json.encode({"generation": f"r{version}"}))
 
 
-def _not_safe(verdict: Verdict, what: str, version: int = 0) -> Said:
+def _not_safe(verdict: CommitOutcome, what: str, version: int = 0) -> ApiResponse:
     """Answer an order that is not kept: refused for good only where that can never change."""
-    if verdict is Verdict.CONFLICT:
+    if verdict is CommitOutcome.CONFLICT:
         logs.log_event("config_conflict", version=version)
-        return fault(ErrorDetail(ErrorKind.VERSION_TAKEN, f"r{version} is another text's"))
+        return error_response(ErrorDetail(ErrorKind.VERSION_TAKEN, f"r{version} is another text's"))
     if version:
         logs.log_event("config_not_safe", version=version)
-    return fault(ErrorDetail(ErrorKind.NOT_SAFE_YET, what))
+    return error_response(ErrorDetail(ErrorKind.NOT_SAFE_YET, what))
 
 
 class ConfigRead(_Resource):
@@ -145,14 +145,14 @@
 
     method, path = "GET", re.compile(r"/config/read\Z")
 
-    async def call(self, call: Call) -> Said:
+    async def call(self, call: ApiRequest) -> ApiResponse:
         """Return the newest configuration, whole, as the chain has it."""
         safe = await self._read_all()
         if safe is None:
-            return fault(NOBODY)
+            return error_response(NO_QUORUM)
         if not safe.config.document:
-            return fault(ErrorDetail(ErrorKind.NO_CONFIG))
-        return Said(200, safe.config.document)
+            return error_response(ErrorDetail(ErrorKind.NO_CONFIG))
+        return ApiResponse(200, safe.config.document)
 
 
 class TakeSnapshot(_Resource):
@@ -160,10 +160,10 @@
 
     method, path = "GET", re.compile(r"/snapshot\Z")
 
-    async def call(self, call: Call) -> Said:
+    async def call(self, call: ApiRequest) -> ApiResponse:
         """Return it, as the chain has it."""
         safe = await self._read_all()
-        return fault(NOBODY) if safe is None else Said(200, snapshot.pack(safe, self.light.epoch))
+        return error_response(NO_QUORUM) if safe is None else ApiResponse(200, snapshot.pack(safe, self.light.epoch))
 
 
 class BringSnapshot(_Resource):
@@ -171,18 +171,18 @@
 
     method, path = "POST", re.compile(r"/snapshot\Z")
 
-    async def call(self, call: Call) -> Said:
+    async def call(self, call: ApiRequest) -> ApiResponse:
         """Join it with what is held; answered once that is safe."""
         read = snapshot.unpack(call.body)
         if read.is_error():
-            return fault(read.error)
+            return error_response(read.error)
         brought = read.ok
         entered = await self.light.order(brought, read=True)
-        if entered.verdict is not Verdict.SAFE or entered.replica is None:
+        if entered.verdict is not CommitOutcome.SAFE or entered.replica is None:
             return _not_safe(entered.verdict, "snapshot", brought.version)
         version, leaving = entered.replica.config.version, len(entered.replica.leaving)
         logs.log_event("snapshot_brought", version=brought.version, held=version, leaving=leaving)
-        return Said(200, msgspec.json.encode({"generation": f"r{version}", "leaving": leaving}))
+        return ApiResponse(200, msgspec.json.encode({"generation": f"r{version}", "leaving": leaving}))
 
 
 class Status(_Resource):
@@ -190,9 +190,9 @@
 
     method, path = "GET", re.compile(r"/status\Z")
 
-    async def call(self, call: Call) -> Said:
+    async def call(self, call: ApiRequest) -> ApiResponse:
         """Return it as JSON."""
-        return Said(200, msgspec.json.encode(self.light.status()))
+        return ApiResponse(200, msgspec.json.encode(self.light.status()))
 
 
 RESOURCES: tuple[Callable[[Any], Any], ...] = (
--- a/wickspring/lighthouse/offers.py
+++ b/wickspring/controlplane/config_distribution.py
@@ -10,11 +10,11 @@
 from wickspring.common.config_status import ConfigStatus, QuorumContact
 from wickspring.common.connection import PeerConnection
 from wickspring.common.routing_table import RoutingTable, build_routing_table
-from wickspring.lighthouse.replica import Config
+from wickspring.controlplane.replication.replica import Config
 
 
 @dataclass(slots=True, frozen=True)
-class _Copy:
+class _PackedConfig:
     """A configuration as pilots get it: packed, with the digest of its text."""
 
     version: int = 0
@@ -22,18 +22,18 @@
     packed: bytes = b""
 
     @staticmethod
-    def of(config: Config) -> _Copy:
+    def of(config: Config) -> _PackedConfig:
         """Pack a configuration."""
-        return _Copy(config.version, config.digest, zlib.compress(config.document, 6))
+        return _PackedConfig(config.version, config.digest, zlib.compress(config.document, 6))
 
 
-class Offers:
+class ConfigDistributor:
     """What is safe, as pilots get it, and what each of them was handed."""
 
     def __init__(self) -> None:
         self.chart = RoutingTable()
-        self.copy = _Copy()
-        self._last_known = _Copy()
+        self.copy = _PackedConfig()
+        self._last_known = _PackedConfig()
 
     def safe(self, config: Config) -> bool:
         """Take in what has become safe; True where that is news."""
@@ -43,7 +43,7 @@
         if config.version == known:
             logs.log_event("config_two_texts", version=known, digest=config.digest.hex())
         try:
-            self.chart, self.copy = build_routing_table(config.document), _Copy.of(config)
+            self.chart, self.copy = build_routing_table(config.document), _PackedConfig.of(config)
         except (KeyError, TypeError, ValueError) as error:
             logs.log_event("chart_unusable", version=config.version, reason=repr(error))
             return False
@@ -65,7 +65,7 @@
             if version or last_known is None:
                 return
             if (self._last_known.version, self._last_known.digest) != (last_known.version, last_known.digest):
-                self._last_known = _Copy.of(last_known)
+                self._last_known = _PackedConfig.of(last_known)
             copy, standing = self._last_known, ConfigStatus.HELD
         other = copy.version == version and copy.digest != digest and standing is ConfigStatus.CURRENT
         offer = copy.version, copy.digest, standing, version, digest  # it may wait with what it was handed
--- a/wickspring/lighthouse/register.py
+++ b/wickspring/controlplane/endpoint_registry.py
@@ -16,7 +16,7 @@
 COLD_STEP_MS = 400.0  # by which the end of being slow must move to be news
 
 
-class Register:
+class EndpointRegistry:
     """The servers."""
 
     def __init__(self, beat_ms: float) -> None:
--- a/wickspring/lighthouse/berths.py
+++ b/wickspring/controlplane/load_tracker.py
@@ -22,7 +22,7 @@
 EVEN = 0.03  # share by which costs are mixed, so that pilots that ask at once are not all told the same
 
 
-class Berths:
+class LoadTracker:
     """What is out at each server."""
 
     def __init__(self, seed: int) -> None:
--- a/wickspring/lighthouse/light.py
+++ b/wickspring/controlplane/process.py
@@ -19,16 +19,16 @@
 from wickspring.common.errors import ErrorDetail, ErrorKind
 from wickspring.common.settings import NodeSettings
 from wickspring.common.settings_file import parse_ip
-from wickspring.lighthouse.berths import Berths
-from wickspring.lighthouse.calls import Call, Said, fault
-from wickspring.lighthouse.contact import ContactLog
-from wickspring.lighthouse.core import NOT_ENTERED, Core, Entered
-from wickspring.lighthouse.logbook import Logbook
-from wickspring.lighthouse.offers import Offers
-from wickspring.lighthouse.register import Register
-from wickspring.lighthouse.replica import Order, Replica, Verdict
-from wickspring.lighthouse.resources import RESOURCES
-from wickspring.lighthouse.tally import Tally
+from wickspring.controlplane.api.calls import ApiRequest, ApiResponse, error_response
+from wickspring.controlplane.api.resources import RESOURCES
+from wickspring.controlplane.config_distribution import ConfigDistributor
+from wickspring.controlplane.endpoint_registry import EndpointRegistry
+from wickspring.controlplane.load_tracker import LoadTracker
+from wickspring.controlplane.quorum_contact import QuorumContactMonitor
+from wickspring.controlplane.quota_counter import QuotaCounter
+from wickspring.controlplane.replication.node import NOT_COMMITTED, ReplicationNode, UpdateResult
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
+from wickspring.controlplane.storage import ReplicaStore
 from wickspring.net.calls import Client
 from wickspring.net.feed import Feed
 from wickspring.net.host import Host
@@ -48,24 +48,24 @@
 LOOK_S = 0.04  # between two looks for contact that is waited for
 
 
-class Light(Host):
+class ControlPlane(Host):
     """One lighthouse."""
 
     def __init__(self, boot: NodeSettings, nursery: trio.Nursery, seed: int) -> None:
         super().__init__(nursery, boot.limits.memory_mb)
         self.boot, self.random = boot, Random(seed)
-        self.core = Core(
-            boot, Logbook(boot.data_dir or "."), self.clock, nursery, self.random, self._safe, self._viewed,
+        self.core = ReplicationNode(
+            boot, ReplicaStore(boot.data_dir or "."), self.clock, nursery, self.random, self._safe, self._viewed,
             self._from_core,
         )  # fmt: skip
-        self.register = Register(1000.0 * boot.heartbeat_s)
+        self.register = EndpointRegistry(1000.0 * boot.heartbeat_s)
         bounds = boot.guarantees
-        self.tally = Tally(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack)
-        self.berths = Berths(self.random.getrandbits(32))
+        self.tally = QuotaCounter(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack)
+        self.berths = LoadTracker(self.random.getrandbits(32))
         self.resources = [make(self) for make in RESOURCES]
         self.pilots: dict[PeerConnection, str] = {}
-        self.offers = Offers()
-        self.contact = ContactLog(self.clock.now(), 1000.0 * boot.heartbeat_s)
+        self.offers = ConfigDistributor()
+        self.contact = QuorumContactMonitor(self.clock.now(), 1000.0 * boot.heartbeat_s)
         self._saved: set[str] = set()  # servers on disk
         self._silent: set[str] = set()  # servers taken for lost of which the pilots have not been told
         self._begin()
@@ -115,13 +115,13 @@
             if found is not None and resource.method == method:
                 self._last += 1
                 client.accepted(self._last, 0.0)
-                call = Call(method, path, body, found.groupdict())
+                call = ApiRequest(method, path, body, found.groupdict())
                 self.nursery.start_soon(self._call, client, resource, call, feed)
                 return
-        said = fault(ErrorDetail(ErrorKind.NOT_FOUND, path))
+        said = error_response(ErrorDetail(ErrorKind.NOT_FOUND, path))
         client.answer(said.status, "", said.body)
 
-    async def _call(self, client: Client, resource: Any, call: Call, feed: Feed | None) -> None:
+    async def _call(self, client: Client, resource: Any, call: ApiRequest, feed: Feed | None) -> None:
         while feed is not None and await feed.ready():
             call.body += feed.take()
             if len(call.body) > MOST_ORDER:
@@ -132,7 +132,7 @@
             said = await resource.call(call)
         except Exception as error:  # one call's trouble must not end the process
             logs.log_event("call_failed", path=call.path, reason=repr(error))
-            said = Said(500)
+            said = ApiResponse(500)
         client.answer(said.status, said.retry_after, said.body)
 
     def leave(self, number: int) -> None:
@@ -155,24 +155,24 @@
         """Return the epoch of the view that is known here."""
         return self.core.chain.view.epoch
 
-    async def order(self, order: Order, read: bool = False) -> Entered:
+    async def order(self, order: Update, read: bool = False) -> UpdateResult:
         """Have an order made safe; nothing is confirmed or refused without contact, before or after.
 
         What a start or a change of view holds up is tried again within the caller's second.
         """
         if self.cut_off:
-            return NOT_ENTERED
+            return NOT_COMMITTED
         pause = AGAIN_S
         with trio.move_on_after(ORDER_S):
             while True:
                 await self._in_contact()
                 entered = await self.core.enter(order, read)
-                if entered.verdict is not Verdict.NOT_YET:
+                if entered.verdict is not CommitOutcome.NOT_YET:
                     await self._in_contact()
                     return entered
                 await trio.sleep(pause)
                 pause *= 2.0
-        return NOT_ENTERED
+        return NOT_COMMITTED
 
     async def _in_contact(self) -> None:
         while self.look() is QuorumContact.NONE:
@@ -192,12 +192,12 @@
 
     async def leaves(self, server: str, state: int) -> bool:
         """Have it made safe that a server leaves; False where that did not come about in time."""
-        order, known = Order(leaving={server: state}), self.core.chain.safe.leaving.get(server, READY)
+        order, known = Update(leaving={server: state}), self.core.chain.safe.leaving.get(server, READY)
         if known != READY and self.look() is not QuorumContact.NONE:
             if state > known:
                 self.nursery.start_soon(self.core.enter, order)
             return True
-        return (await self.order(order)).verdict is Verdict.SAFE
+        return (await self.order(order)).verdict is CommitOutcome.SAFE
 
     def beat_target(self, zone: str) -> str:
         """Name where a server's beats are best sent: to a lighthouse in its own zone, else here."""
@@ -457,7 +457,7 @@
     await light.serve(Http1Connection(link, light, patience=patience), link)
 
 
-async def step_down(light: Light) -> None:
+async def drain(light: ControlPlane) -> None:
     """Wait until what this machine keeps is kept without it, or the grace is nearly over."""
     light.draining = light.core.leaving = True
     with trio.move_on_after(LEAVE_SHARE * light.boot.guarantees.grace_s):
@@ -469,7 +469,7 @@
     """Run a lighthouse until told to end."""
     boot = started.boot
     async with trio.open_nursery() as nursery:
-        light = Light(boot, nursery, seed)
+        light = ControlPlane(boot, nursery, seed)
         core = light.core
         nursery.start_soon(light.timers.run)
         nursery.start_soon(core.run)
@@ -482,6 +482,6 @@
         held = core.chain.replica.config.version
         logs.log_event("lit", disk=core.chain.me[1], epoch=light.epoch, held=held)
         await ended.wait()
-        await step_down(light)
+        await drain(light)
         logs.log_event("out", epoch=core.chain.view.epoch)
         nursery.cancel_scope.cancel()
--- a/wickspring/lighthouse/contact.py
+++ b/wickspring/controlplane/quorum_contact.py
@@ -14,7 +14,7 @@
 SETTLE_BEATS = 1.5  # between two beats of servers at most, and for them to be told on
 
 
-class ContactLog:
+class QuorumContactMonitor:
     """What the looks so far have shown; a start counts as the end of a contact."""
 
     def __init__(self, now: float, beat_ms: float) -> None:
--- a/wickspring/lighthouse/tally.py
+++ b/wickspring/controlplane/quota_counter.py
@@ -35,7 +35,7 @@
 AGAIN_SHARE, AGAIN_LEAST = 0.2, 4.0  # of the burst that is kept for those who come for the first time
 
 
-class Count:
+class TenantCount:
     """One tenant's windows of late."""
 
     __slots__ = ("away", "level", "level_at", "parts", "shadow", "total", "windows")
@@ -104,26 +104,26 @@
         self.total, self.level = sum(sums.values()), None
 
 
-class Tally:
+class QuotaCounter:
     """The counts that this machine keeps."""
 
     def __init__(self, span_s: float, excess: float, slack: float) -> None:
         self.span_s, self.excess, self.slack = span_s, excess, slack
         self.window_ms = 1000.0 * span_s / WINDOWS_PER_SPAN
-        self.counts: dict[str, Count] = {}
+        self.counts: dict[str, TenantCount] = {}
 
-    def _count(self, now: float, tenant: str, rate: float, burst: float) -> tuple[int, float, Count]:
+    def _count(self, now: float, tenant: str, rate: float, burst: float) -> tuple[int, float, TenantCount]:
         window = int(now / self.window_ms)
         count = self.counts.get(tenant)
         if count is None:
-            count = self.counts[tenant] = Count()
+            count = self.counts[tenant] = TenantCount()
         brings = rate * self.window_ms / 1000.0
         if count.away:
             brings = max(LEFT_LEAST * brings, brings - self._kept_back(now, count, rate, burst))
         count.advance(window, brings, brings + burst + BURST_MORE)
         return window, brings, count
 
-    def _kept_back(self, now: float, count: Count, rate: float, burst: float) -> float:
+    def _kept_back(self, now: float, count: TenantCount, rate: float, burst: float) -> float:
         """Return the units a window that silent pilots may be sending on."""
         for pilot, (_, until) in list(count.away.items()):
             if now >= until:
@@ -183,7 +183,7 @@
 
     def past(self, now: float, tenant: str, pilot: str, told: Iterable[tuple[int, int]]) -> None:
         """Take a pilot's own word of what it has sent on of late."""
-        count = self.counts.setdefault(tenant, Count())
+        count = self.counts.setdefault(tenant, TenantCount())
         count.replace(int(now / self.window_ms), pilot, told)
 
     def much_used(self, now: float, bursts: Mapping[str, float]) -> dict[str, list[tuple[int, int]]]:
@@ -201,7 +201,7 @@
     def shadowed(self, now: float, tenant: str, told: Iterable[tuple[int, int]]) -> None:
         """Take in what another machine has counted of late while it kept this tenant's count."""
         window = int(now / self.window_ms)
-        shadow = self.counts.setdefault(tenant, Count()).shadow
+        shadow = self.counts.setdefault(tenant, TenantCount()).shadow
         for ago, units in told:
             if 0 <= ago <= WINDOWS_PER_SPAN and 0 < units <= MOST_UNITS:
                 shadow[window - ago] = max(units, shadow.get(window - ago, 0))
--- a/wickspring/lighthouse/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -21,10 +21,24 @@
 from random import Random
 from typing import Any
 
+from wickspring.controlplane.replication.paxos import (
+    Ballot,
+    PaxosVoter,
+    pack_value,
+    parse_ballot,
+    unpack_value,
+)
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
+from wickspring.controlplane.replication.view import (
+    ClusterObservation,
+    FaultTolerance,
+    Member,
+    PeerObservation,
+    View,
+    differs,
+    next_view,
+)
 from wickspring.core.invariants import holds
-from wickspring.lighthouse.decree import Ballot, Decree, ballot_of, pack_value, unpack_value
-from wickspring.lighthouse.replica import Order, Replica, Verdict, digest_of
-from wickspring.lighthouse.views import Member, Reach, Scene, Tolerance, View, changes, next_view
 
 RESEND_MS = 250.0  # until what was passed down, and not answered, is passed again
 STEADY_MS = 60.0  # that a reason to change the view must last, above the time in which silence is told
@@ -37,43 +51,43 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _PendingUpdate:
     """An order whose sender waits."""
 
-    order: Order
+    order: Update
     digest: bytes
     seq: int = -1  # of the pass that brings it; below 0: none yet
 
 
-class Chain:
+class ReplicationChain:
     """One core machine's part."""
 
     def __init__(
         self, ip: str, disk: str, view: View, seed: int, replica: Replica | None = None,
-        tolerance: Tolerance | None = None, zone: str = "",
+        tolerance: FaultTolerance | None = None, zone: str = "",
     ) -> None:  # fmt: skip
         self.me: Member = (ip, disk)
         self.ip, self.zone = ip, zone
         self.view = view
-        self.tolerance = tolerance or Tolerance()
+        self.tolerance = tolerance or FaultTolerance()
         self.replica = replica or Replica()
         if not self.replica.config.epoch and view.epoch:
             self.replica = self.replica.begun(view.epoch)
-        self.decree = Decree()
+        self.decree = PaxosVoter()
         self.random = Random(seed)
-        self.reach: Mapping[str, Reach] = {}
+        self.reach: Mapping[str, PeerObservation] = {}
         self.leaving = self.hampered = False  # set by the host: about to end; its disk does not come back
         # What the host takes: saved first, then sent and told.
         self.dirty = False
         self.out: list[tuple[str, list[Any]]] = []
-        self.done: list[tuple[int, Verdict]] = []
+        self.done: list[tuple[int, CommitOutcome]] = []
         self.news: list[Replica] = []  # what has become safe
         self.safe = Replica()  # what this machine knows to be safe, since its start
         # Of who passes.
         self.seq = self.random.randrange(MOST_SEQ)
         self._passing: Replica | None = None  # what the pass under way brings, the same however often it goes
         self._passed_at = -math.inf
-        self._waiting: dict[int, _Waiting] = {}
+        self._waiting: dict[int, _PendingUpdate] = {}
         self._holds: dict[Member, bytes] = {}  # the identity that others have said they hold
         # Of who looks.
         self._want_since = math.inf
@@ -125,17 +139,17 @@
         self.view = View.unpack(told["view"])
         self.decree.restore(told)
 
-    def _scene(self, there: frozenset[Member] = frozenset()) -> Scene:
-        return Scene(self.me, self.zone, self.leaving or self.hampered, self.reach, there)
+    def _scene(self, there: frozenset[Member] = frozenset()) -> ClusterObservation:
+        return ClusterObservation(self.me, self.zone, self.leaving or self.hampered, self.reach, there)
 
     # Orders.
 
-    def enter(self, now: float, ticket: int, order: Order) -> None:
+    def enter(self, now: float, ticket: int, order: Update) -> None:
         """Take an order, or with an empty one a read, at the head; elsewhere it comes to nothing at once."""
         if not self.member or self.head != self.ip:
-            self.done.append((ticket, Verdict.NOT_YET))
+            self.done.append((ticket, CommitOutcome.NOT_YET))
             return
-        self._waiting[ticket] = _Waiting(order, digest_of(order.document))
+        self._waiting[ticket] = _PendingUpdate(order, digest_of(order.document))
         self._begin(now)
 
     def drop(self, ticket: int) -> None:
@@ -245,7 +259,7 @@
 
     # Looking round.
 
-    def tick(self, now: float, reach: Mapping[str, Reach]) -> None:
+    def tick(self, now: float, reach: Mapping[str, PeerObservation]) -> None:
         """Look at what is in reach, and mend the chain where that is called for."""
         self.reach = reach
         self._bring_up(now)
@@ -300,7 +314,7 @@
             return now - self._frozen_at >= FROZEN_MS
         if now - self._begun_at < GRACE_MS:
             return False  # the others are starting as well
-        return changes(self.view, next_view(self.view, self._scene(), self.tolerance))
+        return differs(self.view, next_view(self.view, self._scene(), self.tolerance))
 
     # Agreeing on the next view.
 
@@ -419,7 +433,7 @@
             self._pass(now)
             self._begin(now)
         else:
-            self.done += [(ticket, Verdict.NOT_YET) for ticket in self._waiting]
+            self.done += [(ticket, CommitOutcome.NOT_YET) for ticket in self._waiting]
             self._waiting.clear()
 
     def begin(self, now: float) -> None:
@@ -443,17 +457,17 @@
         elif name == "copy":
             self._take_copy(Replica.unpack(told[0]))
         elif name == "prepare":
-            self._take_prepare(now, sender, int(told[0]), ballot_of(told[1]), bytes(told[2]))
+            self._take_prepare(now, sender, int(told[0]), parse_ballot(told[1]), bytes(told[2]))
         elif name == "promise":
             slot, ballot, accepted, copy, disk = told
-            self._take_promise(now, (sender, str(disk)), int(slot), ballot_of(ballot), accepted, copy)
+            self._take_promise(now, (sender, str(disk)), int(slot), parse_ballot(ballot), accepted, copy)
         elif name == "accept":
             view, state = View.unpack(told[2]), Replica.unpack(told[3])
-            self._take_accept(now, sender, int(told[0]), ballot_of(told[1]), view, state)
+            self._take_accept(now, sender, int(told[0]), parse_ballot(told[1]), view, state)
         elif name == "accepted":
-            self._take_accepted(now, (sender, str(told[2])), int(told[0]), ballot_of(told[1]))
+            self._take_accepted(now, (sender, str(told[2])), int(told[0]), parse_ballot(told[1]))
         elif name == "outbid":
-            self._take_outbid(now, int(told[0]), ballot_of(told[1]))
+            self._take_outbid(now, int(told[0]), parse_ballot(told[1]))
         elif name == "view":
             begun = None if told[1] is None else Replica.unpack(told[1])
             self._take_view(now, sender, View.unpack(told[0]), begun)
--- a/wickspring/lighthouse/lease.py
+++ b/wickspring/controlplane/replication/lease.py
@@ -13,8 +13,8 @@
 
 from __future__ import annotations
 
-from wickspring.lighthouse.chain import Chain
-from wickspring.lighthouse.views import View
+from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.view import View
 
 LEASE_MS = 480.0  # for which a grant holds, from when it was asked for: two ticks and some
 TENURE_MS = 500.0  # since a view was taken up, before its lease is used; clocks differ by less than the rest
@@ -23,7 +23,7 @@
 assert TENURE_MS >= LEASE_MS * (1.0 + MOST_DRIFT)  # else a lease of the view before may still hold
 
 
-def grants(chain: Chain) -> int:
+def grants(chain: ReplicationChain) -> int:
     """Return the epoch that this machine grants leases for; 0 where it grants none."""
     return chain.view.epoch if chain.voter and not chain.frozen else 0
 
@@ -51,7 +51,7 @@
         if known is None or asked > known[1]:
             self._granted[ip, disk] = epoch, asked
 
-    def held(self, now: float, chain: Chain) -> bool:
+    def held(self, now: float, chain: ReplicationChain) -> bool:
         """Tell whether a majority of the present voters has granted it of late, this machine among them."""
         view = chain.view
         if not grants(chain) or view.epoch != self.epoch:
@@ -62,6 +62,6 @@
             count += epoch == view.epoch and now - asked < self.lasts_ms
         return count >= view.majority
 
-    def usable(self, now: float, chain: Chain) -> bool:
+    def usable(self, now: float, chain: ReplicationChain) -> bool:
         """Tell whether it may be used: it is held, and nobody can hold one of an earlier view any more."""
         return self.held(now, chain) and now - self.since >= TENURE_MS
--- a/wickspring/lighthouse/core.py
+++ b/wickspring/controlplane/replication/node.py
@@ -17,24 +17,30 @@
 from wickspring.common.seeds import SeedList
 from wickspring.common.settings import NodeSettings
 from wickspring.common.settings_file import parse_ip
-from wickspring.lighthouse.chain import Chain
-from wickspring.lighthouse.lease import Lease, grants
-from wickspring.lighthouse.logbook import Logbook
-from wickspring.lighthouse.replica import Order, Replica, Verdict
-from wickspring.lighthouse.views import Member, Reach, Tolerance, View, shortfalls
+from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.lease import Lease, grants
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
+from wickspring.controlplane.replication.view import (
+    FaultTolerance,
+    Member,
+    PeerObservation,
+    View,
+    tolerance_shortfalls,
+)
+from wickspring.controlplane.storage import ReplicaStore
 from wickspring.net.clock import Clock
 
-TICK_MS = 200.0
-LIVE_MS = 750.0  # since a core machine was last heard, within which it counts as in reach
-BUSY_MS = 600.0  # that a save may take until this machine says that its disk does not come back
-FIRST_DISK = "first"  # the disk's id on the very first start, which all machines can know of each other
-SAVE_AGAIN_S = 0.2
-ASK_CORES = 0.3  # odds of asking a machine that counts otherwise which core machines it knows
-ENTER_MS = 850.0  # for a write to become safe; callers give up after a second
+HEARTBEAT_MS = 200.0
+REACHABLE_MS = 750.0  # since a core machine was last heard, within which it counts as in reach
+SLOW_SAVE_MS = 600.0  # that a save may take until this machine says that its disk does not come back
+FIRST_DISK_ID = "first"  # the disk's id on the very first start, which all machines can know of each other
+SAVE_RETRY_S = 0.2
+ASK_NODES_PROBABILITY = 0.3  # odds of asking a machine that counts otherwise which core machines it knows
+UPDATE_TIMEOUT_MS = 850.0  # for a write to become safe; callers give up after a second
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class NodeStatus:
     """What a core machine says of itself with each tick."""
 
     disk: str
@@ -51,54 +57,54 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Entered:
+class UpdateResult:
     """What became of an order; of a read, what was safe at the head."""
 
-    verdict: Verdict
+    verdict: CommitOutcome
     replica: Replica | None = None
 
 
-NOT_ENTERED = Entered(Verdict.NOT_YET)
+NOT_COMMITTED = UpdateResult(CommitOutcome.NOT_YET)
 
 
-class Core:
+class ReplicationNode:
     """This machine's part in the core."""
 
     def __init__(
-        self, boot: NodeSettings, keeper: Logbook, clock: Clock, nursery: trio.Nursery, random: Random,
+        self, boot: NodeSettings, keeper: ReplicaStore, clock: Clock, nursery: trio.Nursery, random: Random,
         told: Callable[[Replica], None], viewed: Callable[[], None], heard: Callable[[str, Message], None],
     ) -> None:  # fmt: skip
         self.boot, self.keeper, self.clock, self.nursery, self.random = boot, keeper, clock, nursery, random
         self._told, self._viewed, self._heard = told, viewed, heard
         self.ip = boot.ip
         self.callers: dict[str, ReconnectingClient] = {}
-        self.states: dict[str, Told] = {}  # what the others said of themselves last,
+        self.states: dict[str, NodeStatus] = {}  # what the others said of themselves last,
         self.asked_at: dict[str, float] = {}  # and when they were asked for that
         self.leaving = False
         self.seeds = SeedList(boot)
         self.saving_since = 0.0
         self._tickets = 0
-        self._waiting: dict[int, Callable[[Verdict], None]] = {}
-        self._away: dict[int, Callable[[Verdict, Any], None]] = {}  # orders at the head, elsewhere
+        self._waiting: dict[int, Callable[[CommitOutcome], None]] = {}
+        self._away: dict[int, Callable[[CommitOutcome, Any], None]] = {}  # orders at the head, elsewhere
         self._events: list[Callable[[], None]] = []
         self._stirred = trio.Event()
         self._disk = trio.Lock()  # one thread at a time writes
         self.lease = Lease()
         self.chain = self._begin()
 
-    def _begin(self) -> Chain:
+    def _begin(self) -> ReplicationChain:
         seed = self.random.getrandbits(32)
         told = self.boot.tolerates
-        tolerance = Tolerance(told.machines, told.zones, told.regions)
-        make = partial(Chain, tolerance=tolerance, zone=self.boot.zone)
+        tolerance = FaultTolerance(told.machines, told.zones, told.regions)
+        make = partial(ReplicationChain, tolerance=tolerance, zone=self.boot.zone)
         found = self.keeper.load()
         if found is not None:
             durable, replica = found
             chain = make(self.ip, str(durable["disk"]), View(), seed, replica)
             chain.restore(durable)
         elif self.boot.is_first_start:
-            members: tuple[Member, ...] = tuple((ip, FIRST_DISK) for ip in self.boot.seed_ips())
-            chain = make(self.ip, FIRST_DISK, View(1, members, members), seed)
+            members: tuple[Member, ...] = tuple((ip, FIRST_DISK_ID) for ip in self.boot.seed_ips())
+            chain = make(self.ip, FIRST_DISK_ID, View(1, members, members), seed)
         else:  # a disk that was lost, or a machine that is new: no vote until a view takes it in
             chain = make(self.ip, secrets.token_hex(6), View(), seed)
         chain.dirty = True
@@ -145,10 +151,10 @@
             return True
         caller = self.callers.get(ip)
         cable = caller.cable if caller is not None else None
-        return cable is not None and cable.live and self.clock.now() - cable.heard_at < LIVE_MS
+        return cable is not None and cable.live and self.clock.now() - cable.heard_at < REACHABLE_MS
 
     def state(self) -> list[Any]:
-        """Return what this machine tells of itself, in the order of `Told`."""
+        """Return what this machine tells of itself, in the order of `NodeStatus`."""
         chain, safe = self.chain, self.chain.safe
         return [
             chain.me[1], chain.view.epoch, safe.config.epoch, safe.config.version, len(safe.leaving),
@@ -160,10 +166,10 @@
         """Hear an answer on a cable that this machine called."""
         if message[0] == "tock":
             ip = str(message[1])
-            told, self.asked_at[ip] = Told(*message[2]), float(message[3])
+            told, self.asked_at[ip] = NodeStatus(*message[2]), float(message[3])
             self.states[ip] = told
             self.lease.granted(ip, told.disk, float(message[3]), int(message[4]))
-            if set(told.sees) - {self.ip} != set(self.callers) - {ip} and self.random.random() < ASK_CORES:
+            if set(told.sees) - {self.ip} != set(self.callers) - {ip} and self.random.random() < ASK_NODES_PROBABILITY:
                 cable.send("cores")  # it reaches more of them, or fewer
         elif message[0] == "cores":
             self.know([parse_ip(ip) for ip in message[1]])
@@ -178,18 +184,18 @@
         elif name == "chain":
             self._queue(lambda: self.chain.receive(self.clock.now(), ip, message[1]))
         elif name == "enter":
-            self._enter_for(ip, int(message[1]), Order.unpack(message[2]), bool(message[3]))
+            self._enter_for(ip, int(message[1]), Update.unpack(message[2]), bool(message[3]))
         elif name == "entered":
             answer = self._away.pop(int(message[1]), None)
             if answer is not None:
-                answer(Verdict(message[2]), message[3])
+                answer(CommitOutcome(message[2]), message[3])
         else:
             self._heard(ip, message)
         return True
 
-    def _enter_for(self, ip: str, ticket: int, order: Order, read: bool) -> None:
-        def done(verdict: Verdict) -> None:
-            told = self.chain.safe.pack() if read and verdict is Verdict.SAFE else None
+    def _enter_for(self, ip: str, ticket: int, order: Update, read: bool) -> None:
+        def done(verdict: CommitOutcome) -> None:
+            told = self.chain.safe.pack() if read and verdict is CommitOutcome.SAFE else None
             self.say(ip, "entered", ticket, int(verdict), told)
 
         self._tickets += 1
@@ -197,29 +203,29 @@
 
     # Orders and reads.
 
-    def _enter(self, ticket: int, order: Order, done: Callable[[Verdict], None]) -> None:
+    def _enter(self, ticket: int, order: Update, done: Callable[[CommitOutcome], None]) -> None:
         self._waiting[ticket] = done
         self._queue(lambda: self.chain.enter(self.clock.now(), ticket, order))
 
-    async def enter(self, order: Order, read: bool = False) -> Entered:
+    async def enter(self, order: Update, read: bool = False) -> UpdateResult:
         """Have an order made safe by the head, wherever it is; NOT_YET where that takes too long."""
         ended = trio.Event()
-        result = [NOT_ENTERED]
+        result = [NOT_COMMITTED]
 
-        def here(verdict: Verdict) -> None:
-            copy = self.chain.safe.copy() if read and verdict is Verdict.SAFE else None
-            result[0] = Entered(verdict, copy)
+        def here(verdict: CommitOutcome) -> None:
+            copy = self.chain.safe.copy() if read and verdict is CommitOutcome.SAFE else None
+            result[0] = UpdateResult(verdict, copy)
             ended.set()
 
-        def away(verdict: Verdict, told: Any) -> None:
-            result[0] = Entered(verdict, None if told is None else Replica.unpack(told))
+        def away(verdict: CommitOutcome, told: Any) -> None:
+            result[0] = UpdateResult(verdict, None if told is None else Replica.unpack(told))
             ended.set()
 
         head = self.chain.head
         self._tickets += 1
         ticket = self._tickets
         try:
-            with trio.move_on_after(ENTER_MS / 1000.0):
+            with trio.move_on_after(UPDATE_TIMEOUT_MS / 1000.0):
                 if head == self.ip:
                     self._enter(ticket, order, here)
                     await ended.wait()
@@ -239,9 +245,9 @@
         self._events.append(event)
         self._stirred.set()
 
-    def _reaches(self) -> dict[str, Reach]:
+    def _reaches(self) -> dict[str, PeerObservation]:
         return {
-            ip: Reach(
+            ip: PeerObservation(
                 self.live(ip), told.disk, told.ill, told.zone, told.epoch, told.safe_epoch, told.version,
                 told.leaving, told.leaving_sum, told.identity, frozenset(told.sees),
             )
@@ -256,10 +262,10 @@
             for caller in self.callers.values():
                 caller.send("tick", self.clock.now())
             self.chain.leaving = self.leaving
-            busy = self.clock.now() - self.saving_since > BUSY_MS
+            busy = self.clock.now() - self.saving_since > SLOW_SAVE_MS
             self.chain.hampered = bool(self.saving_since) and busy
             self._queue(lambda: self.chain.tick(self.clock.now(), self._reaches()))
-            await trio.sleep(TICK_MS * self.random.uniform(0.85, 1.15) / 1000.0)
+            await trio.sleep(HEARTBEAT_MS * self.random.uniform(0.85, 1.15) / 1000.0)
 
     async def run(self) -> None:
         """Let the chain take one event after another."""
@@ -304,7 +310,7 @@
                 break
             except (sqlite3.Error, OSError) as error:
                 logs.log_event("save_failed", reason=error)
-                await trio.sleep(SAVE_AGAIN_S)
+                await trio.sleep(SAVE_RETRY_S)
         self.saving_since = 0.0
 
     async def save_servers(self, servers: list[Any]) -> None:
@@ -341,7 +347,7 @@
     def short(self) -> list[str]:
         """Say what of `tolerates` the present view does not bear; nothing where it bears all."""
         zones = {ip: told.zone for ip, told in self.states.items()} | {self.ip: self.boot.zone}
-        return shortfalls(self.chain.view, self.chain.tolerance, zones, self.boot.zones)
+        return tolerance_shortfalls(self.chain.view, self.chain.tolerance, zones, self.boot.zones)
 
     @property
     def in_contact(self) -> bool:
@@ -353,7 +359,7 @@
         heard = [
             (ip, disk) for ip, disk in view.voters
             if (ip, disk) == self.chain.me or (
-                now - self.asked_at.get(ip, -LIVE_MS) < LIVE_MS and (told := self.states.get(ip)) is not None
+                now - self.asked_at.get(ip, -REACHABLE_MS) < REACHABLE_MS and (told := self.states.get(ip)) is not None
                 and (told.disk, told.epoch) == (disk, view.epoch)
             )
         ]  # fmt: skip
--- a/wickspring/lighthouse/decree.py
+++ b/wickspring/controlplane/replication/paxos.py
@@ -14,15 +14,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from wickspring.controlplane.replication.replica import Replica
+from wickspring.controlplane.replication.view import Member, View
 from wickspring.core.invariants import holds
-from wickspring.lighthouse.replica import Replica
-from wickspring.lighthouse.views import Member, View
 
 Ballot = tuple[int, str]
 Value = tuple[View, Replica]
 
 
-def ballot_of(told: Iterable[Any]) -> Ballot:
+def parse_ballot(told: Iterable[Any]) -> Ballot:
     """Read a ballot from a message."""
     number, ip = told
     return int(number), str(ip)
@@ -35,7 +35,7 @@
 
 def unpack_value(told: Any) -> tuple[Ballot, Value]:
     """Read an accepted value."""
-    return ballot_of(told[0]), (View.unpack(told[1]), Replica.unpack(told[2]))
+    return parse_ballot(told[0]), (View.unpack(told[1]), Replica.unpack(told[2]))
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
     value: Value | None = None  # once it is put to the vote
 
 
-class Decree:
+class PaxosVoter:
     """One voter's part."""
 
     def __init__(self) -> None:
@@ -71,7 +71,7 @@
     def restore(self, told: Mapping[str, Any]) -> None:
         """Take up what an earlier life left."""
         slot, ballot = told["promised"]
-        self.promised = int(slot), ballot_of(ballot)
+        self.promised = int(slot), parse_ballot(ballot)
         if told["accepted"] is not None:
             slot, *value = told["accepted"]
             self.accepted = (int(slot), *unpack_value(value))
--- a/wickspring/lighthouse/replica.py
+++ b/wickspring/controlplane/replication/replica.py
@@ -26,7 +26,7 @@
 NO_DOCUMENT = b""
 
 
-class Verdict(IntEnum):
+class CommitOutcome(IntEnum):
     """What became of an order: whether whoever sent it may be told that it is kept."""
 
     NOT_YET = 0  # not shown to be safe: it may hold later, or never
@@ -73,12 +73,12 @@
             self._identity.append(told.digest())
         return self._identity[0]
 
-    def judge(self, version: int, digest: bytes) -> Verdict:
+    def judge(self, version: int, digest: bytes) -> CommitOutcome:
         """Say what may be told of an order once this is safe."""
         if version > self.version:
-            return Verdict.NOT_YET
+            return CommitOutcome.NOT_YET
         known = self.digest if version == self.version else dict(self.history).get(version)
-        return Verdict.SAFE if not version or known in (None, digest) else Verdict.CONFLICT
+        return CommitOutcome.SAFE if not version or known in (None, digest) else CommitOutcome.CONFLICT
 
     def follow(self, version: int, document: bytes, epoch: int) -> Config:
         """Return the configuration that an order of a higher number makes."""
@@ -110,7 +110,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Order:
+class Update:
     """What is to be made safe: a configuration, servers that leave, or nothing (a read)."""
 
     version: int = 0
@@ -122,9 +122,9 @@
         return [self.version, self.document, self.leaving]
 
     @staticmethod
-    def unpack(told: Any) -> Order:
+    def unpack(told: Any) -> Update:
         """Read it from a message."""
-        return Order(int(told[0]), bytes(told[1]), {str(k): int(v) for k, v in told[2].items()})
+        return Update(int(told[0]), bytes(told[1]), {str(k): int(v) for k, v in told[2].items()})
 
 
 def _sum(server: str, state: int) -> int:
@@ -178,7 +178,7 @@
         self.config = self.config.filled(own.config)
         return self.config.whole
 
-    def take(self, order: Order, epoch: int) -> bool:
+    def take(self, order: Update, epoch: int) -> bool:
         """Take an order as the head of an epoch; True where it changed this copy."""
         changed = order.version > self.config.version
         if changed:
--- a/wickspring/lighthouse/snapshot.py
+++ b/wickspring/controlplane/replication/snapshot.py
@@ -17,8 +17,8 @@
 from expression import Error, Ok, Result
 
 from wickspring.common.errors import ErrorDetail, ErrorKind
-from wickspring.lighthouse.check import check
-from wickspring.lighthouse.replica import DIGEST_SIZE, Order, Replica, digest_of
+from wickspring.controlplane.api.config_validation import validate_config
+from wickspring.controlplane.replication.replica import DIGEST_SIZE, Replica, Update, digest_of
 
 FORMAT = 2
 MOST_STATE = 2  # of a leaving server: gone
@@ -60,7 +60,7 @@
     return _sum(one.format, one.epoch, one.number, one.digest, one.history, one.config, leaving)
 
 
-def _refused(reason: str) -> Result[Order, ErrorDetail]:
+def _refused(reason: str) -> Result[Update, ErrorDetail]:
     return Error(ErrorDetail(ErrorKind.INVALID_SNAPSHOT, reason))
 
 
@@ -76,7 +76,7 @@
     return msgspec.json.encode(one)
 
 
-def unpack(body: bytes) -> Result[Order, ErrorDetail]:
+def unpack(body: bytes) -> Result[Update, ErrorDetail]:
     """Read a snapshot and check it whole; the order that brings it back, or the fault its sender is told."""
     try:
         form = msgspec.json.decode(body, type=_Format).format
@@ -89,7 +89,7 @@
     return _refused(f"format {form}, this program knows 1 to {FORMAT}")
 
 
-def _read(told: _Snapshot) -> Result[Order, ErrorDetail]:
+def _read(told: _Snapshot) -> Result[Update, ErrorDetail]:
     if told.sum != _sum_of(told):
         return _refused("its sum does not fit: it was cut or changed")
     numbers = [0, *(number for number, _ in told.history), told.number]
@@ -101,21 +101,21 @@
     return _order(told.config, told.leaving, told.number)
 
 
-def _read_1(told: _Snapshot1) -> Result[Order, ErrorDetail]:
+def _read_1(told: _Snapshot1) -> Result[Update, ErrorDetail]:
     if told.sum != _sum(told.config, sorted(told.leavers.items())):
         return _refused("its sum does not fit: it was cut or changed")
     return _order(told.config, told.leavers, None)
 
 
-def _order(config: str, leaving: dict[str, int], number: int | None) -> Result[Order, ErrorDetail]:
+def _order(config: str, leaving: dict[str, int], number: int | None) -> Result[Update, ErrorDetail]:
     if any(not server or not 0 < state <= MOST_STATE for server, state in leaving.items()):
         return _refused("leaving: states are 1 and 2")
     if not config:
-        return _refused(f"r{number} has no text") if number else Ok(Order(leaving=leaving))
+        return _refused(f"r{number} has no text") if number else Ok(Update(leaving=leaving))
     document = config.encode()
-    checked = check(document)
+    checked = validate_config(document)
     if checked.is_error():
         return _refused(f"config: {checked.error.reason}")
     if number is not None and checked.ok != number:
         return _refused(f"config: its text is r{checked.ok}, its number r{number}")
-    return Ok(Order(checked.ok, document, leaving))
+    return Ok(Update(checked.ok, document, leaving))
--- a/wickspring/lighthouse/views.py
+++ b/wickspring/controlplane/replication/view.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from wickspring.controlplane.replication.replica import LEAVING_MOST, Replica
 from wickspring.core.invariants import holds
-from wickspring.lighthouse.replica import LEAVING_MOST, Replica
 
 Member = tuple[str, str]  # address, id of its disk
 VOTERS_LEAST = 3  # one may be lost while another is away
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tolerance:
+class FaultTolerance:
     """What may be lost at once: machines, or zones, or regions."""
 
     machines: int = 1
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reach:
+class PeerObservation:
     """What is known of another core machine at this moment."""
 
     live: bool
@@ -102,13 +102,13 @@
 
 
 @dataclass(slots=True)
-class Scene:
+class ClusterObservation:
     """What one voter sees when it thinks about the next view."""
 
     me: Member
     zone: str
     hampered: bool  # this machine itself
-    reach: Mapping[str, Reach]
+    reach: Mapping[str, PeerObservation]
     there: frozenset[Member] = frozenset()  # who has just promised: there, whatever was heard before
 
     def zone_of(self, member: Member) -> str:
@@ -150,13 +150,13 @@
         ]  # fmt: skip
 
 
-def _crowd(voters: Collection[Member], scene: Scene, zones: int) -> int:
+def _crowd(voters: Collection[Member], scene: ClusterObservation, zones: int) -> int:
     """Return by how many voters the zones that may be lost exceed what may be lost."""
     shares = sorted(Counter(map(scene.zone_of, voters)).values(), reverse=True)
     return max(0, sum(shares[:zones]) - (len(voters) - 1) // 2)
 
 
-def _voters(view: View, scene: Scene, tolerance: Tolerance) -> tuple[Member, ...]:
+def _voters(view: View, scene: ClusterObservation, tolerance: FaultTolerance) -> tuple[Member, ...]:
     chosen = [one for one in view.voters if scene.is_well(one)]
     spare = scene.outside(view)
 
@@ -190,7 +190,7 @@
     return (*old, *(one for one in chosen if one not in old))
 
 
-def next_view(view: View, scene: Scene, tolerance: Tolerance) -> View:
+def next_view(view: View, scene: ClusterObservation, tolerance: FaultTolerance) -> View:
     """Return the view that should follow; with the same voters and chain where nothing should change."""
     voters = _voters(view, scene, tolerance)
     chain = [one for one in view.chain if one in voters and scene.is_well(one)]
@@ -204,13 +204,13 @@
     return View(view.epoch + 1, voters, tuple(chain))
 
 
-def changes(view: View, following: View) -> bool:
+def differs(view: View, following: View) -> bool:
     """Tell whether another view should follow."""
     return set(view.voters) != set(following.voters) or set(view.chain) != set(following.chain)
 
 
-def shortfalls(
-    view: View, tolerance: Tolerance, zones: Mapping[str, str], regions: Mapping[str, str]
+def tolerance_shortfalls(
+    view: View, tolerance: FaultTolerance, zones: Mapping[str, str], regions: Mapping[str, str]
 ) -> list[str]:
     """Say what of `tolerates` a view does not bear, if anything; `zones` by address, `regions` by zone."""
     short = []
--- a/wickspring/lighthouse/logbook.py
+++ b/wickspring/controlplane/storage.py
@@ -31,10 +31,10 @@
 from zope.interface import Interface, implementer
 
 from wickspring.common import logs as logs_module
+from wickspring.controlplane import storage_legacy
+from wickspring.controlplane.replication.replica import Config, Replica, digest_of
+from wickspring.controlplane.storage_legacy import CorruptStoreError
 from wickspring.core.invariants import holds
-from wickspring.lighthouse import logbook_older
-from wickspring.lighthouse.logbook_older import NotWholeError
-from wickspring.lighthouse.replica import Config, Replica, digest_of
 
 T = TypeVar("T")
 
@@ -55,7 +55,7 @@
 _UNREADABLE = (sqlite3.DatabaseError, ValueError, TypeError, KeyError, IndexError, msgpack.UnpackException)
 
 
-class IKeeper(Interface):  # type: ignore[misc]
+class IReplicaStore(Interface):  # type: ignore[misc]
     """Where a core machine's state outlives its process."""
 
     def load(self) -> tuple[dict[str, Any], Replica] | None:
@@ -95,8 +95,8 @@
     return _sum(msgpack.packb(sorted(history.items())))
 
 
-@implementer(IKeeper)
-class Logbook:
+@implementer(IReplicaStore)
+class ReplicaStore:
     """The file in a folder of this machine's disk."""
 
     def __init__(self, folder: str, pause: Callable[[float], None] = time.sleep) -> None:
@@ -138,7 +138,7 @@
                 _sync(path)
         try:
             self._connect()
-        except (sqlite3.DatabaseError, NotWholeError) as error:
+        except (sqlite3.DatabaseError, CorruptStoreError) as error:
             self.close()
             if _refuses(error):
                 raise
@@ -176,11 +176,11 @@
     def _move_on(self, found: int) -> None:
         """Bring a file of an older schema, or a new one, to this schema."""
         try:
-            held = logbook_older.read(self.db, found) if found else None
+            held = storage_legacy.read(self.db, found) if found else None
         except _UNREADABLE as error:
             if isinstance(error, sqlite3.DatabaseError) and _refuses(error):
                 raise
-            raise NotWholeError(f"schema {found}: {error}") from error
+            raise CorruptStoreError(f"schema {found}: {error}") from error
         if found:
             self.db.execute("drop table if exists leaver")
             self.db.execute("drop table part")
@@ -235,31 +235,31 @@
         parts = {str(name): bytes(data) for name, checked, data in rows if _sum(bytes(data)) == checked}
         bad = {str(name) for name, _, _ in rows} - parts.keys() - {"servers"}
         if bad:
-            raise NotWholeError(f"sums do not fit: {bad}")
+            raise CorruptStoreError(f"sums do not fit: {bad}")
         past = {int(n): bytes(one) for n, one in self.db.execute("select version, digest from history")}
         told = self.db.execute("select id, state, sum from leaving order by rowid").fetchall()
         leaving = {str(server): int(state) for server, state, _ in told}
         if "seal" not in parts:
             if parts.keys() & set(SEALED) or past or told:
-                raise NotWholeError("no seal")
+                raise CorruptStoreError("no seal")
             self._saved = parts
             return None
         if parts["seal"] != b"".join(_sum(parts[name]) for name in SEALED):
-            raise NotWholeError("parts of two saves")
+            raise CorruptStoreError("parts of two saves")
         epoch, version, digest, before, left = msgpack.unpackb(parts["config"])
         if [len(past), _history_sum(past)] != before:
-            raise NotWholeError("the history is not whole")
+            raise CorruptStoreError("the history is not whole")
         if any(_sum(f"{server} {state}".encode()) != checked for server, state, checked in told):
-            raise NotWholeError("a leaving server's sum does not fit")
+            raise CorruptStoreError("a leaving server's sum does not fit")
         history = sorted(past.items())
         config = Config.unpack([epoch, version, parts["document"], digest, history, b""])
         replica = Replica(config, dict(leaving))
         if not config.whole or [len(leaving), replica.leaving_sum] != left:
-            raise NotWholeError("the copy is not whole")
+            raise CorruptStoreError("the copy is not whole")
         durable: dict[str, Any] = msgpack.unpackb(parts["chain"])
         durable["accepted"] = accepted = msgpack.unpackb(parts["accepted"])
         if accepted is not None and not Replica.unpack(accepted[3]).config.whole:
-            raise NotWholeError("the accepted view's state is not whole")
+            raise CorruptStoreError("the accepted view's state is not whole")
         self._saved, self._history, self._leaving = parts, past, leaving
         return durable, replica
 
--- a/wickspring/lighthouse/logbook_older.py
+++ b/wickspring/controlplane/storage_legacy.py
@@ -15,10 +15,10 @@
 
 import msgpack
 
-from wickspring.lighthouse.replica import Config, Replica, digest_of
+from wickspring.controlplane.replication.replica import Config, Replica, digest_of
 
 
-class NotWholeError(ValueError):
+class CorruptStoreError(ValueError):
     """What a file holds does not add up."""
 
 
@@ -38,7 +38,7 @@
         return {str(server): int(state) for server, state in told.items()}
     rows = db.execute("select id, state, sum from leaver order by rowid").fetchall()
     if len(rows) != told or any(_sum(f"{server} {state}".encode()) != s for server, state, s in rows):
-        raise NotWholeError("the leaving servers are not whole")
+        raise CorruptStoreError("the leaving servers are not whole")
     return {str(server): int(state) for server, state, _ in rows}
 
 
@@ -47,7 +47,7 @@
     rows = db.execute("select name, sum, data from part").fetchall()
     parts = {str(name): bytes(data) for name, checked, data in rows if _sum(bytes(data)) == checked}
     if len(parts) < len(rows):
-        raise NotWholeError("a sum does not fit")
+        raise CorruptStoreError("a sum does not fit")
     if "chain" not in parts:
         return None
     durable: dict[str, Any] = msgpack.unpackb(parts["chain"])
@@ -56,7 +56,7 @@
     epoch = int(durable["view"][0])
     config = Config(epoch, int(version), document, digest_of(document) if version else b"")
     if not config.whole:
-        raise NotWholeError(f"r{version} has no text")
+        raise CorruptStoreError(f"r{version} has no text")
     replica = Replica(config, _leaving(db, schema, told))
     accepted = durable["accepted"]
     if accepted is not None:
--- a/wickspring/helm/__main__.py
+++ b/wickspring/helm/__main__.py
@@ -124,9 +124,9 @@
 
     def check(self, file: str) -> str:
         """Check a configuration file here, without sending it."""
-        from wickspring.lighthouse.check import check
+        from wickspring.controlplane.api.config_validation import validate_config
 
-        found = check(Path(file).read_bytes())
+        found = validate_config(Path(file).read_bytes())
         if found.is_error():
             raise SystemExit(f"{file}: {found.error.reason}")
         return f"{file}: r{found.ok} is valid"
--- a/wickspring/lab/capacity_site.py
+++ b/wickspring/lab/capacity_site.py
@@ -34,9 +34,9 @@
 from wickspring.common import settings as boots
 from wickspring.common.connection import Message, PeerConnection
 from wickspring.common.lifecycle import GC_AFTER
+from wickspring.controlplane import process as lights
 from wickspring.interface import Status
 from wickspring.lab.clock import VirtualClock
-from wickspring.lighthouse import light as lights
 from wickspring.net import host
 from wickspring.net.link import READ_SIZE
 from wickspring.net.upstream.carrier import Job
@@ -346,7 +346,7 @@
         self.net, self.meter, self.nursery, self.folder = net, net.meter, nursery, folder
         self.random, self.clock = Random(seed), VirtualClock()
         self.cores = [f"10.1.0.{n + 1}" for n in range(cores)]
-        self.lights: dict[str, lights.Light] = {}
+        self.lights: dict[str, lights.ControlPlane] = {}
         self.pilots: dict[str, pilots.Pilot] = {}
         self._scopes: dict[str, trio.CancelScope] = {}
         self.tree: dict[str, Any] = {}
@@ -380,7 +380,7 @@
         """Start a core machine."""
 
         def run(nursery: trio.Nursery) -> Callable[[], None]:
-            light = self.lights[ip] = lights.Light(self._boot(ip), nursery, self.random.getrandbits(32))
+            light = self.lights[ip] = lights.ControlPlane(self._boot(ip), nursery, self.random.getrandbits(32))
             self.net.listen(ip, CORE, nursery, self.clock, light.cable)
 
             def begin() -> None:
--- a/wickspring/lab/capacity_units.py
+++ b/wickspring/lab/capacity_units.py
@@ -27,11 +27,11 @@
 
 from wickspring.common.endpoints import Endpoint, endpoints_digest
 from wickspring.common.routing_table import build_routing_table
+from wickspring.controlplane.api.config_validation import validate_config
+from wickspring.controlplane.endpoint_registry import EndpointRegistry
+from wickspring.controlplane.load_tracker import LoadTracker
+from wickspring.controlplane.quota_counter import QuotaCounter
 from wickspring.lab.capacity_site import document
-from wickspring.lighthouse.berths import Berths
-from wickspring.lighthouse.check import check
-from wickspring.lighthouse.register import Register
-from wickspring.lighthouse.tally import Tally
 from wickspring.net.link import Link
 from wickspring.pilot.policy.choice import Choice
 from wickspring.pilot.policy.quota import Quota
@@ -90,7 +90,7 @@
     found = {"text_bytes": float(len(body)), "packed_bytes": float(len(packed))}
     if times:
         found["pack_ms"] = took_ms(lambda: zlib.compress(body, 6), tries=1)
-        found["check_ms"] = took_ms(lambda: check(body), tries=1)
+        found["check_ms"] = took_ms(lambda: validate_config(body), tries=1)
         found["lay_out_ms"] = took_ms(lambda: build_routing_table(zlib.decompress(packed)))
         found["chart_mb"] = held_mb(lambda: build_routing_table(body))
         found["lay_out_peak_mb"] = peak_mb(lambda: build_routing_table(zlib.decompress(packed)))
@@ -127,7 +127,7 @@
 def of_servers(count: int) -> dict[str, float]:
     """Return what so many servers cost a core machine and an ingress at each step that goes over them."""
     told = servers(count)
-    register, choice, berths = Register(1500.0), Choice("a", 1), Berths(1)
+    register, choice, berths = EndpointRegistry(1500.0), Choice("a", 1), LoadTracker(1)
     for one in told:
         register.beat(0.0, one)
         choice.heard(0.0, one)
@@ -138,8 +138,8 @@
             made.heard(0.0, one)
         return made
 
-    def registered() -> Register:
-        made = Register(1500.0)
+    def registered() -> EndpointRegistry:
+        made = EndpointRegistry(1500.0)
         for one in servers(count):
             made.beat(0.0, one)
         return made
@@ -169,8 +169,8 @@
     """Return what a count for each tenant costs the machine that keeps it, after adds from four ingresses."""
     span_s = 5.0
 
-    def counted(each: int = 4) -> Tally:
-        tally, random = Tally(span_s, 0.1, 20.0), Random(1)
+    def counted(each: int = 4) -> QuotaCounter:
+        tally, random = QuotaCounter(span_s, 0.1, 20.0), Random(1)
         for n in range(tenants):
             for _ in range(each):
                 tally.add(1e9, f"t{n}ab1c", f"10.9.{random.randrange(ingresses) // 250}.1", 33.0, 33.0)
@@ -231,7 +231,7 @@
 def profiles(count: int, tenants: int, routes: int, services: int) -> dict[str, dict[str, float]]:
     """Profile the three dearest paths: the number told with each tick, advice for a request, an order."""
     told = servers(count)
-    register, berths = Register(1500.0), Berths(1)
+    register, berths = EndpointRegistry(1500.0), LoadTracker(1)
     for one in told:
         register.beat(0.0, one)
     body = document(1, tenants, routes, services)
@@ -243,7 +243,7 @@
     return {
         "tick": profile(lambda: endpoints_digest(register.whole()), 50),
         "advice": profile(advise, 50),
-        "order": profile(lambda: check(body), 1),
+        "order": profile(lambda: validate_config(body), 1),
     }
 
 
--- a/wickspring/lab/flotilla.py
+++ b/wickspring/lab/flotilla.py
@@ -17,8 +17,8 @@
 import trio.testing
 
 from wickspring.common.connection import Message, PeerConnection
+from wickspring.controlplane.replication.replica import DIGEST_SIZE
 from wickspring.lab.clock import VirtualClock
-from wickspring.lighthouse.replica import DIGEST_SIZE
 from wickspring.pilot.flotilla import Flotilla, State
 
 LOSS = 0.01  # of all datagrams
--- a/wickspring/lab/keel.py
+++ b/wickspring/lab/keel.py
@@ -20,11 +20,11 @@
 
 import msgpack
 
+from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.lease import MOST_DRIFT, Lease, grants
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
+from wickspring.controlplane.replication.view import FaultTolerance, Member, PeerObservation, View
 from wickspring.lab.keel_orders import Ledger, Operators
-from wickspring.lighthouse.chain import Chain
-from wickspring.lighthouse.lease import MOST_DRIFT, Lease, grants
-from wickspring.lighthouse.replica import Order, Replica, Verdict
-from wickspring.lighthouse.views import Member, Reach, Tolerance, View
 
 TICK_MS = 200.0
 SILENT_MS = 750.0
@@ -48,11 +48,11 @@
     zone: str
     disk: dict[str, Any] | None = None
     replica: Replica = field(default_factory=Replica)
-    chain: Chain | None = None
+    chain: ReplicationChain | None = None
     life: int = 0
     lives: int = 0  # disks that it has had
     knows: set[str] = field(default_factory=set)  # the addresses of other core machines
-    heard: dict[str, tuple[float, Reach]] = field(default_factory=dict)
+    heard: dict[str, tuple[float, PeerObservation]] = field(default_factory=dict)
     spoken_to: bool = False  # by another machine's chain, in this life
     safe: tuple[int, int, bytes] = (0, 0, b"")  # epoch, number, digest that it has called safe last
     back_at: float = 0.0
@@ -77,10 +77,10 @@
 class Asked:
     """An order that came in at a machine, on its way to the head and back."""
 
-    order: Order
+    order: Update
     origin: str
     acked: int  # the newest that was acknowledged when it was sent
-    answer: Callable[[Verdict], None]
+    answer: Callable[[CommitOutcome], None]
 
 
 class Core:
@@ -90,11 +90,11 @@
     over = False  # nothing more befalls them
 
     def __init__(
-        self, seed: int, machines: int = 4, seeds: int = 3, chain: type[Chain] = Chain,
-        lease: type[Lease] = Lease, zones: int = 0, tolerance: Tolerance | None = None,
+        self, seed: int, machines: int = 4, seeds: int = 3, chain: type[ReplicationChain] = ReplicationChain,
+        lease: type[Lease] = Lease, zones: int = 0, tolerance: FaultTolerance | None = None,
     ) -> None:  # fmt: skip
         self.seed, self.random, self.make, self.lease = seed, Random(seed), chain, lease
-        self.tolerance = tolerance or Tolerance()
+        self.tolerance = tolerance or FaultTolerance()
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.turns = count()
@@ -205,7 +205,7 @@
         for ip, message in out:
             self.send(machine.ip, ip, message)
 
-    def look(self, machine: Machine, chain: Chain, handed_out: bool) -> None:
+    def look(self, machine: Machine, chain: ReplicationChain, handed_out: bool) -> None:
         """Check what must hold of one machine after each event."""
         if chain.view.epoch and chain.view.epoch not in self.ledger.views:
             self.views += 1
@@ -245,7 +245,7 @@
             return
         self.at(TICK_MS * self.random.uniform(0.85, 1.15), lambda: self.tick(machine, life))
         heard = {ip: self.now - at < SILENT_MS for ip, (at, _) in machine.heard.items()}
-        told = Reach(
+        told = PeerObservation(
             live=True, disk=chain.me[1], hampered=chain.leaving or chain.hampered, zone=machine.zone,
             epoch=chain.view.epoch, safe_epoch=chain.safe.config.epoch, version=chain.safe.config.version,
             leaving=len(chain.safe.leaving), leaving_sum=chain.safe.leaving_sum,
@@ -297,9 +297,9 @@
             machine.lease.granted(sender, *message[1:])
             self.duties()
         elif name == "enter":
-            self.enter(machine, int(message[1]), Order.unpack(message[2]))
+            self.enter(machine, int(message[1]), Update.unpack(message[2]))
         elif name == "entered":
-            self.heard(int(message[1]), Verdict(message[2]))
+            self.heard(int(message[1]), CommitOutcome(message[2]))
         else:
             machine.spoken_to = True
             machine.received += size
@@ -307,7 +307,7 @@
 
     # Orders: they come in at any machine, which sends them on to the head that it knows.
 
-    def send_order(self, ip: str, order: Order, answer: Callable[[Verdict], None]) -> None:
+    def send_order(self, ip: str, order: Update, answer: Callable[[CommitOutcome], None]) -> None:
         """Send an order to a machine; `answer` is called if an answer comes back in time."""
         machine = self.machines.get(ip)
         chain = machine.chain if machine is not None else None
@@ -330,23 +330,23 @@
             if chain is not None:
                 chain.drop(ticket)
 
-    def enter(self, machine: Machine, ticket: int, order: Order) -> None:
+    def enter(self, machine: Machine, ticket: int, order: Update) -> None:
         """An order reaches the machine that is thought to be the head."""
         chain = machine.chain
         if chain is not None:
             self.step(machine, lambda: chain.enter(self.now, ticket, order))
 
-    def answered(self, machine: Machine, chain: Chain, ticket: int, verdict: Verdict) -> None:
+    def answered(self, machine: Machine, chain: ReplicationChain, ticket: int, verdict: CommitOutcome) -> None:
         """A head answers: check it, and send the answer back to where the order came in."""
         asked = self.asked.get(ticket)
         if asked is None:
             return
         disks = {one.member: one.replica for one in self.machines.values() if one.member is not None}
         self.ledger.answered(machine.ip, asked.order, verdict, chain.safe.config, chain.view, disks)
-        if verdict == Verdict.SAFE and not asked.order.version and not asked.order.leaving:
+        if verdict == CommitOutcome.SAFE and not asked.order.version and not asked.order.leaving:
             self.reads += 1
             self.ledger.read(machine.ip, chain.safe, asked.acked)
-        if self.ambush is not None and self.ambush[0] == "ack" and verdict == Verdict.SAFE:
+        if self.ambush is not None and self.ambush[0] == "ack" and verdict == CommitOutcome.SAFE:
             (_, action), self.ambush = self.ambush, None
             self.at(0.0, action)
         if asked.origin == machine.ip:
@@ -354,7 +354,7 @@
         else:
             self.send(machine.ip, asked.origin, ["entered", ticket, int(verdict)])
 
-    def heard(self, ticket: int, verdict: Verdict) -> None:
+    def heard(self, ticket: int, verdict: CommitOutcome) -> None:
         """Whoever sent an order hears its answer."""
         asked = self.asked.pop(ticket, None)
         if asked is not None:
@@ -365,13 +365,13 @@
     def answers_within(self, bound_ms: float) -> float:
         """Read at each machine again and again until one answers; return after how long."""
         begun = self.now
-        answered: list[Verdict] = []
-        while Verdict.SAFE not in answered:
+        answered: list[CommitOutcome] = []
+        while CommitOutcome.SAFE not in answered:
             if self.now - begun >= bound_ms:
                 known = {ip: (one.chain.view if one.chain else None) for ip, one in self.machines.items()}
                 self.fail(f"no read was answered in {bound_ms:.0f} ms; views {known}")
             for ip in list(self.machines):
-                self.send_order(ip, Order(), answered.append)
+                self.send_order(ip, Update(), answered.append)
             self.run(self.now + POLL_MS)
         return self.now - begun
 
@@ -406,10 +406,10 @@
         for machine in list(self.machines.values()):
             chain = machine.chain
             if chain is not None and chain.member and chain.head == machine.ip:
-                self.send_order(machine.ip, Order(), _nobody)
+                self.send_order(machine.ip, Update(), _nobody)
 
 
-def _nobody(verdict: Verdict) -> None:
+def _nobody(verdict: CommitOutcome) -> None:
     """Nobody waits for this answer."""
 
 
--- a/wickspring/lab/keel_orders.py
+++ b/wickspring/lab/keel_orders.py
@@ -11,8 +11,15 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from wickspring.lighthouse.replica import HISTORY_MOST, Config, Order, Replica, Verdict, digest_of
-from wickspring.lighthouse.views import Member, View
+from wickspring.controlplane.replication.replica import (
+    HISTORY_MOST,
+    CommitOutcome,
+    Config,
+    Replica,
+    Update,
+    digest_of,
+)
+from wickspring.controlplane.replication.view import Member, View
 
 Rank = tuple[int, int]
 AGAIN_MS = 300.0  # until an operator who goes on sends again
@@ -77,18 +84,18 @@
                 self.fail(f"r{version} is safe with two texts, the other at {ip}")
 
     def answered(
-        self, ip: str, order: Order, verdict: Verdict, safe: Config, view: View,
+        self, ip: str, order: Update, verdict: CommitOutcome, safe: Config, view: View,
         disks: Mapping[Member, Replica],
     ) -> None:  # fmt: skip
         """Check an answer of a head: no text but one is ever acknowledged as a number's own."""
         version, digest = order.version, digest_of(order.document)
-        if verdict == Verdict.CONFLICT:
+        if verdict == CommitOutcome.CONFLICT:
             self.refusals += 1
             if self.safe.get(version, digest) == digest:
                 self.fail(f"{ip} refuses r{version}, and no other text of it is safe")
             if (version, digest) in self.kept:
                 self.fail(f"{ip} refuses r{version}, which had been acknowledged")
-        if verdict != Verdict.SAFE:
+        if verdict != CommitOutcome.SAFE:
             return
         self.acks += 1
         for server, state in order.leaving.items():
@@ -99,7 +106,7 @@
                 continue
             if replica.config.version < version:
                 self.fail(f"r{version} acknowledged, {member[0]} has r{replica.config.version} on its disk")
-            if version and replica.config.judge(version, digest) != Verdict.SAFE:
+            if version and replica.config.judge(version, digest) != CommitOutcome.SAFE:
                 self.fail(f"r{version} acknowledged, {member[0]} has another text of it on its disk")
             if any(replica.leaving.get(server, 0) < state for server, state in order.leaving.items()):
                 self.fail(f"a server's leaving acknowledged, and not on the disk of {member[0]}")
@@ -141,13 +148,13 @@
 class Operators:
     """Who sends orders."""
 
-    def __init__(self, random: Random, send: Callable[[str, Order, Callable[[Verdict], None]], None]) -> None:
+    def __init__(self, random: Random, send: Callable[[str, Update, Callable[[CommitOutcome], None]], None]) -> None:
         self.random, self.send = random, send
-        self.sent: list[Order] = []
+        self.sent: list[Update] = []
         self.last = 0  # the highest number that was sent
         self.told = 0  # the highest that an answer said to be kept
 
-    def order(self, size: int = 0) -> Order:
+    def order(self, size: int = 0) -> Update:
         """Make an order: most often of a new number, which the other may be using at this moment."""
         draw, kind = self.random, self.random.random()
         if self.sent and kind < 0.15:
@@ -161,7 +168,7 @@
         else:
             document = b"%d by %d" % (version, draw.randint(0, 2)) + b"." * size
         leaving = {f"i{draw.randint(0, 40)}": draw.randint(1, 2)} if draw.random() < 0.1 else {}
-        one = Order(version, document, leaving)
+        one = Update(version, document, leaving)
         self.sent.append(one)
         self.last = max(self.last, version)
         return one
@@ -172,8 +179,8 @@
         for _ in range(many):
             one = self.order()
 
-            def heard(verdict: Verdict, one: Order = one) -> None:
-                if verdict == Verdict.SAFE:
+            def heard(verdict: CommitOutcome, one: Update = one) -> None:
+                if verdict == CommitOutcome.SAFE:
                     self.told = max(self.told, one.version)
 
             self.send(self.random.choice(ips), one, heard)
--- a/wickspring/lab/keel_states.py
+++ b/wickspring/lab/keel_states.py
@@ -15,14 +15,14 @@
 from random import Random
 from typing import Any
 
+from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
+from wickspring.controlplane.replication.view import PeerObservation, View
 from wickspring.lab.keel import BrokenError
-from wickspring.lighthouse.chain import Chain
-from wickspring.lighthouse.replica import Order, Replica, Verdict, digest_of
-from wickspring.lighthouse.views import Reach, View
 
 IPS = ("a", "b", "c")
 STEP_MS = 2000.0  # that pass with each look round: all that waits for time is due
-ONE_NUMBER = (Order(1, b"x"), Order(1, b"y"))  # two writers, one number
+ONE_NUMBER = (Update(1, b"x"), Update(1, b"y"))  # two writers, one number
 
 
 class Steady(Random):
@@ -41,8 +41,8 @@
 class World:
     """One state."""
 
-    chains: dict[str, Chain]
-    orders: tuple[Order, ...]
+    chains: dict[str, ReplicationChain]
+    orders: tuple[Update, ...]
     net: dict[str, tuple[str, str, list[Any]]] = field(default_factory=dict)  # by its form: twice is once
     now: float = 0.0
     lost: str = ""
@@ -96,7 +96,7 @@
             views=dict(self.views),
         )  # fmt: skip
 
-    def after(self, ip: str, chain: Chain) -> None:
+    def after(self, ip: str, chain: ReplicationChain) -> None:
         """Take what a machine says once it has saved."""
         chain.dirty = False
         for to, message in chain.out:
@@ -110,17 +110,17 @@
             self.answered(ip, ticket, verdict)
         chain.out, chain.done, chain.news = [], [], []
 
-    def answered(self, ip: str, ticket: int, verdict: Verdict) -> None:
+    def answered(self, ip: str, ticket: int, verdict: CommitOutcome) -> None:
         """Check an answer to an order."""
         order = self.orders[ticket]
         digest = digest_of(order.document)
         known = self.safe.get(order.version)
-        if verdict == Verdict.SAFE:
+        if verdict == CommitOutcome.SAFE:
             if known not in (None, digest):
                 raise BrokenError(f"{ip} acknowledges r{order.version}, and another text of it is safe")
             if known == digest:
                 self.acked |= {ticket}
-        elif verdict == Verdict.CONFLICT and (known in (None, digest) or ticket in self.acked):
+        elif verdict == CommitOutcome.CONFLICT and (known in (None, digest) or ticket in self.acked):
             raise BrokenError(f"{ip} refuses r{order.version}, and no other text of it is safe")
 
     def check(self) -> None:
@@ -141,7 +141,7 @@
                 continue
             for place in self.acked:
                 order = self.orders[place]
-                if chain.replica.config.judge(order.version, digest_of(order.document)) != Verdict.SAFE:
+                if chain.replica.config.judge(order.version, digest_of(order.document)) != CommitOutcome.SAFE:
                     raise BrokenError(f"{ip} of epoch {newest} lacks r{order.version}, acknowledged")
 
     def steps(self, loses: str, looks: int, returns: str) -> list[tuple[str, Any]]:
@@ -198,21 +198,21 @@
             self.after(what, chain)
         self.check()
 
-    def reach(self, ip: str, seen_by: Chain) -> Reach:
+    def reach(self, ip: str, seen_by: ReplicationChain) -> PeerObservation:
         """Return what a machine is known by; who is not new is thought to know as much as who asks."""
         other = self.chains.get(ip)
         if other is None:
-            return Reach(False, "first")
+            return PeerObservation(False, "first")
         known = seen_by.safe if other.me[1] == "first" else other.safe
         epoch = seen_by.view.epoch if other.me[1] == "first" else other.view.epoch
-        return Reach(
+        return PeerObservation(
             True, other.me[1], epoch=epoch, safe_epoch=known.config.epoch, version=known.config.version,
             identity=other.replica.config.identity,
         )  # fmt: skip
 
 
 def explore(
-    orders: tuple[Order, ...], loses: str, looks: int = 1, most: int = 1_000_000, chain: type[Chain] = Chain,
+    orders: tuple[Update, ...], loses: str, looks: int = 1, most: int = 1_000_000, chain: type[ReplicationChain] = ReplicationChain,
     returns: str = "",
 ) -> int:  # fmt: skip
     """Visit every state that can be reached, one machine being lost; return how many there are.
--- a/wickspring/lab/keeping.py
+++ b/wickspring/lab/keeping.py
@@ -17,8 +17,8 @@
 
 import click
 
-from wickspring.lighthouse.logbook import FILE, Logbook
-from wickspring.lighthouse.replica import Order, Replica
+from wickspring.controlplane.replication.replica import Replica, Update
+from wickspring.controlplane.storage import FILE, ReplicaStore
 
 MEMBERS = [[f"10.{n}.0.14", "first"] for n in (1, 2, 3)]
 STARTS = 20
@@ -40,7 +40,7 @@
 
     def __init__(self, folder: Path, leaving: int, size: int) -> None:
         self.folder, self.random, self.size = folder, Random(1), size
-        self.book, self.replica = Logbook(str(folder)), Replica()
+        self.book, self.replica = ReplicaStore(str(folder)), Replica()
         self.durable: dict[str, Any] = {
             "view": [1, MEMBERS, MEMBERS], "promised": [1, [0, ""]], "accepted": None, "disk": "first",
         }  # fmt: skip
@@ -51,7 +51,7 @@
     def change(self) -> None:
         """Take another configuration, of which a part differs."""
         number = self.replica.config.version + 1
-        self.replica.take(Order(number, b"%d " % number + self.random.randbytes(self.size)), 1)
+        self.replica.take(Update(number, b"%d " % number + self.random.randbytes(self.size)), 1)
 
     def leave(self) -> None:
         """Take a server that leaves; the oldest is forgotten where there are too many."""
@@ -84,7 +84,7 @@
             for path in self.folder.iterdir():
                 (Path(folder) / path.name).write_bytes(path.read_bytes())
             begun = time.perf_counter()
-            book = Logbook(folder)
+            book = ReplicaStore(folder)
             found = book.load()
             took = 1000.0 * (time.perf_counter() - begun)
             book.close()
--- a/wickspring/pilot/moorings.py
+++ b/wickspring/pilot/moorings.py
@@ -19,7 +19,7 @@
 from wickspring.common.seeds import SeedList
 from wickspring.common.settings import NodeSettings
 from wickspring.common.settings_file import parse_ip
-from wickspring.lighthouse.replica import digest_of
+from wickspring.controlplane.replication.replica import digest_of
 from wickspring.net.clock import Clock
 from wickspring.pilot.policy.adoption import Adoption, Advice, Copy
 
