--- a/tests/control_side.py
+++ b/tests/control_side.py
@@ -17,15 +17,16 @@
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import PeerConnection
 from wickspring.common.endpoints import Endpoint
-from wickspring.controlplane import process as light_module
+from wickspring.controlplane import process as controlplane_process
 from wickspring.controlplane.api.calls import ApiRequest, ApiResponse
 from wickspring.controlplane.api.resources import ConfigRead, ConfigReplace, Deregister, Heartbeat
 from wickspring.controlplane.process import ControlPlane
 from wickspring.controlplane.replication.replica import Replica
+from wickspring.dataplane import gossip
+from wickspring.dataplane import process as dataplane_process
+from wickspring.dataplane.process import DataPlane
 from wickspring.lab.clock import VirtualClock
 from wickspring.net import host
-from wickspring.pilot import flotilla, pilot
-from wickspring.pilot.pilot import Pilot
 
 LIGHTS = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.0.4")
 PILOTS = ("10.1.1.1", "10.1.1.2")
@@ -114,7 +115,7 @@
         self.nursery, self.random = nursery, random
         self.books = {ip: Book() for ip in LIGHTS}
         self.lights: dict[str, ControlPlane] = {}
-        self.pilots: dict[str, Pilot] = {}
+        self.pilots: dict[str, DataPlane] = {}
         self.taken: dict[str, list[int]] = {}  # numbers that each pilot has gone by
         self.scopes: dict[str, trio.CancelScope] = {}
         self.links: list[MemoryLink] = []
@@ -162,7 +163,7 @@
         await self._start(ip, settings + f"data_dir={ip}\n", first, self._light)
         return self.lights[ip]
 
-    async def start_pilot(self, ip: str) -> Pilot:
+    async def start_pilot(self, ip: str) -> DataPlane:
         settings = SETTINGS.replace("ip=10.1.0.30", f"ip={ip}").replace("edge-a-1", ip)
         await self._start(ip, settings, False, self._pilot)
         return self.pilots[ip]
@@ -192,7 +193,7 @@
             nursery.start_soon(task)
 
     def _pilot(self, told: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
-        made = self.pilots[told.ip] = Pilot(told, nursery, self.random.getrandbits(32))
+        made = self.pilots[told.ip] = DataPlane(told, nursery, self.random.getrandbits(32))
         numbers = self.taken[told.ip] = []
         charted = made.moorings._charted
 
@@ -281,9 +282,9 @@
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             site = Site(nursery, Random(seed))
-            monkeypatch.setattr(light_module, "Logbook", lambda folder: site.books[folder])
-            monkeypatch.setattr(pilot, "Udp", lambda ip, port: Datagrams(site, ip))
-            for module in (connection_module, flotilla):
+            monkeypatch.setattr(controlplane_process, "ReplicaStore", lambda folder: site.books[folder])
+            monkeypatch.setattr(dataplane_process, "Udp", lambda ip, port: Datagrams(site, ip))
+            for module in (connection_module, gossip):
                 monkeypatch.setattr(module, "connect", site.connect)
                 monkeypatch.setattr(module, "Link", MemoryLink)
             for ip in LIGHTS[:lights]:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -13,16 +13,16 @@
 import trio
 
 from wickspring.common.errors import ErrorKind
+from wickspring.dataplane import request as way
+from wickspring.dataplane import upstream
+from wickspring.dataplane.policy.attempts import AttemptOutcome, Attempts
+from wickspring.dataplane.process import DataPlane
+from wickspring.dataplane.request import Request
+from wickspring.dataplane.upstream import UpstreamConnection
 from wickspring.lab.answers import LONG, ONCE, TRICKS, Play, WrongError, content
 from wickspring.lab.harbour import HOST, KEY, PREFIX
 from wickspring.net.http1_front import Http1Connection
 from wickspring.net.upstream.http1 import AnswerReader, Http1Link
-from wickspring.pilot import request as way
-from wickspring.pilot import upstream
-from wickspring.pilot.pilot import Pilot
-from wickspring.pilot.policy.tries import Outcome, Tries
-from wickspring.pilot.request import Request
-from wickspring.pilot.upstream import GatewayLink
 
 
 def play(seeds: range, **how: Any) -> Counter[str]:
@@ -173,8 +173,8 @@
     return True
 
 
-def resent(outcome: Outcome) -> bool:
-    return outcome in (Outcome.TURNED_AWAY, Outcome.UNSENT, Outcome.BROKEN)
+def resent(outcome: AttemptOutcome) -> bool:
+    return outcome in (AttemptOutcome.TURNED_AWAY, AttemptOutcome.UNSENT, AttemptOutcome.BROKEN)
 
 
 def left_over(reader: AnswerReader) -> bool:
@@ -191,27 +191,27 @@
 
 
 def ended_by_any(
-    gateway: Pilot, request: Request, *about: Any, ended: Callable[..., None] = Pilot._ended
+    gateway: DataPlane, request: Request, *about: Any, ended: Callable[..., None] = DataPlane._ended
 ) -> None:
     if request.passing:
         request.passing = about[1]
     ended(gateway, request, *about)
 
 
-REFUSES = (Tries, "verdict", property(lambda _: ErrorKind.NO_SERVER))
+REFUSES = (Attempts, "verdict", property(lambda _: ErrorKind.NO_SERVER))
 BY_PLACE, LEFT_OVER = (upstream, "is_for", by_place), (AnswerReader, "reusable", left_over)
 OTHER, TWICE, REFUSED = "not what a server said", "ran twice", "refused though it ran"
 DEFECTS: dict[str, tuple[int, str, list[Any]]] = {  # the seed that finds it, what is found, what is changed
     "an answer matched by its place": (1, OTHER, [BY_PLACE]),
-    "sent again after a reset": (0, TWICE, [(Outcome, "never", property(resent))]),
+    "sent again after a reset": (0, TWICE, [(AttemptOutcome, "never", property(resent))]),
     "a cut answer that looks whole": (63, OTHER, [(Http1Connection, "end", whole_whatever)]),
     "refused though it may have run": (0, "what may have run is not refused", [REFUSES]),
     "refused, without the invariant": (0, REFUSED, [REFUSES, (way, "holds", by_place)]),
     "left over for the next": (0, "no bytes are left over", [LEFT_OVER, BY_PLACE]),
     "left over, without the invariant": (0, OTHER, [LEFT_OVER, BY_PLACE, (upstream, "holds", by_place)]),
-    "unsent until all is written": (82, REFUSED, [(GatewayLink, "written", Http1Link.written)]),
-    "a flowing answer ended by another try": (34, "Too little data", [(Pilot, "_ended", ended_by_any)]),
-    "a long body sent twice": (0, "a body that its client did not send", [(Pilot, "_streams", by_place)]),
+    "unsent until all is written": (82, REFUSED, [(UpstreamConnection, "written", Http1Link.written)]),
+    "a flowing answer ended by another try": (34, "Too little data", [(DataPlane, "_ended", ended_by_any)]),
+    "a long body sent twice": (0, "a body that its client did not send", [(DataPlane, "_streams", by_place)]),
 }
 
 
--- a/tests/test_berths.py
+++ b/tests/test_berths.py
@@ -16,7 +16,7 @@
 from wickspring.controlplane.load_tracker import OFFERS, LoadTracker
 from wickspring.controlplane.process import ControlPlane
 from wickspring.controlplane.replication.view import View
-from wickspring.pilot.policy.choice import Choice
+from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 
 
 def servers(count: int, zone: str = "a") -> list[Endpoint]:
@@ -26,7 +26,7 @@
 def waits(told: bool, seed: int) -> float:
     """Play 8 pilots on 12 servers of two slots, two thirds busy; the mean time that requests wait, ms."""
     random, lot = Random(seed), servers(12)
-    berths, pilots = LoadTracker(seed), [Choice("a", seed + n) for n in range(8)]
+    berths, pilots = LoadTracker(seed), [EndpointSelector("a", seed + n) for n in range(8)]
     for pilot in pilots:
         for one in lot:
             pilot.heard(0.0, one)
@@ -77,7 +77,7 @@
 
 
 def test_a_pilot_leaves_out_what_it_knows_better() -> None:
-    choice = Choice("a", 1, warm=lambda id_: id_ != "i1")
+    choice = EndpointSelector("a", 1, warm=lambda id_: id_ != "i1")
     for one in servers(4):
         choice.heard(0.0, one)
     choice.left({"i0": DRAINING})
@@ -89,7 +89,7 @@
 
 
 def test_a_server_with_too_much_to_do_is_not_taken_for_a_dead_one() -> None:
-    choice = Choice("a", 1)
+    choice = EndpointSelector("a", 1)
     for one in servers(2):
         choice.heard(0.0, one)
     busy, dead = choice.berths["i0"], choice.berths["i1"]
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -40,9 +40,9 @@
 from wickspring.controlplane.replication import snapshot
 from wickspring.controlplane.replication.node import ReplicationNode, UpdateResult
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
-from wickspring.pilot.policy import adoption
-from wickspring.pilot.policy.adoption import Adoption, Advice, Copy
-from wickspring.pilot.policy.choice import Choice
+from wickspring.dataplane.policy import config_adoption
+from wickspring.dataplane.policy.config_adoption import AdoptionAction, ConfigAdoption, ConfigCopy
+from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 
 CUT_S = 20.0
 WAY = ["head", "middle", "tail", "spare", "restarted"]
@@ -244,7 +244,7 @@
         light._safe(light.core.chain.replica)
 
     monkeypatch.setattr(ControlPlane, "_begin", hasty)
-    monkeypatch.setattr(adoption, "ALONE_MS", 0.0)  # and a pilot that takes what comes first
+    monkeypatch.setattr(config_adoption, "ALONE_MS", 0.0)  # and a pilot that takes what comes first
     assert plays_first_news(monkeypatch, True) == [1, 2]
 
 
@@ -428,7 +428,7 @@
 
 
 def test_lists_that_are_not_fresh_bring_nobody_back() -> None:
-    choice = Choice("a", 1)
+    choice = EndpointSelector("a", 1)
     choice.heard(0.0, server("i1", 4))
     choice.silent(["i1"])
     assert not choice.heard(1.0, server("i1", 9), fresh=False) and choice.berths["i1"].lost
@@ -450,14 +450,14 @@
 # The rules of what a pilot goes by.
 
 
-def copy_of(version: int, mark: str, standing: ConfigStatus) -> Copy:
-    return Copy(version, digest_of(text(version, mark)), b"", standing)
+def copy_of(version: int, mark: str, standing: ConfigStatus) -> ConfigCopy:
+    return ConfigCopy(version, digest_of(text(version, mark)), b"", standing)
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_a_pilot_never_goes_back_whatever_it_is_told(seed: int) -> None:
     """Random words of lighthouses and pilots in contact and not; safe texts are one a number."""
-    random, now, mine = Random(seed), 0.0, Adoption(0.0)
+    random, now, mine = Random(seed), 0.0, ConfigAdoption(0.0)
     safe = {version: random.choice("xy") for version in range(1, 40)}
     newest, contact_at, numbers = 1, 0.0, [0]
     for _ in range(400):
@@ -473,14 +473,14 @@
         advice = mine.told(now, copy, random.random() < 0.5)
         contact_at = now if standing is ConfigStatus.CURRENT else contact_at
         due = mine.due(now)
-        assert advice is not Advice.FENCE  # one safe text a number: the fence never falls
-        if advice in (Advice.TAKE, Advice.GIVE_WAY):
+        assert advice is not AdoptionAction.FENCE  # one safe text a number: the fence never falls
+        if advice in (AdoptionAction.TAKE, AdoptionAction.GIVE_WAY):
             assert standing >= ConfigStatus.SAFE
             assert before[0] or standing is ConfigStatus.CURRENT
-            assert advice is Advice.TAKE or before == (version, ConfigStatus.HELD)
+            assert advice is AdoptionAction.TAKE or before == (version, ConfigStatus.HELD)
             mine.took(copy)
         elif due is not None:
-            assert not before[0] and now - contact_at >= adoption.ALONE_MS
+            assert not before[0] and now - contact_at >= config_adoption.ALONE_MS
             mine.took(due)
         numbers.append(mine.version)
         if mine.standing is ConfigStatus.SAFE:
@@ -494,7 +494,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     events: list[str] = []
-    monkeypatch.setattr(logs, "event", lambda name, **_: events.append(name))
+    monkeypatch.setattr(logs, "log_event", lambda name, **_: events.append(name))
 
     async def two_texts(site: Site) -> None:
         light = site.lights[LIGHTS[0]]
--- a/tests/test_pilot_policy.py
+++ b/tests/test_pilot_policy.py
@@ -11,10 +11,10 @@
 from wickspring.common.quota_rule import quota_ceiling
 from wickspring.common.routing_table import Route, Tenant
 from wickspring.controlplane.quota_counter import QuotaCounter
-from wickspring.pilot.policy.budget import Budget
-from wickspring.pilot.policy.choice import Choice
-from wickspring.pilot.policy.quota import Quota
-from wickspring.pilot.policy.tries import Outcome, Tries
+from wickspring.dataplane.policy.attempts import AttemptOutcome, Attempts
+from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
+from wickspring.dataplane.policy.quota import QuotaPolicy
+from wickspring.dataplane.policy.retry_budget import RetryBudget
 
 SPAN_S, EXCESS, SLACK = 5.0, 0.1, 20.0
 
@@ -34,7 +34,7 @@
     """Pilots add, or rule alone while the keeper is away; keepers begin anew from the pilots' word."""
     random = Random(seed)
     tenant = Tenant("t", 0, random.choice((7.0, 33.0, 63.0)), random.choice((0.0, 33.0, 63.0)))
-    pilots = [Quota(SPAN_S, EXCESS, SLACK) for _ in range(8)]
+    pilots = [QuotaPolicy(SPAN_S, EXCESS, SLACK) for _ in range(8)]
     weights = [random.choice((1.0, 1.0, 4.0)) for _ in pilots]
     keeper: QuotaCounter | None = QuotaCounter(SPAN_S, EXCESS, SLACK)
     now, sent, away_until = 1e6, list[float](), 0.0
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize("fleet", [1, 8, 40])
 def test_further_tries_of_all_pilots_stay_within_the_shared_budget(fleet: int) -> None:
     random, ratio, slack, window = Random(fleet), 0.2, 56.0, 10.0
-    budgets = [Budget(ratio, window, slack) for _ in range(fleet)]
+    budgets = [RetryBudget(ratio, window, slack) for _ in range(fleet)]
     now, further, firsts = 0.0, [], []
     while now < 60_000.0:
         now += random.expovariate(0.2)
@@ -123,7 +123,7 @@
 
 
 def test_what_leaves_is_never_chosen_again_whatever_is_told_after() -> None:
-    choice = Choice("a", 1)
+    choice = EndpointSelector("a", 1)
     for number in range(3):
         choice.heard(0.0, server(number))
     choice.left({"i0": DRAINING})
@@ -136,7 +136,7 @@
 
 
 def test_the_failing_and_the_silent_are_passed_over_while_others_do() -> None:
-    choice = Choice("a", 2)
+    choice = EndpointSelector("a", 2)
     for number in range(4):
         choice.heard(0.0, server(number))
     for number, berth in enumerate(choice.berths.values()):
@@ -158,13 +158,13 @@
     """Outcomes at random: no second try unless the first is known not to have run, and no false promise."""
     random = Random(seed)
     pure = random.random() < 0.5
-    tries = Tries(route(pure, random.randint(1, 4)), "s", 0.0, 2000.0)
+    tries = Attempts(route(pure, random.randint(1, 4)), "s", 0.0, 2000.0)
     may_have_run, now = False, 0.0
     out: list[str] = []
     while now < 1990.0:
         now += random.uniform(0.0, 200.0)
         if out and random.random() < 0.6:
-            outcome = random.choice([one for one in Outcome if one is not Outcome.ANSWERED])
+            outcome = random.choice([one for one in AttemptOutcome if one is not AttemptOutcome.ANSWERED])
             out.pop()
             tries.end(outcome)
             may_have_run |= not outcome.never
@@ -181,7 +181,7 @@
 def test_what_pilots_cut_off_may_send_on_is_kept_back(told: bool, kept: bool) -> None:
     """Half of the pilots of a hot tenant are cut off; without what is kept back the ceiling is passed."""
     random, tenant = Random(3), Tenant("t", 0, 63.0, 63.0)
-    pilots, keeper = [Quota(SPAN_S, EXCESS, SLACK) for _ in range(8)], QuotaCounter(SPAN_S, EXCESS, SLACK)
+    pilots, keeper = [QuotaPolicy(SPAN_S, EXCESS, SLACK) for _ in range(8)], QuotaCounter(SPAN_S, EXCESS, SLACK)
     now, sent, cut = 0.0, list[float](), False
     while now < 25_000.0:
         now += random.expovariate(0.4)
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -22,9 +22,9 @@
 from wickspring.controlplane.process import ControlPlane
 from wickspring.controlplane.replication.replica import Config, Replica, Update, digest_of
 from wickspring.controlplane.replication.view import View
+from wickspring.dataplane.process import DataPlane
 from wickspring.gossip.book import Digest
 from wickspring.lab.keel_faults import Chaos
-from wickspring.pilot.pilot import Pilot
 
 ODD: list[Any] = [
     None, -1, 0, 2**63, -(2**63), 1e308, float("inf"), float("nan"), "", "x", "10.0.0.1:80", "\x00", b"",
@@ -188,7 +188,7 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            pilot = Pilot(settings_module.parse_settings(settings), nursery, 1)
+            pilot = DataPlane(settings_module.parse_settings(settings), nursery, 1)
             refused = 0
             for step in range(4000):
                 known = step % 2 == 0
@@ -217,7 +217,7 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            pilot = Pilot(settings_module.parse_settings(settings), nursery, 1)
+            pilot = DataPlane(settings_module.parse_settings(settings), nursery, 1)
             members = ["10.1.0.33", "10.4.0.22"]  # the second is no seed, and the teller does not reach it
             pilot.moorings.take(cast(PeerConnection, Heard()), ["view", 2, members, ["10.1.0.33"], 8])
             assert set(members) <= set(pilot.moorings.callers)
--- a/wickspring/pilot/__main__.py
+++ b/wickspring/dataplane/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wickspring.pilot`."""
+"""`python -m wickspring.dataplane`."""
 
 import gc
 
@@ -9,6 +9,6 @@
 started = bootstrap()  # callers wait in line from here on
 
 from wickspring.common.lifecycle import main  # noqa: E402
-from wickspring.pilot.pilot import run  # noqa: E402
+from wickspring.dataplane.process import run  # noqa: E402
 
 main(run, started)
--- a/wickspring/pilot/moorings.py
+++ b/wickspring/dataplane/control_client.py
@@ -20,15 +20,15 @@
 from wickspring.common.settings import NodeSettings
 from wickspring.common.settings_file import parse_ip
 from wickspring.controlplane.replication.replica import digest_of
+from wickspring.dataplane.policy.config_adoption import AdoptionAction, ConfigAdoption, ConfigCopy
 from wickspring.net.clock import Clock
-from wickspring.pilot.policy.adoption import Adoption, Advice, Copy
 
 ADD_MS = 90.0  # for an add to be answered, beyond which the pilot rules alone
 SWEEP_S = 2.0  # between comparisons of what is known of servers with a lighthouse's
 FORGET_CORE_MS = 60_000.0  # that a lighthouse must be out of reach to be forgotten, unless it is a seed
 
 
-class Knows(Protocol):
+class EndpointListener(Protocol):
     """What is told of servers goes here."""
 
     def heard(self, now: float, server: Endpoint, fresh: bool = True) -> bool:
@@ -41,15 +41,15 @@
         """Take in whom the lighthouses no longer hear."""
 
 
-Answered = Callable[[int, int, float], None]  # total, limit (below 0: nobody said), ms to the window's end
-Offered = Callable[[list[tuple[str, float]], int], None]  # servers with their costs, and of how many
+QuotaReply = Callable[[int, int, float], None]  # total, limit (below 0: nobody said), ms to the window's end
+EndpointAdvice = Callable[[list[tuple[str, float]], int], None]  # servers with their costs, and of how many
 
 
-class Moorings:
+class ControlClient:
     """All cables of one pilot."""
 
     def __init__(
-        self, boot: NodeSettings, clock: Clock, nursery: trio.Nursery, random: Random, servers: Knows,
+        self, boot: NodeSettings, clock: Clock, nursery: trio.Nursery, random: Random, servers: EndpointListener,
         past: Callable[[], list[tuple[str, list[tuple[int, int]]]]],
         digest: Callable[[], int],
         charted: Callable[[RoutingTable], None],
@@ -62,14 +62,14 @@
         self._passed_on, self._introduced, self._told = passed_on, introduced, told
         self.packed = b""  # the configuration, as it came
         self.chart = RoutingTable()
-        self.adoption = Adoption(clock.now())
+        self.adoption = ConfigAdoption(clock.now())
         self.epoch = -1
         self.members: list[str] = []
         self.fleet = 0  # pilots, as the lighthouses count them
         self.whole_from: set[str] = set()  # lighthouses that have told all servers they know
         self.callers: dict[str, ReconnectingClient] = {}
-        self._adds: dict[int, tuple[ReconnectingClient, Answered]] = {}
-        self._berths: dict[int, Offered] = {}
+        self._adds: dict[int, tuple[ReconnectingClient, QuotaReply]] = {}
+        self._berths: dict[int, EndpointAdvice] = {}
         self._number = 0
         self._fleets: dict[str, int] = {}  # pilots, as each lighthouse counts them
         self._keepers: dict[str, str] = {}
@@ -166,7 +166,7 @@
             self._told()
         elif name == "chart":
             _, version, packed, digest, standing = message
-            copy = Copy(int(version), bytes(digest), bytes(packed), ConfigStatus(standing))
+            copy = ConfigCopy(int(version), bytes(digest), bytes(packed), ConfigStatus(standing))
             self._told_chart(copy, self.adoption.told(now, copy, by_lighthouse))
         elif name == "view":
             cable.name = str(message[3][0])
@@ -186,16 +186,16 @@
                 if confirmed is not None:
                     self._take_chart(confirmed)
 
-    def _told_chart(self, copy: Copy, advice: Advice) -> None:
-        if advice in (Advice.PASS_OVER, Advice.WAIT):
+    def _told_chart(self, copy: ConfigCopy, advice: AdoptionAction) -> None:
+        if advice in (AdoptionAction.PASS_OVER, AdoptionAction.WAIT):
             return
-        if advice is Advice.GIVE_WAY:
+        if advice is AdoptionAction.GIVE_WAY:
             logs.log_event("config_gave_way", version=copy.version)
-        elif advice is Advice.FENCE:
+        elif advice is AdoptionAction.FENCE:
             logs.log_event("config_two_texts", version=copy.version, digest=copy.digest.hex())
         self._take_chart(copy)
 
-    def _take_chart(self, copy: Copy) -> None:
+    def _take_chart(self, copy: ConfigCopy) -> None:
         try:
             document = zlib.decompress(copy.packed)
             if digest_of(document) != copy.digest:
@@ -234,7 +234,7 @@
             keeper = self._keepers[tenant] = max(self.members, key=weight, default="")
         return keeper
 
-    def add(self, tenant: str, again: bool, answered: Answered) -> int:
+    def add(self, tenant: str, again: bool, answered: QuotaReply) -> int:
         """Add a unit to a tenant's count; a number to `give_up` by, or 0 where nobody can be asked."""
         caller = self.callers.get(self.keeper(tenant))
         if caller is None or not caller.live:
@@ -244,7 +244,7 @@
         caller.send("add", self._number, tenant, again, self.epoch)
         return self._number
 
-    def give_up(self, number: int, late: Answered) -> None:
+    def give_up(self, number: int, late: QuotaReply) -> None:
         """Wait no longer for an add; what it came to after all is told late, unless the cable ends before."""
         if number in self._adds:
             self._adds[number] = self._adds[number][0], late
@@ -268,7 +268,7 @@
 
     # Servers to take.
 
-    def berth(self, service: str, answered: Offered) -> int:
+    def berth(self, service: str, answered: EndpointAdvice) -> int:
         """Ask for the servers of a service best taken; a number to `drop` by, 0 where nobody can be asked."""
         caller = self.callers.get(self.keeper(service))
         if caller is None or not caller.live:
--- a/wickspring/pilot/flotilla.py
+++ b/wickspring/dataplane/gossip.py
@@ -38,13 +38,13 @@
 DIAL_MS = 300.0
 
 # Version of the configuration and digest of its text, servers that leave, a number for all servers.
-State = tuple[int, bytes, int, int]
+GossipDigest = tuple[int, bytes, int, int]
 
 
-class Holds(Protocol):
+class GossipHost(Protocol):
     """What a pilot holds, and where what is fetched goes."""
 
-    def state(self) -> State:
+    def state(self) -> GossipDigest:
         """Return the state to compare."""
 
     def tell_all(self, cable: PeerConnection, version: int, digest: bytes) -> None:
@@ -57,11 +57,11 @@
         """Tell whether no lighthouse is in reach."""
 
 
-class Flotilla:
+class GossipNode:
     """One pilot among the others."""
 
     def __init__(
-        self, ip: str, port: int, clock: Clock, nursery: trio.Nursery, random: Random, holds: Holds,
+        self, ip: str, port: int, clock: Clock, nursery: trio.Nursery, random: Random, holds: GossipHost,
         wire: Datagrams,
     ) -> None:  # fmt: skip
         self.ip, self.port, self.clock, self.nursery, self.random = ip, port, clock, nursery, random
--- a/wickspring/pilot/policy/tries.py
+++ b/wickspring/dataplane/policy/attempts.py
@@ -21,7 +21,7 @@
 HEDGE_LEFT = 2.0  # of the budget that only failures may take
 
 
-class Outcome(Enum):
+class AttemptOutcome(Enum):
     """How a try ended."""
 
     ANSWERED = "answered"  # whole and sealed, whatever its status
@@ -33,11 +33,11 @@
     @property
     def never(self) -> bool:
         """Tell whether the try has not run and never will."""
-        return self in (Outcome.TURNED_AWAY, Outcome.UNSENT)
+        return self in (AttemptOutcome.TURNED_AWAY, AttemptOutcome.UNSENT)
 
 
 @dataclass(slots=True)
-class Tries:
+class Attempts:
     """What the decisions on one request rest on. Times are ms."""
 
     route: Route
@@ -66,12 +66,12 @@
         self.out += 1
         self.sent += 1
 
-    def end(self, outcome: Outcome) -> None:
+    def end(self, outcome: AttemptOutcome) -> None:
         """Note how a try ended."""
         holds(self.out > 0, "a try ends once")
         self.out -= 1
         self.never = self.never and outcome.never
-        self.timed_out = self.timed_out or outcome is Outcome.SILENT
+        self.timed_out = self.timed_out or outcome is AttemptOutcome.SILENT
 
     def hedge_at(self, usual: float) -> float:
         """Return when a silent try of a pure request is to be followed by another."""
--- a/wickspring/pilot/policy/adoption.py
+++ b/wickspring/dataplane/policy/config_adoption.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Copy:
+class ConfigCopy:
     """A copy as it was told; `packed` is the text as it came."""
 
     version: int
@@ -29,7 +29,7 @@
     standing: ConfigStatus
 
 
-class Advice(Enum):
+class AdoptionAction(Enum):
     """What to do with a copy."""
 
     PASS_OVER = "pass_over"
@@ -39,62 +39,62 @@
     FENCE = "fence"  # take it instead of a text of the same number that was: this must not happen
 
 
-class Adoption:
+class ConfigAdoption:
     """What one pilot goes by, and what it would go by for want of better."""
 
     def __init__(self, now: float) -> None:
         self.version, self.digest, self.standing = 0, b"", ConfigStatus.HELD
-        self.waiting: Copy | None = None
+        self.waiting: ConfigCopy | None = None
         self._current_at = now
 
-    def told(self, now: float, copy: Copy, by_lighthouse: bool = True) -> Advice:
+    def told(self, now: float, copy: ConfigCopy, by_lighthouse: bool = True) -> AdoptionAction:
         """Say what to do with a copy; it counts as taken up only with `took`."""
         if copy.standing is ConfigStatus.CURRENT:
             self._current_at = now
         if copy.version < self.version or not copy.version:
-            return Advice.PASS_OVER
+            return AdoptionAction.PASS_OVER
         if copy.version == self.version:
             return self._same_number(copy, by_lighthouse)
         if self.version:
-            return Advice.TAKE if copy.standing >= ConfigStatus.SAFE else Advice.PASS_OVER
+            return AdoptionAction.TAKE if copy.standing >= ConfigStatus.SAFE else AdoptionAction.PASS_OVER
         if copy.standing is ConfigStatus.CURRENT:
-            return Advice.TAKE
+            return AdoptionAction.TAKE
         best = self.waiting
         if best is None or (copy.standing, copy.version) > (best.standing, best.version):
             self.waiting = copy
-        return Advice.WAIT
+        return AdoptionAction.WAIT
 
-    def _same_number(self, copy: Copy, by_lighthouse: bool) -> Advice:
+    def _same_number(self, copy: ConfigCopy, by_lighthouse: bool) -> AdoptionAction:
         if copy.digest == self.digest:
             self.standing = max(self.standing, min(copy.standing, ConfigStatus.SAFE))
-            return Advice.PASS_OVER
+            return AdoptionAction.PASS_OVER
         if self.standing is ConfigStatus.HELD and copy.standing >= ConfigStatus.SAFE:
-            return Advice.GIVE_WAY
+            return AdoptionAction.GIVE_WAY
         if by_lighthouse and copy.standing is ConfigStatus.CURRENT:
-            return Advice.FENCE
-        return Advice.PASS_OVER
+            return AdoptionAction.FENCE
+        return AdoptionAction.PASS_OVER
 
-    def confirmed(self, now: float, version: int, digest: bytes) -> Copy | None:
+    def confirmed(self, now: float, version: int, digest: bytes) -> ConfigCopy | None:
         """Hear from somebody in contact what holds; return the copy that waited for just that."""
         self._current_at = now
         waiting, told = self.waiting, (version, digest)
         if version and told == (self.version, self.digest):
             self.standing = ConfigStatus.SAFE
         elif not self.version and waiting is not None and told == (waiting.version, waiting.digest):
-            return Copy(version, digest, waiting.packed, ConfigStatus.CURRENT)
+            return ConfigCopy(version, digest, waiting.packed, ConfigStatus.CURRENT)
         return None
 
-    def due(self, now: float) -> Copy | None:
+    def due(self, now: float) -> ConfigCopy | None:
         """Return the copy to go by for want of better, once that is due."""
         return self.waiting if not self.version and now - self._current_at >= ALONE_MS else None
 
-    def took(self, copy: Copy) -> None:
+    def took(self, copy: ConfigCopy) -> None:
         """Go by a copy from now on."""
         self.version, self.digest = copy.version, copy.digest
         self.standing = min(copy.standing, ConfigStatus.SAFE)
         self.waiting = None
 
-    def drop(self, copy: Copy) -> None:
+    def drop(self, copy: ConfigCopy) -> None:
         """Forget a copy that cannot be used."""
         if self.waiting is copy:
             self.waiting = None
--- a/wickspring/pilot/policy/choice.py
+++ b/wickspring/dataplane/policy/endpoint_selection.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Berth:
+class EndpointState:
     """One server as this pilot knows it."""
 
     server: Endpoint
@@ -32,13 +32,13 @@
     heard_at: float = 0.0
 
 
-class Choice:
+class EndpointSelector:
     """The servers of all services, and which one to take."""
 
     def __init__(self, zone: str, seed: int, warm: Callable[[str], bool] = lambda _: True) -> None:
         self.zone, self.random, self.warm = zone, Random(seed), warm
-        self.berths: dict[str, Berth] = {}
-        self.services: dict[str, dict[str, Berth]] = {}  # those that take work
+        self.berths: dict[str, EndpointState] = {}
+        self.services: dict[str, dict[str, EndpointState]] = {}  # those that take work
         self.leaving: dict[str, int] = {}
         self.usual: dict[str, float] = {}  # mean answer time of a route, ms
 
@@ -52,7 +52,7 @@
         known = self.berths.get(server.id)
         news = known is None or (known.lost and fresh) or server.state > known.server.state
         if known is None:
-            known = self.berths[server.id] = Berth(server, heard_at=now)
+            known = self.berths[server.id] = EndpointState(server, heard_at=now)
         elif server.seq >= known.server.seq or server.state > known.server.state:
             state = max(server.state, known.server.state)
             if state != server.state:
@@ -84,7 +84,7 @@
             if berth is not None:
                 berth.lost = True
 
-    def _place(self, berth: Berth) -> None:
+    def _place(self, berth: EndpointState) -> None:
         server = berth.server
         takes = max(server.state, self.leaving.get(server.id, READY)) == READY
         place = self.services.setdefault(server.service, {})
@@ -100,7 +100,7 @@
 
     # Choosing.
 
-    def cost(self, now: float, berth: Berth, usual: float) -> float:
+    def cost(self, now: float, berth: EndpointState, usual: float) -> float:
         """Return about how long an answer takes there, by the usual time."""
         slots = max(1, berth.server.slots)
         cost = berth.slow * (1.0 + len(berth.out) / slots)
@@ -121,7 +121,7 @@
 
     def pick(
         self, now: float, service: str, route: str, tried: set[str], offers: Sequence[tuple[str, float]] = ()
-    ) -> Berth | None:
+    ) -> EndpointState | None:
         """Choose a server of a service that has not been tried, if there is one of those offered."""
         best, least = None, float("inf")
         for id_, cost in offers:
@@ -146,12 +146,12 @@
 
     # What becomes of tries.
 
-    def sent(self, now: float, berth: Berth, number: int) -> None:
+    def sent(self, now: float, berth: EndpointState, number: int) -> None:
         """Note a try as out."""
         berth.out[number] = now
 
     def ended(
-        self, now: float, berth: Berth, number: int, route: str, good: bool | None, silent: bool = False
+        self, now: float, berth: EndpointState, number: int, route: str, good: bool | None, silent: bool = False
     ) -> float:
         """Note how a try ended: a whole answer, a failure (or silence), or neither (turned away).
 
--- a/wickspring/pilot/policy/quota.py
+++ b/wickspring/dataplane/policy/quota.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Account:
+class TenantUsage:
     """What this pilot knows of one tenant's count."""
 
     windows: deque[list[int]] = field(default_factory=deque)  # number and own units, oldest first
@@ -29,24 +29,24 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ruling:
+class QuotaDecision:
     """Whether a request goes on; else ms after which to come back."""
 
     goes: bool
     wait: float = 0.0
 
 
-class Quota:
+class QuotaPolicy:
     """All tenants' accounts at this pilot."""
 
     def __init__(self, span_s: float, excess: float, slack: float) -> None:
         self.span_s, self.excess, self.slack = span_s, excess, slack
         self.window_ms = 1000.0 * span_s / WINDOWS_PER_SPAN
-        self.accounts: dict[str, Account] = {}
+        self.accounts: dict[str, TenantUsage] = {}
 
-    def _account(self, now: float, tenant: str) -> tuple[int, Account]:
+    def _account(self, now: float, tenant: str) -> tuple[int, TenantUsage]:
         window = int(now / self.window_ms)
-        account = self.accounts.setdefault(tenant, Account())
+        account = self.accounts.setdefault(tenant, TenantUsage())
         while account.windows and account.windows[0][0] < window - WINDOWS_PER_SPAN:
             account.own -= account.windows.popleft()[1]
         return window, account
@@ -70,27 +70,27 @@
                 return True
         return False
 
-    def counted(self, now: float, tenant: str, total: int, limit: int, wait: float) -> Ruling:
+    def counted(self, now: float, tenant: str, total: int, limit: int, wait: float) -> QuotaDecision:
         """Rule on a request by the total that its add has come to."""
         _, account = self._account(now, tenant)
         if total > limit:
             self.taken_back(now, tenant)
-            return Ruling(False, wait)
+            return QuotaDecision(False, wait)
         if total >= FEW:
             part = min(1.0, account.own / total)
             account.part = part if account.part < 0 else account.part + (part - account.part) / PART_MEMORY
-        return Ruling(True)
+        return QuotaDecision(True)
 
-    def alone(self, now: float, tenant: Tenant, pilots: int) -> Ruling:
+    def alone(self, now: float, tenant: Tenant, pilots: int) -> QuotaDecision:
         """Rule on a request whose add nobody has answered; its unit is noted already."""
         _, account = self._account(now, tenant.name)
         whole = quota_ceiling(tenant.rate, tenant.burst, self.span_s, self.excess, self.slack)
         part = account.part if account.part >= 0 else PART_LEAST / max(1, pilots)
         if account.own <= ISOLATED_SHARE * part * whole:
-            return Ruling(True)
+            return QuotaDecision(True)
         self.taken_back(now, tenant.name)
         oldest = account.windows[0][0] if account.windows else int(now / self.window_ms)
-        return Ruling(False, max(self.window_ms, (oldest + WINDOWS_PER_SPAN + 1) * self.window_ms - now))
+        return QuotaDecision(False, max(self.window_ms, (oldest + WINDOWS_PER_SPAN + 1) * self.window_ms - now))
 
     def past(self, now: float) -> list[tuple[str, list[tuple[int, int]]]]:
         """Return all that was sent on within the span, windows ago and units, for a keeper."""
--- a/wickspring/pilot/policy/budget.py
+++ b/wickspring/dataplane/policy/retry_budget.py
@@ -14,7 +14,7 @@
 UNKNOWN_FLEET = 32  # pilots that are reckoned with until their number is told
 
 
-class Budget:
+class RetryBudget:
     """Further tries to one service."""
 
     def __init__(self, ratio: float, window_s: float, slack: float) -> None:
--- a/wickspring/pilot/pilot.py
+++ b/wickspring/dataplane/process.py
@@ -18,6 +18,12 @@
 from wickspring.common.settings import Address, NodeSettings
 from wickspring.connections.limits import ConnectionLimits
 from wickspring.connections.pools import Conn
+from wickspring.dataplane.control_client import ControlClient
+from wickspring.dataplane.gossip import GossipDigest, GossipNode
+from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
+from wickspring.dataplane.policy.quota import QuotaPolicy
+from wickspring.dataplane.request import RequestHandler
+from wickspring.dataplane.upstream import ConnectionDefaults, UpstreamConnection
 from wickspring.interface import Readiness
 from wickspring.net.calls import Client
 from wickspring.net.datagrams import Udp
@@ -28,12 +34,6 @@
 from wickspring.net.listening import accept, close_listener, take_rest
 from wickspring.net.upstream.carrier import Carrier
 from wickspring.net.upstream.manager import Upstream
-from wickspring.pilot.flotilla import Flotilla, State
-from wickspring.pilot.moorings import Moorings
-from wickspring.pilot.policy.choice import Choice
-from wickspring.pilot.policy.quota import Quota
-from wickspring.pilot.request import Requests
-from wickspring.pilot.upstream import Dials, GatewayLink
 
 CONN_SHARE = 0.9  # of a server's connections that all pilots together take
 CONNS_LEAST, CONNS_MOST = 3, 64
@@ -44,21 +44,21 @@
 ACCEPT_ON_S = 0.4  # after SIGTERM, for connections that are on their way
 
 
-class Pilot(Requests):
+class DataPlane(RequestHandler):
     """One pilot."""
 
     def __init__(self, boot: NodeSettings, nursery: trio.Nursery, seed: int) -> None:
         super().__init__(nursery, boot.limits.memory_mb)
         self.boot, self.random = boot, Random(seed)
         bounds = boot.guarantees
-        self.choice = Choice(boot.zone, self.random.getrandbits(32), self._warm)
-        self.quota = Quota(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack)
-        self.moorings = Moorings(
+        self.choice = EndpointSelector(boot.zone, self.random.getrandbits(32), self._warm)
+        self.quota = QuotaPolicy(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack)
+        self.moorings = ControlClient(
             boot, self.clock, nursery, self.random, self.choice, lambda: self.quota.past(self.clock.now()),
             self._digest, self._charted, self._pass_on, self._introduced, self._informed,
         )  # fmt: skip
         self.wire = Udp(boot.ip, boot.talk_port)
-        self.flotilla = Flotilla(
+        self.flotilla = GossipNode(
             boot.ip, boot.talk_port, self.clock, nursery, self.random, self, self.wire
         )  # fmt: skip
         self.entries: dict[str, tuple[bool, api.ServerEntry]] = {}
@@ -69,7 +69,7 @@
             idle_share=IDLE_SHARE,
         )
         self.upstream = Upstream(
-            Dials(self.random.getrandbits(32)), self.limits, lambda: self.sockets,
+            ConnectionDefaults(self.random.getrandbits(32)), self.limits, lambda: self.sockets,
             lambda: len(self.connections), self.clock, self.timers, nursery, self._entry,
             self._carrier,
         )  # fmt: skip
@@ -100,7 +100,7 @@
     def _introduced(self, ips: list[str]) -> None:
         self.flotilla.introduce(ips)
 
-    def state(self) -> State:
+    def state(self) -> GossipDigest:
         """Return what the other pilots compare with theirs."""
         mine = self.moorings.adoption
         return mine.version, mine.digest, len(self.choice.leaving), self._digest()
@@ -153,7 +153,7 @@
         return pool is not None and any(conn.free > 0 for conn in pool.conns)
 
     def _carrier(self, upstream: Upstream, conn: Conn) -> Carrier:
-        return GatewayLink(upstream, conn)
+        return UpstreamConnection(upstream, conn)
 
     # Upkeep.
 
@@ -181,10 +181,10 @@
         return self.ready
 
 
-class Watch(Host):
+class ReadinessProbe(Host):
     """What answers the platform's question whether this pilot is ready."""
 
-    def __init__(self, pilot: Pilot) -> None:
+    def __init__(self, pilot: DataPlane) -> None:
         super().__init__(pilot.nursery, pilot.memory_mb)
         self.pilot = pilot
 
@@ -214,12 +214,12 @@
         """Nothing is owed here."""
 
 
-async def serve(link: Link, pilot: Pilot) -> None:
+async def serve(link: Link, pilot: DataPlane) -> None:
     """Serve one client's connection."""
     await pilot.serve(Http1Connection(link, pilot, patience=pilot.patience), link)
 
 
-async def serve_watch(link: Link, watch: Watch) -> None:
+async def serve_readiness(link: Link, watch: ReadinessProbe) -> None:
     """Serve one connection of the platform."""
     await watch.serve(Http1Connection(link, watch, patience=Patience(idle=15_000.0)), link)
 
@@ -230,17 +230,17 @@
     if front is None or ready is None:
         raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, "bind: a pilot needs front_http and ready_addr"))
     async with trio.open_nursery() as nursery:
-        pilot = Pilot(boot, nursery, seed)
+        pilot = DataPlane(boot, nursery, seed)
         nursery.start_soon(pilot.timers.run)
         nursery.start_soon(pilot.moorings.tick)
         nursery.start_soon(pilot.flotilla.run)
         nursery.start_soon(accept_connections, started.talk, pilot.clock, nursery, pilot.flotilla.serve)
         pilot.tidy()
         pilot.upkeep()
-        watch = Watch(pilot)
+        watch = ReadinessProbe(pilot)
         nursery.start_soon(watch.timers.run)
         watch.tidy()
-        nursery.start_soon(accept, ready, watch, serve_watch)
+        nursery.start_soon(accept, ready, watch, serve_readiness)
         nursery.start_soon(accept, front, pilot, serve)
         logs.log_event("afloat", ip=boot.ip, zone=boot.zone)
         await ended.wait()
--- a/wickspring/pilot/request.py
+++ b/wickspring/dataplane/request.py
@@ -1,7 +1,7 @@
 """The way of one request through a pilot: from its client, by route, quota and servers, to its answer.
 
-`Requests.ask` takes it, `_send` sends it to a server, `_ended` learns how a try went and goes on from there,
-and one of `_land`, `_end` and a `Flow` answers it. `docs/design/answers.md` goes through what may befall it.
+`RequestHandler.ask` takes it, `_send` sends it to a server, `_ended` learns how a try went and goes on from there,
+and one of `_land`, `_end` and a `ResponseStream` answers it. `docs/design/answers.md` goes through what may befall it.
 """
 
 from __future__ import annotations
@@ -18,6 +18,12 @@
 from wickspring.common.routing_table import Route, Tenant
 from wickspring.common.settings import NodeSettings, parse_address
 from wickspring.core.invariants import holds
+from wickspring.dataplane.control_client import ADD_MS, ControlClient
+from wickspring.dataplane.policy.attempts import END_MS, HEDGE_LEFT, AttemptOutcome, Attempts
+from wickspring.dataplane.policy.endpoint_selection import EndpointSelector, EndpointState
+from wickspring.dataplane.policy.quota import QuotaDecision, QuotaPolicy
+from wickspring.dataplane.policy.retry_budget import UNKNOWN_FLEET, RetryBudget
+from wickspring.dataplane.upstream import ID, SEAL, BufferedResponse, Exchange, end_to_end_headers
 from wickspring.interface import Status
 from wickspring.net.calls import Client, retry_after
 from wickspring.net.feed import Feed
@@ -25,12 +31,6 @@
 from wickspring.net.http1_front import Http1Connection
 from wickspring.net.upstream.carrier import Reply, Sink
 from wickspring.net.upstream.manager import Upstream
-from wickspring.pilot.moorings import ADD_MS, Moorings
-from wickspring.pilot.policy.budget import UNKNOWN_FLEET, Budget
-from wickspring.pilot.policy.choice import Berth, Choice
-from wickspring.pilot.policy.quota import Quota, Ruling
-from wickspring.pilot.policy.tries import END_MS, HEDGE_LEFT, Outcome, Tries
-from wickspring.pilot.upstream import ID, SEAL, Landing, Passage, own
 
 BACK_MS = (60.0, 160.0)  # until a client may come again where no server took its request
 KEEP_ALIVE_SHARE = 0.9  # of the time a server says it keeps an idle connection
@@ -42,8 +42,8 @@
 MOST_LEFT_MS = 600_000.0
 PROMISES = frozenset({408, 421, 429, 503})  # a client takes them for: it has not run and never will
 _STATUS = {
-    Status.OK: Outcome.ANSWERED, Status.FULL: Outcome.TURNED_AWAY, Status.CONNECT_FAILED: Outcome.UNSENT,
-    Status.MOOT: Outcome.UNSENT, Status.TIMEOUT: Outcome.SILENT, Status.ERROR: Outcome.ANSWERED,
+    Status.OK: AttemptOutcome.ANSWERED, Status.FULL: AttemptOutcome.TURNED_AWAY, Status.CONNECT_FAILED: AttemptOutcome.UNSENT,
+    Status.MOOT: AttemptOutcome.UNSENT, Status.TIMEOUT: AttemptOutcome.SILENT, Status.ERROR: AttemptOutcome.ANSWERED,
 }  # fmt: skip
 _SET_HERE = frozenset({"host", "x-key", "x-tenant", "x-target-instance", "x-deadline-ms", "expect"})
 
@@ -56,7 +56,7 @@
         "offers", "passing", "ruled", "target", "tenant", "timer", "tries",
     )  # fmt: skip
 
-    def __init__(self, number: int, client: Client, method: str, target: str, tries: Tries) -> None:
+    def __init__(self, number: int, client: Client, method: str, target: str, tries: Attempts) -> None:
         self.number, self.method, self.target, self.tries = number, method, target, tries
         self.client: Client | None = client
         self.headers: list[tuple[str, str]] = []
@@ -68,12 +68,12 @@
         self.offers: list[tuple[str, float]] | None = None  # servers best taken; None: not told yet
         self.ruled = False  # its quota lets it go on
         self.passing = 0  # the number of the try whose answer flows
-        self.landing: Landing | None = None  # a whole answer that is no success, kept while others are out
+        self.landing: BufferedResponse | None = None  # a whole answer that is no success, kept while others are out
         self.timer: Callable[[], None] = lambda: None  # cancels the end
         self.hedge: Callable[[], None] = lambda: None
 
 
-class Flow:
+class ResponseStream:
     """The way of one try's long answer to the client, for as long as it is the client's present one."""
 
     __slots__ = ("client", "number", "request")
@@ -96,20 +96,20 @@
         return self._own() and await self.client.room() and self._own()
 
 
-class Requests(Host):
+class RequestHandler(Host):
     """The requests of one pilot, and what is decided on each."""
 
     parts_run = True
     boot: NodeSettings
     random: Random
-    choice: Choice
-    quota: Quota
-    moorings: Moorings
+    choice: EndpointSelector
+    quota: QuotaPolicy
+    moorings: ControlClient
     upstream: Upstream
 
     def __init__(self, nursery: trio.Nursery, memory_mb: float) -> None:
         super().__init__(nursery, memory_mb)
-        self.budgets: dict[str, Budget] = {}
+        self.budgets: dict[str, RetryBudget] = {}
         self.requests: dict[int, Request] = {}
         self.waiting: dict[int, tuple[Client, str, str, dict[str, str], bytes]] = {}  # for the first news
         self.ids: set[str] = set()  # of requests under way that may run once
@@ -165,9 +165,9 @@
         service = self._service(route)
         self._last += 1
         request = Request(
-            self._last, client, method, target, Tries(route, service, now, now + wait - END_MS)
+            self._last, client, method, target, Attempts(route, service, now, now + wait - END_MS)
         )
-        request.headers = [pair for pair in own(pairs) if pair[0] not in _SET_HERE]
+        request.headers = [pair for pair in end_to_end_headers(pairs) if pair[0] not in _SET_HERE]
         request.host, request.id, request.body, request.feed = host, id_, body, feed
         if tenant is not None:
             request.tenant = tenant
@@ -253,7 +253,7 @@
             elif counted and not goes:
                 self.moorings.give_back(tenant.name)
 
-        def ruled(ruling: Ruling) -> None:
+        def ruled(ruling: QuotaDecision) -> None:
             if request.tries.ended:
                 return
             if ruling.goes:
@@ -315,7 +315,7 @@
         until = tries.until
         left = max(1, int(until + END_MS - now))
         headers = [*request.headers, ("X-Deadline-Ms", str(left)), ("X-Target-Instance", server.id)]
-        passage = Passage(
+        passage = Exchange(
             server.id.encode(), parse_address(server.address), not tries.route.pure, until, id=request.id,
             host=request.host, method=request.method, target=request.target, headers=headers,
             body=request.body, feed=request.feed, done=partial(self._ended, request, berth, number, told),
@@ -335,7 +335,7 @@
         tries.streamed = tries.streamed or not tries.ended
         return not tries.ended
 
-    def _afford(self, tries: Tries, now: float) -> bool:
+    def _afford(self, tries: Attempts, now: float) -> bool:
         """Pay for a further try; a first one earns."""
         budget = self._budget(tries.service)
         if tries.sent == 0:
@@ -346,11 +346,11 @@
         self.tally["no_budget"] += 1
         return False
 
-    def _budget(self, service: str) -> Budget:
+    def _budget(self, service: str) -> RetryBudget:
         budget = self.budgets.get(service)
         if budget is None:
             bounds = self.boot.guarantees
-            budget = self.budgets[service] = Budget(
+            budget = self.budgets[service] = RetryBudget(
                 bounds.retry_ratio, bounds.retry_window_s, bounds.retry_slack
             )
         return budget
@@ -386,18 +386,18 @@
             return None  # such a client would take its end for whole wherever this process were to end
         request.passing = number
         request.timer()
-        client.begin(length, code, own(pairs))
-        return Flow(request, number, client)
+        client.begin(length, code, end_to_end_headers(pairs))
+        return ResponseStream(request, number, client)
 
-    def _ended(self, request: Request, berth: Berth, number: int, told: str, reply: Reply) -> None:
+    def _ended(self, request: Request, berth: EndpointState, number: int, told: str, reply: Reply) -> None:
         """Learn from a try's end, and go on from there."""
         now, tries = self.clock.now(), request.tries
-        outcome = _STATUS.get(reply.status, Outcome.BROKEN)
+        outcome = _STATUS.get(reply.status, AttemptOutcome.BROKEN)
         tries.end(outcome)
-        good: bool | None = outcome is Outcome.ANSWERED and reply.status is Status.OK
-        if outcome is Outcome.TURNED_AWAY:
+        good: bool | None = outcome is AttemptOutcome.ANSWERED and reply.status is Status.OK
+        if outcome is AttemptOutcome.TURNED_AWAY:
             good = None
-        silent = outcome is Outcome.SILENT
+        silent = outcome is AttemptOutcome.SILENT
         ratio = self.choice.ended(now, berth, number, tries.route.name, good, silent)
         if told:
             self.moorings.back_in(told, berth.server.id, ratio)
@@ -410,9 +410,9 @@
             client = self._place(request)
             self._finish(request)
             if isinstance(client, Http1Connection):
-                client.end(outcome is Outcome.ANSWERED)
+                client.end(outcome is AttemptOutcome.ANSWERED)
             return
-        if isinstance(reply, Landing) and outcome is Outcome.ANSWERED:
+        if isinstance(reply, BufferedResponse) and outcome is AttemptOutcome.ANSWERED:
             if reply.code < 500 or not tries.may_send(now):
                 self._land(request, reply)
                 return
@@ -427,7 +427,7 @@
         client = request.client
         return client if not isinstance(client, Http1Connection) or client.number == request.number else None
 
-    def _land(self, request: Request, landing: Landing) -> None:
+    def _land(self, request: Request, landing: BufferedResponse) -> None:
         """Give the client the server's answer as it came, unless it would be read as `it has not run`."""
         if landing.code in PROMISES:
             self._end(request, ErrorKind.MAY_HAVE_RUN)
@@ -438,7 +438,7 @@
         sealed = any(name == SEAL and value for name, value in landing.pairs)
         holds(sealed or not 200 <= landing.code < 300, "a success bears its seal")
         if isinstance(client, Http1Connection):
-            client.answer(landing.code, "", landing.body, own(landing.pairs))
+            client.answer(landing.code, "", landing.body, end_to_end_headers(landing.pairs))
 
     def _give_up(self, request: Request) -> None:
         """End a request that nothing more can be done for, unless a try is still out."""
--- a/wickspring/pilot/upstream.py
+++ b/wickspring/dataplane/upstream.py
@@ -23,7 +23,7 @@
 _STATUS_LINE = re.compile(r"HTTP/[0-9.]+ [0-9]{3}")
 
 
-class Dials(msgspec.Struct, frozen=True):
+class ConnectionDefaults(msgspec.Struct, frozen=True):
     """What the shared connections need to know of servers; milliseconds."""
 
     seed: int
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Landing(Reply):
+class BufferedResponse(Reply):
     """A server's answer, whole."""
 
     code: int = 0
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class Passage(Job):
+class Exchange(Job):
     """One try at one server."""
 
     id: str
@@ -52,14 +52,14 @@
     flowing: Callable[[int, list[tuple[str, str]], int | None], Sink | None] = lambda *_: None
 
 
-def own(pairs: list[tuple[str, str]]) -> list[tuple[str, str]]:
+def end_to_end_headers(pairs: list[tuple[str, str]]) -> list[tuple[str, str]]:
     """Return the headers that are not of a single connection, nor named so by it; id and seal always stay."""
     values = [value for name, value in pairs if name.lower() == "connection"]
     named = {word.strip().lower() for value in values for word in value.split(",")} - {ID, SEAL}
     return [(k, v) for k, v in pairs if k.lower() not in HOP and k.lower() not in named]
 
 
-def is_for(reader: AnswerReader, passage: Passage) -> bool:
+def is_for(reader: AnswerReader, passage: Exchange) -> bool:
     """Tell whether an answer's head is one, and of the answer to this request.
 
     An answer that was cut within a header's value, or within the words beside its status, and is followed by
@@ -71,7 +71,7 @@
     return not any(_STATUS_LINE.search(text) for text in (reader.reason, *(value for _, value in pairs)))
 
 
-def is_own(reader: AnswerReader, passage: Passage) -> bool:
+def is_own(reader: AnswerReader, passage: Exchange) -> bool:
     """Tell whether an answer is the server's to this request, as far as its head can show.
 
     The answer itself must tell its end: one that ends with its connection looks whole wherever it is cut.
@@ -88,7 +88,7 @@
     return not (200 <= code < 300) or (any(seals) and "content-encoding" not in headers)
 
 
-class GatewayLink(Http1Link):
+class UpstreamConnection(Http1Link):
     """A connection to a server of the gateway."""
 
     _before = 0  # bytes that the kernel had taken before the present job
@@ -108,7 +108,7 @@
         """Take a whole answer for the server's, or its connection for spoilt."""
         code, headers, body = answer
         passage = self.job
-        if not isinstance(passage, Passage):  # a probe
+        if not isinstance(passage, Exchange):  # a probe
             return Reply(Status.OK if code == 200 else Status.ERROR, body=body)
         passage.heard(headers)
         if not is_for(self.reader, passage):
@@ -116,12 +116,12 @@
             self._spoilt()
             return Reply(Status.RESET)
         if NOT_RUN in headers or code == 421:
-            return Landing(Status.FULL, body=body, code=code, pairs=self.reader.pairs)
+            return BufferedResponse(Status.FULL, body=body, code=code, pairs=self.reader.pairs)
         if not is_own(self.reader, passage):
             self._spoilt()
             return Reply(Status.RESET)
         status = Status.OK if code < 500 else Status.ERROR
-        return Landing(status, body=body, code=code, pairs=self.reader.pairs)
+        return BufferedResponse(status, body=body, code=code, pairs=self.reader.pairs)
 
     def _spoilt(self) -> None:
         self.closed = True
@@ -131,7 +131,7 @@
 
     def begins(self, job: Job) -> Sink | None:
         """Let a long answer through once its head shows whose it is."""
-        if not isinstance(job, Passage):
+        if not isinstance(job, Exchange):
             return None
         pairs = self.reader.pairs
         if any(name == NOT_RUN for name, _ in pairs) or not is_own(self.reader, job):
--- a/wickspring/lab/answers.py
+++ b/wickspring/lab/answers.py
@@ -25,14 +25,14 @@
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.routing_table import build_routing_table
 from wickspring.common.settings import Limits, NodeSettings
+from wickspring.dataplane import process as programs
+from wickspring.dataplane.process import DataPlane
+from wickspring.dataplane.upstream import NOT_RUN
 from wickspring.lab.clock import VirtualClock
 from wickspring.lab.harbour import HOST, KEY, PREFIX, document
 from wickspring.net import host
 from wickspring.net.http1_front import Http1Connection
 from wickspring.net.link import Link
-from wickspring.pilot import pilot as programs
-from wickspring.pilot.pilot import Pilot
-from wickspring.pilot.upstream import NOT_RUN
 
 ONCE, LAG_S = "/do/", 0.002
 PROMISES = frozenset({408, 421, 429, 503})  # statuses that say: it has not run and never will
@@ -508,7 +508,7 @@
         async with trio.open_nursery() as nursery:
             limits = Limits(memory_mb=256.0, max_fds=1024)
             boot = NodeSettings("edge-a-1", "10.1.0.30", "a", "7340,7355", ["10.1.0.33:8783"], limits=limits)
-            self.pilot = pilot = Pilot(boot, nursery, self.seed)
+            self.pilot = pilot = DataPlane(boot, nursery, self.seed)
             nursery.start_soon(pilot.timers.run)
             pilot.tidy()
             timeout = f'"timeout_s": {self.timeout_s}'.encode()
--- a/wickspring/lab/capacity_site.py
+++ b/wickspring/lab/capacity_site.py
@@ -34,16 +34,16 @@
 from wickspring.common import settings as boots
 from wickspring.common.connection import Message, PeerConnection
 from wickspring.common.lifecycle import GC_AFTER
-from wickspring.controlplane import process as lights
+from wickspring.controlplane import process as controlplane_process
+from wickspring.dataplane import gossip as gossip_module
+from wickspring.dataplane import process as dataplane_process
+from wickspring.dataplane.upstream import BufferedResponse
 from wickspring.interface import Status
 from wickspring.lab.clock import VirtualClock
 from wickspring.net import host
 from wickspring.net.link import READ_SIZE
 from wickspring.net.upstream.carrier import Job
 from wickspring.net.upstream.manager import Upstream
-from wickspring.pilot import flotilla
-from wickspring.pilot import pilot as pilots
-from wickspring.pilot.upstream import Landing
 
 CORE, INGRESS, SERVER = "core", "ingress", "server"
 WORK_MS = 50.0  # that a server takes for an answer
@@ -230,7 +230,7 @@
     def start(self, job: Job) -> None:
         """Answer a try later."""
         job_done = job.done
-        self.timers.at(self.clock.now() + WORK_MS, lambda: job_done(Landing(Status.OK, code=200, pairs=SEAL)))
+        self.timers.at(self.clock.now() + WORK_MS, lambda: job_done(BufferedResponse(Status.OK, code=200, pairs=SEAL)))
 
 
 class Caller:
@@ -287,10 +287,10 @@
             (host, "Clock", VirtualClock),
             (cables, "connect", net.connect),
             (cables, "Link", lambda pipe, _: pipe),
-            (flotilla, "connect", net.connect),
-            (flotilla, "Link", lambda pipe, _: pipe),
-            (pilots, "Udp", partial(Wire, net)),
-            (pilots, "Upstream", HollowUpstream),
+            (gossip_module, "connect", net.connect),
+            (gossip_module, "Link", lambda pipe, _: pipe),
+            (dataplane_process, "Udp", partial(Wire, net)),
+            (dataplane_process, "Upstream", HollowUpstream),
             (trio.to_thread, "run_sync", _inline),
             (PeerConnection, "send", send),
             (PeerConnection, "read", metered),
@@ -346,8 +346,8 @@
         self.net, self.meter, self.nursery, self.folder = net, net.meter, nursery, folder
         self.random, self.clock = Random(seed), VirtualClock()
         self.cores = [f"10.1.0.{n + 1}" for n in range(cores)]
-        self.lights: dict[str, lights.ControlPlane] = {}
-        self.pilots: dict[str, pilots.Pilot] = {}
+        self.lights: dict[str, controlplane_process.ControlPlane] = {}
+        self.pilots: dict[str, dataplane_process.DataPlane] = {}
         self._scopes: dict[str, trio.CancelScope] = {}
         self.tree: dict[str, Any] = {}
         self.servers: dict[str, dict[str, Any]] = {}
@@ -380,7 +380,7 @@
         """Start a core machine."""
 
         def run(nursery: trio.Nursery) -> Callable[[], None]:
-            light = self.lights[ip] = lights.ControlPlane(self._boot(ip), nursery, self.random.getrandbits(32))
+            light = self.lights[ip] = controlplane_process.ControlPlane(self._boot(ip), nursery, self.random.getrandbits(32))
             self.net.listen(ip, CORE, nursery, self.clock, light.cable)
 
             def begin() -> None:
@@ -397,7 +397,7 @@
         """Start an ingress."""
 
         def run(nursery: trio.Nursery) -> Callable[[], None]:
-            pilot = self.pilots[ip] = pilots.Pilot(self._boot(ip), nursery, self.random.getrandbits(32))
+            pilot = self.pilots[ip] = dataplane_process.DataPlane(self._boot(ip), nursery, self.random.getrandbits(32))
             self.net.listen(ip, INGRESS, nursery, self.clock, pilot.flotilla.serve)
 
             def begin() -> None:
--- a/wickspring/lab/capacity_units.py
+++ b/wickspring/lab/capacity_units.py
@@ -31,10 +31,10 @@
 from wickspring.controlplane.endpoint_registry import EndpointRegistry
 from wickspring.controlplane.load_tracker import LoadTracker
 from wickspring.controlplane.quota_counter import QuotaCounter
+from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
+from wickspring.dataplane.policy.quota import QuotaPolicy
 from wickspring.lab.capacity_site import document
 from wickspring.net.link import Link
-from wickspring.pilot.policy.choice import Choice
-from wickspring.pilot.policy.quota import Quota
 
 TRIES = 3
 SERVICES = 750 / 13_000  # for each server, as in the target
@@ -127,13 +127,13 @@
 def of_servers(count: int) -> dict[str, float]:
     """Return what so many servers cost a core machine and an ingress at each step that goes over them."""
     told = servers(count)
-    register, choice, berths = EndpointRegistry(1500.0), Choice("a", 1), LoadTracker(1)
+    register, choice, berths = EndpointRegistry(1500.0), EndpointSelector("a", 1), LoadTracker(1)
     for one in told:
         register.beat(0.0, one)
         choice.heard(0.0, one)
 
-    def known() -> Choice:
-        made = Choice("a", 1)
+    def known() -> EndpointSelector:
+        made = EndpointSelector("a", 1)
         for one in servers(count):
             made.heard(0.0, one)
         return made
@@ -176,8 +176,8 @@
                 tally.add(1e9, f"t{n}ab1c", f"10.9.{random.randrange(ingresses) // 250}.1", 33.0, 33.0)
         return tally
 
-    def accounted() -> Quota:
-        quota = Quota(span_s, 0.1, 20.0)
+    def accounted() -> QuotaPolicy:
+        quota = QuotaPolicy(span_s, 0.1, 20.0)
         for n in range(tenants):
             quota.sent(1e9, f"t{n}ab1c")
         return quota
--- a/wickspring/lab/flotilla.py
+++ b/wickspring/lab/flotilla.py
@@ -18,8 +18,8 @@
 
 from wickspring.common.connection import Message, PeerConnection
 from wickspring.controlplane.replication.replica import DIGEST_SIZE
+from wickspring.dataplane.gossip import GossipDigest, GossipNode
 from wickspring.lab.clock import VirtualClock
-from wickspring.pilot.flotilla import Flotilla, State
 
 LOSS = 0.01  # of all datagrams
 INTRODUCED = 3
@@ -79,7 +79,7 @@
         self.talk = Talk(self.ip, 1, fleet.clock, nursery, random, self, self.wire)
         self.talk.fleet = fleet
 
-    def state(self) -> State:
+    def state(self) -> GossipDigest:
         """Return the state to compare."""
         return self.version, bytes(DIGEST_SIZE) if self.version else b"", 0, 0
 
@@ -94,7 +94,7 @@
         return False
 
 
-class Talk(Flotilla):
+class Talk(GossipNode):
     """The real talk; only the cable of a fetch is carried out otherwise."""
 
     fleet: Fleet
--- a/wickspring/lab/harbour.py
+++ b/wickspring/lab/harbour.py
@@ -232,7 +232,7 @@
             f"port_range=7340,7355\nseed_addrs={seeds}\nis_first_start={str(first).lower()}\n"
             f"heartbeat_s={BEAT_S}\nlimits.memory_mb=300\nlimits.max_fds=1024\n"
         )
-        program = "wickspring.controlplane" if light else "wickspring.pilot"
+        program = "wickspring.controlplane" if light else "wickspring.dataplane"
         with (folder / "log").open("ab") as log:
             self.processes[ip] = subprocess.Popen(
                 [sys.executable, "-m", program], cwd=ROOT, stderr=log, stdout=log,
