--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -14,8 +14,8 @@
 from pyModelChecking import Kripke
 from pyModelChecking.CTL import AG, EF, AtomicProposition, Not, modelcheck
 
-from wickspring.shared import budgets
-from wickspring.shared.budgets import Ask, Back, Grant, Held, Loan, Terms
+from wickspring.peer_state import budgets
+from wickspring.peer_state.budgets import Ask, Back, Grant, Held, Loan, Terms
 
 BUDGET = "b"
 FLIGHT = 2  # messages on their way at once
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,23 +22,23 @@
 from wickspring import interface as api
 from wickspring.commands import top
 from wickspring.config import Bounds
-from wickspring.gossip.book import Book
-from wickspring.gossip.members import Doubt, Members, Place, Standing
 from wickspring.lab import among, scenario
 from wickspring.lab.result import Result
 from wickspring.lab.run import run
 from wickspring.lab.site import free_port
+from wickspring.membership.anti_entropy import AntiEntropyTable
+from wickspring.membership.swim import MemberInfo, Membership, MemberState, Suspicion
+from wickspring.peer_state.counts import KEPT_MOST, LIVES_MOST, Ledger, Told, mates, most
+from wickspring.peer_state.judgements import HEARSAY_MS, OWN_MS, Bad, Judge, Witness, Words, weigh
+from wickspring.peer_state.messages import NUMBERS, Reply, Talk
+from wickspring.peer_state.shares import Parts, Shares
 from wickspring.policy import Policy
-from wickspring.shared.counts import KEPT_MOST, LIVES_MOST, Ledger, Told, mates, most
-from wickspring.shared.judgements import HEARSAY_MS, OWN_MS, Bad, Judge, Witness, Words, weigh
-from wickspring.shared.shares import Parts, Shares
-from wickspring.shared.words import NUMBERS, Reply, Talk
 from wickspring.wire import Greeting, Lines
 
 # Gossip among many.
 
 
-def talk(one: Members[Place], other: Members[Place], now: float) -> None:
+def talk(one: Membership[MemberInfo], other: Membership[MemberInfo], now: float) -> None:
     """Have two members talk, as links do."""
     for member in (one, other):
         member.now = max(member.now, now)
@@ -65,8 +65,8 @@
         self.now, self.random = 0.0, Random(seed)
 
     @staticmethod
-    def begin(name: str, now: float, seed: int = 0) -> Members[Place]:
-        return Members(name, now, Place(f"at-{name}"), 0.5, seed, now)
+    def begin(name: str, now: float, seed: int = 0) -> Membership[MemberInfo]:
+        return Membership(name, now, MemberInfo(f"at-{name}"), 0.5, seed, now)
 
     def reaches(self, one: str, other: str) -> bool:
         return not ({one, other} & self.dead or (one, other) in self.cut or (other, one) in self.cut)
@@ -96,16 +96,16 @@
     assert all(len(one.entries) == 60 for one in fleet.members.values())
     sizes = [len(one.digest(8).heard) for one in fleet.members.values()]
     assert max(sizes) <= 9  # whatever the members: eight and the own
-    fleet.members["n007"].write(Place("moved"))
+    fleet.members["n007"].write(MemberInfo("moved"))
     fleet.rounds(9)
-    heard = sum(one.about("n007") == Place("moved") for one in fleet.members.values())
+    heard = sum(one.about("n007") == MemberInfo("moved") for one in fleet.members.values())
     assert heard == 60
 
 
 def test_a_stretch_covers_names_that_only_the_other_knows() -> None:
-    one, other = Book("b", 1.0, "b"), Book("e", 1.0, "e")
+    one, other = AntiEntropyTable("b", 1.0, "b"), AntiEntropyTable("e", 1.0, "e")
     for name in "acdfgh":
-        other.learn([Book(name, 1.0, name).own])
+        other.learn([AntiEntropyTable(name, 1.0, name).own])
     found = set[str]()
     for _ in range(14):
         news = other.answer(one.digest(2), 2)
@@ -121,13 +121,13 @@
     fleet.cut |= {("n001", "n002"), ("n002", "n001")}
     fleet.rounds(40)
     living = [one for name, one in fleet.members.items() if name != "n005"]
-    assert all(one.standing("n005") is Standing.GONE for one in living)
-    assert fleet.members["n001"].standing("n002") is not Standing.GONE
-    assert all(one.standing("n002") is Standing.ALIVE for one in living[3:])
+    assert all(one.standing("n005") is MemberState.GONE for one in living)
+    assert fleet.members["n001"].standing("n002") is not MemberState.GONE
+    assert all(one.standing("n002") is MemberState.ALIVE for one in living[3:])
     fleet.dead.clear()
     fleet.members["n005"] = fleet.begin("n005", fleet.now, 99)  # a new life outdoes the doubts
     fleet.rounds(20)
-    assert all(one.standing("n005") is Standing.ALIVE for one in fleet.members.values())
+    assert all(one.standing("n005") is MemberState.ALIVE for one in fleet.members.values())
 
 
 def test_halves_that_were_cut_find_each_other_and_nobody_is_forgotten() -> None:
@@ -136,12 +136,12 @@
     half, rest = fleet.names[:5], fleet.names[5:]
     fleet.cut = {(one, other) for one in half for other in rest}
     fleet.rounds(40)
-    assert all(fleet.members[one].standing(other) is Standing.GONE for one in half for other in rest)
-    assert all(fleet.members[one].standing(other) is Standing.ALIVE for one in half for other in half)
+    assert all(fleet.members[one].standing(other) is MemberState.GONE for one in half for other in rest)
+    assert all(fleet.members[one].standing(other) is MemberState.ALIVE for one in half for other in half)
     fleet.cut.clear()
     fleet.rounds(40)
     assert all(
-        one.standing(other) is Standing.ALIVE for one in fleet.members.values() for other in fleet.names
+        one.standing(other) is MemberState.ALIVE for one in fleet.members.values() for other in fleet.names
     )
 
 
@@ -150,16 +150,16 @@
     fleet.rounds(15)
     one = fleet.members["n000"]
     one.unreached("n001")
-    assert one.standing("n001") is Standing.DOUBTED
+    assert one.standing("n001") is MemberState.DOUBTED
     one.tick(fleet.now + 60.0)  # stopped for a minute: that says nothing of n001
-    assert one.standing("n001") is Standing.DOUBTED
+    assert one.standing("n001") is MemberState.DOUBTED
     other = fleet.members["n001"]
     before = other.own.newness
     talk(one, other, fleet.now + 60.0)
     assert other.own.newness > before  # it was told of the doubt, and has outdone it
-    assert one.standing("n001") is Standing.ALIVE
-    old = Members("n001", 5.0, Place("x"), 0.5, 1, 0.0)
-    old.doubted([Doubt("n001", 9.0, 3, "n002")])  # of a life by a clock that was ahead
+    assert one.standing("n001") is MemberState.ALIVE
+    old = Membership("n001", 5.0, MemberInfo("x"), 0.5, 1, 0.0)
+    old.doubted([Suspicion("n001", 9.0, 3, "n002")])  # of a life by a clock that was ahead
     assert old.own.newness > (9.0, 3)
 
 
@@ -418,7 +418,7 @@
         return set(subprocess.run(command, capture_output=True, text=True, check=True).stdout.split())
 
     off = loaded("")
-    for package in ("wickspring.gossip", "wickspring.shared", "wickspring.net.peers", "wickspring.wire"):
+    for package in ("wickspring.membership", "wickspring.peer_state", "wickspring.net.peers", "wickspring.wire"):
         assert not [name for name in off if name == package or name.startswith(package + ".")]
     on = loaded("import wickspring.net.peers\n")
     for package in ("rpds", "click", "rich", "sqlite3", "numpy", "cryptography", "wickspring.fleet"):
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -23,8 +23,8 @@
 from wickspring.controlplane.replication.replica import Config, Replica, Update, digest_of
 from wickspring.controlplane.replication.view import View
 from wickspring.dataplane.process import DataPlane
-from wickspring.gossip.book import Digest
 from wickspring.lab.keel_faults import Chaos
+from wickspring.membership.anti_entropy import Digest
 
 ODD: list[Any] = [
     None, -1, 0, 2**63, -(2**63), 1e308, float("inf"), float("nan"), "", "x", "10.0.0.1:80", "\x00", b"",
--- a/wickspring/agent/wire.py
+++ b/wickspring/agent/wire.py
@@ -16,7 +16,7 @@
 from wickspring.fleet import home
 from wickspring.fleet.model import Kind, Operation, Record
 from wickspring.fleet.views import AgentNews
-from wickspring.gossip.book import Digest
+from wickspring.membership.anti_entropy import Digest
 from wickspring.wire import Lines, Numbers, WireError, connect, welcome
 
 LOWEST, HIGHEST = 1, 1
--- a/wickspring/commands/peers.py
+++ b/wickspring/commands/peers.py
@@ -10,7 +10,7 @@
 
 from wickspring import config
 from wickspring.commands import fail
-from wickspring.shared.words import NUMBERS, Reply, Show, View
+from wickspring.peer_state.messages import NUMBERS, Reply, Show, View
 from wickspring.tls import Certificates
 from wickspring.wire import WireError, connect
 
--- /dev/null
+++ b/wickspring/ctl/__init__.py
@@ -0,0 +1,1 @@
+"""The operator's command line of a whole gateway."""
--- a/wickspring/helm/calls.py
+++ b/wickspring/ctl/client.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Answered:
+class Response:
     """What a lighthouse has said."""
 
     at: str
@@ -25,11 +25,11 @@
         return json.loads(self.body or b"{}")
 
 
-class NobodyError(Exception):
+class NoControlPlaneError(Exception):
     """No lighthouse has given a clear answer; the message says what each did."""
 
 
-def call(addresses: str, method: str, path: str, body: bytes | None = None) -> Answered:
+def call(addresses: str, method: str, path: str, body: bytes | None = None) -> Response:
     """Call one after another of `HOST:PORT,HOST:PORT` until one answers with no 5xx."""
     said = []
     for _ in range(ROUNDS):
@@ -39,7 +39,7 @@
                 headers = {"Content-Type": "application/json"} if body is not None else {}
                 connection.request(method, path, body, headers)
                 response = connection.getresponse()
-                answered = Answered(address, response.status, response.read())
+                answered = Response(address, response.status, response.read())
                 connection.close()
             except (OSError, http.client.HTTPException) as error:
                 said.append(f"{address}: {error or type(error).__name__}")
@@ -47,4 +47,4 @@
             if answered.status < 500:
                 return answered
             said.append(f"{address}: {answered.status} {answered.body.decode('utf-8', 'replace')[:200]}")
-    raise NobodyError("; ".join(dict.fromkeys(said)))
+    raise NoControlPlaneError("; ".join(dict.fromkeys(said)))
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -20,8 +20,8 @@
 from wickspring.common import logs
 from wickspring.common.connection import DECODE_ERRORS, Message, PeerConnection
 from wickspring.common.settings_file import parse_ip
-from wickspring.gossip.book import Digest, Entry
-from wickspring.gossip.members import Doubt, Members, Place
+from wickspring.membership.anti_entropy import Digest, Entry
+from wickspring.membership.swim import MemberInfo, Membership, Suspicion
 from wickspring.net.clock import Clock
 from wickspring.net.datagrams import Datagrams
 from wickspring.net.link import Link, connect
@@ -67,7 +67,7 @@
         self.ip, self.port, self.clock, self.nursery, self.random = ip, port, clock, nursery, random
         self.holds, self.wire = holds, wire
         now = clock.now() / 1000.0
-        self.members: Members[Place] = Members(ip, now, Place(ip), ROUND_S, random.getrandbits(32), now)
+        self.members: Membership[MemberInfo] = Membership(ip, now, MemberInfo(ip), ROUND_S, random.getrandbits(32), now)
         self._number = 0
         self._waits: dict[int, Callable[[], None]] = {}
         self._fetching = False
@@ -96,7 +96,7 @@
         if len(data) <= MOST_DATAGRAM:
             self.wire.send(ip, data)
 
-    def _entries(self, entries: tuple[Entry[Place], ...]) -> list[Any]:
+    def _entries(self, entries: tuple[Entry[MemberInfo], ...]) -> list[Any]:
         told = []
         for one in entries[:ENTRIES]:
             left = None if one.content is None else one.content.left
@@ -105,7 +105,7 @@
 
     def _hear(self, told: list[Any]) -> None:
         entries = [
-            Entry(parse_ip(o), float(i), int(b), int(n), None if left is None else Place(o, bool(left)))
+            Entry(parse_ip(o), float(i), int(b), int(n), None if left is None else MemberInfo(o, bool(left)))
             for o, i, b, n, left in told
         ]
         self.members.hear(entries)
@@ -128,7 +128,7 @@
             await trio.sleep(ROUND_S * self.random.uniform(0.8, 1.2))
             for name in self.members.tick(self.clock.now() / 1000.0):
                 logs.log_event("pilot_gone", pilot=name, left=self.members.size)
-            self.members.write(Place(self.ip), beat=False)
+            self.members.write(MemberInfo(self.ip), beat=False)
             target = self.members.target()
             if target is not None:
                 self.nursery.start_soon(self._ask, target)
@@ -202,7 +202,7 @@
             self.holds.take(PeerConnection(_NOWHERE, self.clock), [name, message[2]])
 
     def _doubted(self, doubts: list[Any]) -> None:
-        self.members.doubted(Doubt(str(n), float(i), int(b), str(by)) for n, i, b, by in doubts)
+        self.members.doubted(Suspicion(str(n), float(i), int(b), str(by)) for n, i, b, by in doubts)
 
     # Gaps.
 
--- a/wickspring/fleet/views.py
+++ b/wickspring/fleet/views.py
@@ -20,8 +20,8 @@
 from rpds import HashTrieMap
 
 from wickspring.fleet.model import Operation, Record, Rules
-from wickspring.gossip.book import Book, Entry, News
-from wickspring.gossip.pulse import Pulse
+from wickspring.membership.anti_entropy import AntiEntropyTable, Entry, News
+from wickspring.membership.failure_detector import PhiAccrualDetector
 
 JUDGED_SHARE = 0.2  # of a round, for which a judgement holds
 
@@ -49,13 +49,13 @@
 AgentNews = News[Content]
 
 
-class View(Book[Content]):
+class View(AntiEntropyTable[Content]):
     """One agent's view of all; `entries` is whole at every moment, for readers without a lock."""
 
     def __init__(self, agent: str, agents: Iterable[str], now: float, rules: Rules, seed: int = 0) -> None:
         self.agent, self.agents, self.rules = agent, tuple(sorted(agents)), rules
         self.random = Random(seed)
-        self._pulses: dict[str, Pulse] = {}
+        self._pulses: dict[str, PhiAccrualDetector] = {}
         self._began = now
         self._records: HashTrieMap[str, Record] | None = None
         self._judged_at, self._heard = -math.inf, 0
@@ -88,7 +88,7 @@
         for old, entry in self.learn(news.entries):
             pulse = self._pulses.get(entry.owner)
             if pulse is None or (old is not None and entry.incarnation > old.incarnation):
-                self._pulses[entry.owner] = Pulse(now)
+                self._pulses[entry.owner] = PhiAccrualDetector(now)
             else:
                 pulse.beat(now)
 
--- a/wickspring/helm/__init__.py
+++ b/wickspring/helm/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's command line of a whole gateway."""
+"""Alias of `wickspring.ctl` under its former name, kept for one release."""
--- a/wickspring/lab/among.py
+++ b/wickspring/lab/among.py
@@ -21,15 +21,15 @@
 from wickspring.lab.result import Result
 from wickspring.lab.scenario import NetFault, Scenario, parties
 from wickspring.lab.site import Site, free_port, odd_build
-from wickspring.shared.words import NUMBERS, Reply, Show, View
+from wickspring.peer_state.messages import NUMBERS, Reply, Show, View
 from wickspring.wire import Link, WireError, connect
 
 SAMPLE_S, ASK_S = 0.5, 1.0
 JITTER = 0.3  # of a hold by which what arrives may be drawn together on its way
 COUNTER, DISCOVERY = "counter", "discovery"
 _LIAR = """
-from wickspring.shared import shares
-from wickspring.shared.judgements import Bad, Words
+from wickspring.peer_state import shares
+from wickspring.peer_state.judgements import Bad, Words
 
 def words(self, now):
     known = sorted(self.judge._own.items())
--- a/wickspring/lab/drill.py
+++ b/wickspring/lab/drill.py
@@ -1,6 +1,6 @@
 """Drills: a whole gateway of processes on loopback, under an open load, with faults, held to the rules.
 
-`python -m wickspring.helm drill NAME` plays one and writes what came of it as JSON. Rules are judged by what
+`python -m wickspring.ctl drill NAME` plays one and writes what came of it as JSON. Rules are judged by what
 clients and stand-in servers have seen alone: nothing that may run once runs twice, 429 and 503 are kept
 promises, a success is the server's own answer to that request, no sliding span passes a tenant's ceiling, and
 nothing goes to a server later than the bound after its draining was acknowledged.
--- a/wickspring/lab/flotilla.py
+++ b/wickspring/lab/flotilla.py
@@ -1,6 +1,6 @@
 """Pilots that know each other and pass news on, by the hundred in virtual time: the real code, no socket.
 
-`python -m wickspring.helm flotilla --pilots 100` starts so many, each told of three others as a lighthouse
+`python -m wickspring.ctl flotilla --pilots 100` starts so many, each told of three others as a lighthouse
 does, and measures: when all know all; the bytes that each sends in a quiet second, with datagrams lost now
 and then; how many that are well were given up; when the others know that one has ended; when a version
 that one was told has come to all; and what becomes of one that hears and is not heard.
--- a/wickspring/lab/large_peers.py
+++ b/wickspring/lab/large_peers.py
@@ -26,10 +26,10 @@
 from wickspring.lab.scenario import Scenario, parties
 from wickspring.lab.site import Progress
 from wickspring.lab.virtual import Timeline
+from wickspring.peer_state.messages import About, Talk
+from wickspring.peer_state.participant import Participant
+from wickspring.peer_state.shares import Shares
 from wickspring.routing.aperture import near
-from wickspring.shared.party import Party
-from wickspring.shared.shares import Shares
-from wickspring.shared.words import About, Talk
 
 BASE = 1_000_000_000.0  # ms; the ingresses' clock at the beginning
 HOP_MS = (0.3, 3.0)
@@ -51,7 +51,7 @@
         shares = Shares(settings, bounds, BASE, BASE - 60_000.0, number, scenario.peers.counts)
         hall = f"hall-{number % scenario.servers.halls}"
         about = About(f"at-{number}", hall=hall, slot=number, slots=scenario.ingresses.count)
-        self.party = Party(
+        self.party = Participant(
             self.name, about, shares, fleet.now, round_s=scenario.peers.round_s, seed=fleet.seed + number
         )
         self.near = near(fleet.servers, number, scenario.ingresses.count)
--- a/wickspring/lab/times.py
+++ b/wickspring/lab/times.py
@@ -1,6 +1,6 @@
 """How long what operators wait for takes: a whole gateway of processes on loopback, over many seeds.
 
-`python -m wickspring.helm times --seeds 20` tells, in ms, the middle and the worst of: a version from its
+`python -m wickspring.ctl times --seeds 20` tells, in ms, the middle and the worst of: a version from its
 acknowledgement until every pilot goes by it; the chain from the loss of one of its machines until an order is
 acknowledged again; and the whole gateway, all its processes killed at once, until every pilot serves.
 """
--- a/wickspring/gossip/book.py
+++ b/wickspring/membership/anti_entropy.py
@@ -65,7 +65,7 @@
     wants: tuple[str, ...] = ()
 
 
-class Book(Generic[C]):
+class AntiEntropyTable(Generic[C]):
     """One member's copy of all entries."""
 
     def __init__(self, owner: str, incarnation: float, content: C) -> None:
--- a/wickspring/gossip/pulse.py
+++ b/wickspring/membership/failure_detector.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Pulse:
+class PhiAccrualDetector:
     """The pauses between a member's beats, by the hearer's own clock; seconds."""
 
     last: float
--- a/wickspring/gossip/members.py
+++ b/wickspring/membership/swim.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from wickspring.gossip.book import Book, Entry
+from wickspring.membership.anti_entropy import AntiEntropyTable, Entry
 
 HELPERS = 3  # members that are asked to reach one that did not answer
 DOUBT_ROUNDS, DOUBT_GROWS = 3.0, 3.0  # rounds that a doubt lasts at least; more by log10 of the members
@@ -34,7 +34,7 @@
 DOUBTS_MOST = 64  # that wait to be handed on
 
 
-class Standing(Enum):
+class MemberState(Enum):
     """How a member is, as far as is known here."""
 
     ALIVE = "alive"
@@ -43,14 +43,14 @@
     LEFT = "left"
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True):
+class MemberInfo(msgspec.Struct, frozen=True, array_like=True):
     """The least that a member tells of itself."""
 
     address: str = ""
     left: bool = False  # it was ended on purpose
 
 
-class Doubt(msgspec.Struct, frozen=True, array_like=True):
+class Suspicion(msgspec.Struct, frozen=True, array_like=True):
     """A word that somebody could not be reached; an entry of its own that is newer answers it."""
 
     name: str
@@ -59,20 +59,20 @@
     by: str
 
 
-A = TypeVar("A", bound=Place)
+A = TypeVar("A", bound=MemberInfo)
 
 
 @dataclass(slots=True)
-class _Seen:
+class _MemberRecord:
     """What is known of one other member."""
 
-    standing: Standing
+    standing: MemberState
     since: float
     by: set[str] = field(default_factory=set)  # who doubts it
     reached_at: float = -math.inf
 
 
-class Members(Book[A]):
+class Membership(AntiEntropyTable[A]):
     """One member's view of all."""
 
     def __init__(
@@ -81,24 +81,24 @@
         self.period_s, self.random = period_s, Random(seed)
         self.now = now
         self.late = 0  # how late this member itself has been of late
-        self._seen: dict[str, _Seen] = {}
+        self._seen: dict[str, _MemberRecord] = {}
         self._turns: list[str] = []
-        self._doubts: dict[str, tuple[Doubt, int]] = {}  # to be handed on, and how often yet
+        self._doubts: dict[str, tuple[Suspicion, int]] = {}  # to be handed on, and how often yet
         self._ticked = now
         super().__init__(owner, incarnation, about)
 
     # Readings.
 
-    def standing(self, name: str) -> Standing:
+    def standing(self, name: str) -> MemberState:
         """Tell how a member is."""
         if name == self.owner:
-            return Standing.ALIVE
+            return MemberState.ALIVE
         seen = self._seen.get(name)
-        return seen.standing if seen is not None else Standing.GONE
+        return seen.standing if seen is not None else MemberState.GONE
 
     def living(self) -> list[str]:
         """Return the other members that are not gone, by name."""
-        well = (Standing.ALIVE, Standing.DOUBTED)
+        well = (MemberState.ALIVE, MemberState.DOUBTED)
         return sorted(name for name, seen in self._seen.items() if seen.standing in well)
 
     def reached_s(self, name: str) -> float:
@@ -125,14 +125,14 @@
         if step > 3.0 * self.period_s:  # stopped, or without a processor: its silence tells nothing of others
             self.late = min(LATE_MOST, self.late + 1)
             for seen in self._seen.values():
-                if seen.standing is Standing.DOUBTED:
+                if seen.standing is MemberState.DOUBTED:
                     seen.since = now
         lost = []
         for name, seen in list(self._seen.items()):
-            if seen.standing is Standing.DOUBTED and now >= seen.since + self._patience(len(seen.by)):
-                seen.standing, seen.since = Standing.GONE, now
+            if seen.standing is MemberState.DOUBTED and now >= seen.since + self._patience(len(seen.by)):
+                seen.standing, seen.since = MemberState.GONE, now
                 lost.append(name)
-            elif seen.standing in (Standing.GONE, Standing.LEFT) and now >= seen.since + FORGET_S:
+            elif seen.standing in (MemberState.GONE, MemberState.LEFT) and now >= seen.since + FORGET_S:
                 del self._seen[name]
                 self.drop(name)
         return lost
@@ -143,13 +143,13 @@
 
     def target(self) -> str | None:
         """Choose whom to talk to in this round; None where nobody is known."""
-        gone = [name for name, seen in self._seen.items() if seen.standing is Standing.GONE]
+        gone = [name for name, seen in self._seen.items() if seen.standing is MemberState.GONE]
         if gone and self.random.random() < GONE_ODDS:
             return self.random.choice(gone)
         while True:
             while self._turns:
                 name = self._turns.pop()
-                if self.standing(name) in (Standing.ALIVE, Standing.DOUBTED) and name in self._seen:
+                if self.standing(name) in (MemberState.ALIVE, MemberState.DOUBTED) and name in self._seen:
                     return name
             self._turns = self.living()
             self.random.shuffle(self._turns)
@@ -158,7 +158,7 @@
 
     def helpers(self, name: str) -> list[str]:
         """Choose whom to ask to reach a member."""
-        others = [one for one in self.living() if one != name and self.standing(one) is Standing.ALIVE]
+        others = [one for one in self.living() if one != name and self.standing(one) is MemberState.ALIVE]
         return self.random.sample(others, min(HELPERS, len(others)))
 
     def reached(self, name: str) -> None:
@@ -167,18 +167,18 @@
         seen = self._seen.get(name)
         if seen is not None:
             seen.reached_at = self.now
-            if seen.standing is not Standing.LEFT:
+            if seen.standing is not MemberState.LEFT:
                 self._well(name)
 
     def vouched(self, name: str) -> None:
         """Note that a helper has reached a member that did not answer this one."""
-        if self.standing(name) is Standing.DOUBTED:
+        if self.standing(name) is MemberState.DOUBTED:
             self._well(name)
 
     def _well(self, name: str) -> None:
         seen = self._seen[name]
-        if seen.standing is not Standing.ALIVE:
-            seen.standing, seen.since = Standing.ALIVE, self.now
+        if seen.standing is not MemberState.ALIVE:
+            seen.standing, seen.since = MemberState.ALIVE, self.now
         seen.by.clear()
         self._doubts.pop(name, None)
 
@@ -192,21 +192,21 @@
             return
         if not self.helpers(name):
             self.late = min(LATE_MOST, self.late + 1)
-        self._doubt(Doubt(name, entry.incarnation, entry.beat, self.owner))
+        self._doubt(Suspicion(name, entry.incarnation, entry.beat, self.owner))
 
-    def _doubt(self, doubt: Doubt) -> None:
+    def _doubt(self, doubt: Suspicion) -> None:
         seen = self._seen[doubt.name]
-        if seen.standing not in (Standing.ALIVE, Standing.DOUBTED):
+        if seen.standing not in (MemberState.ALIVE, MemberState.DOUBTED):
             return
-        if seen.standing is Standing.ALIVE:
-            seen.standing, seen.since = Standing.DOUBTED, self.now
+        if seen.standing is MemberState.ALIVE:
+            seen.standing, seen.since = MemberState.DOUBTED, self.now
         if doubt.by not in seen.by:
             seen.by.add(doubt.by)
             self._doubts[doubt.name] = doubt, math.ceil(math.log2(len(self.entries) + 2))
             while len(self._doubts) > DOUBTS_MOST:
                 del self._doubts[next(iter(self._doubts))]
 
-    def doubted(self, doubts: Iterable[Doubt]) -> None:
+    def doubted(self, doubts: Iterable[Suspicion]) -> None:
         """Take in what others say of who could not be reached; of this member, answer it."""
         for doubt in doubts:
             if doubt.name == self.owner:
@@ -218,7 +218,7 @@
             if self.now - seen.reached_at > NEAR_ROUNDS * self.period_s:
                 self._doubt(doubt)
 
-    def doubts(self, to: str, most: int) -> tuple[Doubt, ...]:
+    def doubts(self, to: str, most: int) -> tuple[Suspicion, ...]:
         """Return doubts to hand on, and always one against who is talked to, so that it can answer."""
         told = []
         for name, (doubt, left) in list(self._doubts.items())[:most]:
@@ -228,8 +228,8 @@
             else:
                 self._doubts[name] = doubt, left - 1
         seen, entry = self._seen.get(to), self.entries.get(to)
-        if seen is not None and entry is not None and seen.standing is not Standing.ALIVE:
-            told.append(Doubt(to, entry.incarnation, entry.beat, self.owner))
+        if seen is not None and entry is not None and seen.standing is not MemberState.ALIVE:
+            told.append(Suspicion(to, entry.incarnation, entry.beat, self.owner))
         return tuple(told)
 
     def hear(self, entries: Iterable[Entry[A]]) -> list[Entry[A]]:
@@ -241,10 +241,10 @@
         news = []
         for _, entry in self.learn(entries):
             left = entry.content is not None and entry.content.left
-            seen = self._seen.setdefault(entry.owner, _Seen(Standing.ALIVE, self.now))
+            seen = self._seen.setdefault(entry.owner, _MemberRecord(MemberState.ALIVE, self.now))
             if left:
-                seen.standing, seen.since = Standing.LEFT, self.now
-            elif seen.standing is not Standing.ALIVE:
+                seen.standing, seen.since = MemberState.LEFT, self.now
+            elif seen.standing is not MemberState.ALIVE:
                 self._well(entry.owner)
             news.append(entry)
         return news
--- a/wickspring/net/peers.py
+++ b/wickspring/net/peers.py
@@ -30,9 +30,9 @@
 from wickspring.connections.limits import Bucket
 from wickspring.logs import kv
 from wickspring.net.clock import Clock
-from wickspring.shared.party import Party
-from wickspring.shared.shares import Shares
-from wickspring.shared.words import MOST_LINE, NUMBERS, About, Message, Reach, Reply, Show, Talk, View
+from wickspring.peer_state.messages import MOST_LINE, NUMBERS, About, Message, Reach, Reply, Show, Talk, View
+from wickspring.peer_state.participant import Participant
+from wickspring.peer_state.shares import Shares
 from wickspring.tls import Certificates, names
 from wickspring.wire import Lines, Link, WireError, connect, welcome
 
@@ -69,7 +69,7 @@
             program=__version__,
         )  # fmt: skip
         self.random = Random(settings.seed)
-        self.party = Party(
+        self.party = Participant(
             instance.name, about, shares, now, round_s=self.config.round_s,
             seed=self.random.getrandbits(32), hearsay_share=self.config.hearsay_share,
         )  # fmt: skip
--- a/wickspring/net/runtime.py
+++ b/wickspring/net/runtime.py
@@ -93,7 +93,7 @@
     def _join(self) -> Peers:
         """Become one of the ingresses that talk to each other."""
         from wickspring.net.peers import Peers  # paid for only where they do
-        from wickspring.shared.shares import Shares
+        from wickspring.peer_state.shares import Shares
 
         settings, peers, now = self.instance.settings, self.instance.peers, self.clock.now()
         shares = Shares(settings, peers.budgets, round(now), now, settings.seed, peers.counts)
--- a/wickspring/shared/words.py
+++ b/wickspring/peer_state/messages.py
@@ -4,17 +4,17 @@
 
 import msgspec
 
-from wickspring.gossip.book import Digest, Entry
-from wickspring.gossip.members import Doubt, Place
-from wickspring.shared.judgements import Words
-from wickspring.shared.shares import Parts
+from wickspring.membership.anti_entropy import Digest, Entry
+from wickspring.membership.swim import MemberInfo, Suspicion
+from wickspring.peer_state.judgements import Words
+from wickspring.peer_state.shares import Parts
 from wickspring.wire import Numbers
 
 NUMBERS = Numbers(1, 1, "ingress")
 MOST_LINE = 64 * 1024  # bytes
 
 
-class About(Place, frozen=True, array_like=True):
+class About(MemberInfo, frozen=True, array_like=True):
     """What an ingress tells all others of itself."""
 
     hall: str = ""
@@ -33,7 +33,7 @@
     life: float
     digest: Digest | None = None
     entries: tuple[Entry[About], ...] = ()
-    doubts: tuple[Doubt, ...] = ()
+    doubts: tuple[Suspicion, ...] = ()
     parts: Parts = Parts()
 
 
--- a/wickspring/shared/party.py
+++ b/wickspring/peer_state/participant.py
@@ -13,11 +13,11 @@
 import msgspec
 
 from wickspring import interface as api
-from wickspring.gossip.book import Entry
-from wickspring.gossip.members import Members, Standing
-from wickspring.shared.judgements import Witness, Words
-from wickspring.shared.shares import Parts, Shares, server_name
-from wickspring.shared.words import About, BudgetView, MemberView, Reply, Talk, View
+from wickspring.membership.anti_entropy import Entry
+from wickspring.membership.swim import Membership, MemberState
+from wickspring.peer_state.judgements import Witness, Words
+from wickspring.peer_state.messages import About, BudgetView, MemberView, Reply, Talk, View
+from wickspring.peer_state.shares import Parts, Shares, server_name
 
 DIGEST_MOST = 4  # members in a digest; few more where there are many
 ENTRIES_MOST, DOUBTS_MOST = 4, 4  # handed on in one talk
@@ -29,7 +29,7 @@
 LOST_MS = 100.0  # between the last call that was not answered and the last that was
 
 
-class Party:
+class Participant:
     """What one ingress knows of the others, and they of it."""
 
     def __init__(
@@ -38,7 +38,7 @@
     ) -> None:  # fmt: skip
         self.about, self.shares, self.hearsay_share = about, shares, hearsay_share
         self.random = Random(seed)
-        self.members: Members[About] = Members(
+        self.members: Membership[About] = Membership(
             name, round(now / 1000.0, 3), about, round_s, self.random.getrandbits(32), now / 1000.0
         )
         self.troubles: Tally[str] = Tally()
@@ -121,7 +121,7 @@
             if (entry := self.members.entries.get(name)) is not None
             and entry.content is not None
             and entry.content.slot == slot
-            and self.members.standing(name) in (Standing.ALIVE, Standing.DOUBTED)
+            and self.members.standing(name) in (MemberState.ALIVE, MemberState.DOUBTED)
         ]
         return max(found, key=lambda entry: entry.incarnation).owner if found else None
 
@@ -231,7 +231,7 @@
         witnesses = list[Witness]()
         for name in sorted(self._complains):
             about = self.members.about(name)
-            if about is not None and self.members.standing(name) is Standing.ALIVE:
+            if about is not None and self.members.standing(name) is MemberState.ALIVE:
                 age = now - self._words_at.get(name, ((0.0, 0), -1e12))[1]
                 witnesses.append(Witness(name, about.hall, about.words, age))
         self.avoided = self.shares.judge.avoid(now, witnesses, there, len(self._halls), self.hearsay_share)
--- a/wickspring/shared/shares.py
+++ b/wickspring/peer_state/shares.py
@@ -16,9 +16,9 @@
 
 from wickspring import interface as api
 from wickspring.config import Bounds
-from wickspring.shared import budgets, counts
-from wickspring.shared.budgets import Ask, Back, Grant, Held, Terms
-from wickspring.shared.judgements import Judge, Words
+from wickspring.peer_state import budgets, counts
+from wickspring.peer_state.budgets import Ask, Back, Grant, Held, Terms
+from wickspring.peer_state.judgements import Judge, Words
 
 BUDGETS_MOST = 1024  # of which something is held at a time; without a place there is no right
 DENIED_MS = 1500.0  # that a refused right is remembered as wanted
