--- a/tests/control_side.py
+++ b/tests/control_side.py
@@ -25,7 +25,7 @@
 from wickspring.dataplane import gossip
 from wickspring.dataplane import process as dataplane_process
 from wickspring.dataplane.process import DataPlane
-from wickspring.lab.clock import VirtualClock
+from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.net import host
 
 LIGHTS = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.0.4")
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -17,7 +17,7 @@
 from wickspring.agent import agent, control, directory
 from wickspring.agent.control import Command
 from wickspring.agent.supervisor import State, Supervisor
-from wickspring.lab.site import free_port
+from wickspring.lab.emulation.site import free_port
 from wickspring.net.calls import CallReader, PlanError
 from wickspring.tenants import PlanBook, Tenant, Tenants, TenantsError, load_copy, save_copy
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -19,8 +19,15 @@
 from wickspring.dataplane.process import DataPlane
 from wickspring.dataplane.request import Request
 from wickspring.dataplane.upstream import UpstreamConnection
-from wickspring.lab.answers import LONG, ONCE, TRICKS, Play, WrongError, content
-from wickspring.lab.harbour import HOST, KEY, PREFIX
+from wickspring.lab.emulation.local_gateway import HOST, KEY, PREFIX
+from wickspring.lab.simulation.request_path import (
+    LONG,
+    ONCE,
+    TRICKS,
+    InvariantBrokenError,
+    Simulation,
+    content,
+)
 from wickspring.net.http1_front import Http1Connection
 from wickspring.net.upstream.http1 import AnswerReader, Http1Link
 
@@ -29,7 +36,7 @@
     """Play seeds; what was seen in all of them together."""
     seen: Counter[str] = Counter()
     for seed in seeds:
-        seen.update(Play(seed, **how).run().seen)
+        seen.update(Simulation(seed, **how).run().seen)
     return seen
 
 
@@ -85,7 +92,7 @@
     assert seen["late_refusal"] > 150 and seen["told[502]"] > 100
 
 
-class Copied(Play):
+class Copied(Simulation):
     """Each request that may run once is sent again while it is at work, after a pure one with its id."""
 
     def __post_init__(self) -> None:
@@ -117,7 +124,7 @@
         assert seen["still at work"] == 3 == seen["told[409]"] == seen["told[200]"]
 
 
-class Doubled(Play):
+class Doubled(Simulation):
     """Requests with two ids: which of them would a server go by?"""
 
     async def client(self, number: int) -> None:
@@ -133,7 +140,7 @@
     assert books.seen == {"told[400]": 9} and not books.runs
 
 
-class Elder(Play):
+class Elder(Simulation):
     """Clients that know no chunks."""
 
     async def client(self, number: int) -> None:
@@ -151,7 +158,7 @@
     assert seen["told[200]"] > 50 and seen["told[502]"] > 5
 
 
-class Half(Play):
+class Half(Simulation):
     """Long bodies that stop half way, at servers that run a request by its head."""
 
     async def client(self, number: int) -> None:
@@ -221,6 +228,6 @@
     with ExitStack() as stack:
         for change in changes:
             stack.enter_context(mock.patch.object(*change))
-        with pytest.raises(WrongError, match=found):
-            Play(seed).run()
-    Play(seed).run()
+        with pytest.raises(InvariantBrokenError, match=found):
+            Simulation(seed).run()
+    Simulation(seed).run()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -4,9 +4,9 @@
 
 import json
 
-from wickspring.lab.capacity import FOLDER, check
-from wickspring.lab.capacity_fit import fit, fits, grown
-from wickspring.lab.capacity_runs import SWEEPS
+from wickspring.lab.experiments.capacity import FOLDER, check
+from wickspring.lab.experiments.capacity_sweeps import SWEEPS
+from wickspring.lab.experiments.linear_fit import fit, fits, grown
 
 SIZES_LEAST = 4
 
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -15,9 +15,9 @@
     differs,
     next_view,
 )
-from wickspring.lab.keel import ANSWER_MS, Core
-from wickspring.lab.keel_faults import Chaos, Episodes
-from wickspring.lab.keel_states import ONE_NUMBER, explore
+from wickspring.lab.faults.core_faults import Chaos, Episodes
+from wickspring.lab.simulation.core import ANSWER_MS, SimulatedCore
+from wickspring.lab.simulation.state_exploration import ONE_NUMBER, explore
 
 ONE, TWO, THREE, ZONE = FaultTolerance(1), FaultTolerance(2), FaultTolerance(3), FaultTolerance(1, 1)
 
@@ -117,7 +117,7 @@
 
 
 def test_the_sweep_finds_copies_that_hold_as_many_but_others() -> None:
-    core = Core(3, 4)
+    core = SimulatedCore(3, 4)
     core.run(3000.0)
     spare, head = core.machines["m3"].chain, core.machines["m0"].chain
     assert spare is not None and head is not None and not spare.member
--- a/tests/test_chain_defects.py
+++ b/tests/test_chain_defects.py
@@ -12,9 +12,9 @@
 from wickspring.controlplane.replication.paxos import Ballot, PaxosVoter, Proposal, Value
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import FaultTolerance, Member, PeerObservation, View
-from wickspring.lab.keel import BrokenError
-from wickspring.lab.keel_faults import Chaos, Episodes
-from wickspring.lab.keel_states import ONE_NUMBER, explore
+from wickspring.lab.faults.core_faults import Chaos, Episodes
+from wickspring.lab.simulation.core import InvariantBrokenError
+from wickspring.lab.simulation.state_exploration import ONE_NUMBER, explore
 
 
 class Careless(ReplicationChain):
@@ -213,7 +213,7 @@
 
 @pytest.mark.parametrize("chain", [Careless, Hasty, Stern, Alone])
 def test_exploring_finds_them_too(chain: type[ReplicationChain]) -> None:
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantBrokenError):
         for loses in "abc":
             explore(ONE_NUMBER, loses, chain=chain)
 
--- a/tests/test_chain_history.py
+++ b/tests/test_chain_history.py
@@ -6,7 +6,7 @@
 
 from wickspring.controlplane.replication.replica import CommitOutcome, Update
 from wickspring.controlplane.replication.view import FaultTolerance
-from wickspring.lab.keel import Core
+from wickspring.lab.simulation.core import SimulatedCore
 
 CHANGES = 500
 TEXT = 2000  # bytes
@@ -15,7 +15,7 @@
 CATCH_UP_MS = 5000.0
 
 
-class Busy(Core):
+class Busy(SimulatedCore):
     """One operator who changes the configuration again and again, going on until he is answered."""
 
     changed = 0
@@ -34,7 +34,7 @@
         self.at(EVERY_MS, lambda: self.change(ends))
 
 
-def caught_up(core: Core, ip: str) -> bool:
+def caught_up(core: SimulatedCore, ip: str) -> bool:
     """Tell whether a machine holds what the core has acknowledged."""
     return core.machines[ip].replica.config.version >= core.ledger.acked
 
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from wickspring.lab.drill import DRILLS, RULES, Ask, Ledger
-from wickspring.lab.harbour import Standin
+from wickspring.lab.emulation.local_gateway import StandInServer
+from wickspring.lab.experiments.drill import DRILLS, RULES, Ask, Ledger
 
 
 def served(number: int, once: bool = False, status: int = 200) -> Ask:
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("defect", ["none", *RULES])
 def test_each_broken_rule_is_found(defect: str) -> None:
-    asks, server = [served(number, number % 2 == 0) for number in range(200)], Standin("", "s", [], "i-1")
+    asks, server = [served(number, number % 2 == 0) for number in range(200)], StandInServer("", "s", [], "i-1")
     server.ran.update(ask.id for ask in asks)
     ledger = Ledger(40.0 if defect != "over_quota" else 20.0, asks)
     if defect == "ran_twice":
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -11,7 +11,7 @@
 from tests.loopback import client1, request
 from tests.test_config import example
 from wickspring import config
-from wickspring.lab.site import free_port
+from wickspring.lab.emulation.site import free_port
 from wickspring.net import server
 
 
--- a/tests/test_fleet_cold.py
+++ b/tests/test_fleet_cold.py
@@ -13,7 +13,7 @@
 from tests.test_fleet import fleet, sends
 from wickspring import interface as api
 from wickspring.interface import Readiness, Status
-from wickspring.lab.virtual import Timeline
+from wickspring.lab.simulation.ingress_site import Timeline
 
 GATEWAYS, SERVERS, REPLACED = 40, 60, 36
 CORES, WORK_MS = 2, 200.0  # so a warm server does ten requests a second
--- a/tests/test_fleet_lab.py
+++ b/tests/test_fleet_lab.py
@@ -8,9 +8,9 @@
 import pytest
 
 from tests.test_lab import kept
-from wickspring.lab import scenario
-from wickspring.lab.result import Result
-from wickspring.lab.run import run
+from wickspring.lab.experiments import scenario
+from wickspring.lab.experiments.run import run
+from wickspring.lab.reports.result import Result
 
 
 def fleet(name: str, seconds: float, count: int = 6, **changes: Any) -> scenario.Scenario:
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -32,7 +32,7 @@
 from wickspring.fleet.model import FLEET, Kind, Operation, Phase, Record, Rules, Seen, Step, Want, scope_of
 from wickspring.fleet.selector import SelectorError, parse
 from wickspring.fleet.views import Content, Health, View
-from wickspring.lab.site import free_port
+from wickspring.lab.emulation.site import free_port
 from wickspring.tls import Certificates
 from wickspring.wire import Greeting, WireError
 
--- a/tests/test_flotilla.py
+++ b/tests/test_flotilla.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wickspring.lab.flotilla import measure
+from wickspring.lab.simulation.gossip import measure
 
 LINK_SHARE_BYTES_S = 2500.0  # a hundredth of a link of 2 Mbit/s
 
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -9,14 +9,14 @@
 
 import trio
 
-from wickspring.lab.harbour import CONTROL, LIES, Harbour, call, document
+from wickspring.lab.emulation.local_gateway import CONTROL, LIES, LocalGateway, call, document
 
 STEP_S = 0.02
 
 
 @asynccontextmanager
-async def gateway(folder: Path, net: int, lights: int = 3) -> AsyncIterator[Harbour]:
-    harbour = Harbour(folder, net=net, lights=lights)
+async def gateway(folder: Path, net: int, lights: int = 3) -> AsyncIterator[LocalGateway]:
+    harbour = LocalGateway(folder, net=net, lights=lights)
     try:
         async with trio.open_nursery() as nursery:
             assert await harbour.launch(nursery, document(1)) == 200
@@ -26,7 +26,7 @@
         harbour.stop()
 
 
-async def until_served(harbour: Harbour, pilot: int, path: str, name: str) -> int:
+async def until_served(harbour: LocalGateway, pilot: int, path: str, name: str) -> int:
     """Ask again under new ids until an answer is 200; how often it took."""
     for number in range(400):
         if (await harbour.ask(pilot, path, f"{name}-{number}"))[0] == 200:
@@ -35,11 +35,11 @@
     raise AssertionError("never served")
 
 
-def ran(harbour: Harbour) -> dict[str, int]:
+def ran(harbour: LocalGateway) -> dict[str, int]:
     return {id_: times for one in harbour.standins for id_, times in one.ran.items()}
 
 
-async def asked_in_vain(harbour: Harbour, path: str, count: int, name: str) -> int:
+async def asked_in_vain(harbour: LocalGateway, path: str, count: int, name: str) -> int:
     """Ask both pilots in turn; how many were not served."""
     failed = 0
     for number in range(count):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,7 +26,7 @@
 from wickspring.core import effects as core
 from wickspring.core import succession
 from wickspring.core.reducer import Reducer
-from wickspring.lab.site import free_port
+from wickspring.lab.emulation.site import free_port
 from wickspring.net import handover, keepsake
 from wickspring.net.handover import Predecessor, Successor
 from wickspring.routing.maintenance import Maintenance
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,12 +12,15 @@
 from click.testing import CliRunner
 
 from wickspring.config import build_settings, flatten
-from wickspring.lab import rules, scenario, script, shape
+from wickspring.lab.checks import rules
 from wickspring.lab.cli import lab
-from wickspring.lab.record import Arrival, Asked, Load, Record, Told
-from wickspring.lab.result import Result
-from wickspring.lab.run import run
-from wickspring.lab.virtual import run as run_virtual
+from wickspring.lab.emulation import shape
+from wickspring.lab.experiments import scenario
+from wickspring.lab.experiments.run import run
+from wickspring.lab.reports.record import Arrival, Asked, Load, Record, Told
+from wickspring.lab.reports.result import Result
+from wickspring.lab.simulation.ingress_site import run as run_virtual
+from wickspring.lab.traffic import schedule
 
 SMALL = """
 name = "small"
@@ -55,9 +58,9 @@
 
 def test_the_same_seed_gives_the_same_script() -> None:
     one = scenario.parse(SMALL, "small.toml")
-    assert script.write(one, 3) == script.write(one, 3)
-    assert script.write(one, 3).tries != script.write(one, 4).tries
-    assert 150 < len(script.write(one, 3).tries) < 350
+    assert schedule.write(one, 3) == schedule.write(one, 3)
+    assert schedule.write(one, 3).tries != schedule.write(one, 4).tries
+    assert 150 < len(schedule.write(one, 3).tries) < 350
 
 
 def test_every_shipped_scenario_reads_under_its_own_name() -> None:
@@ -95,9 +98,9 @@
 # The checker: every rule broken once by hand must be found, and nothing else.
 
 
-def record_of(kind: int) -> tuple[Record, script.Try, dict[str, script.Try]]:
-    firm = script.Firm(1, 0, 1, 0, False)
-    one = script.Try(0, 100.0, firm, kind, 1, 10.0, 1000.0, 0, "id", "key")
+def record_of(kind: int) -> tuple[Record, schedule.Try, dict[str, schedule.Try]]:
+    firm = schedule.Firm(1, 0, 1, 0, False)
+    one = schedule.Try(0, 100.0, firm, kind, 1, 10.0, 1000.0, 0, "id", "key")
     record = Record()
     record.made["id"] = {b"body"}
     return record, one, {"id": one}
@@ -107,7 +110,7 @@
     return Arrival(server, hall, "id", at, at, False, **{"ran": True, "answered": True, **more})
 
 
-def judged(record: Record, tries: dict[str, script.Try]) -> dict[str, int]:
+def judged(record: Record, tries: dict[str, schedule.Try]) -> dict[str, int]:
     found = rules.check(scenario.parse(SMALL, ""), record, tries)
     names = rules.RULES
     counts = {name: len(getattr(found, name)) for name in names}
@@ -172,10 +175,10 @@
     record, one, _ = record_of(0)
     tries = {}
     for number in range(10):
-        again = script.Try(number, 0.0, one.firm, 0, 1, 1.0, 100.0, 0, f"id{number}", "")
+        again = schedule.Try(number, 0.0, one.firm, 0, 1, 1.0, 100.0, 0, f"id{number}", "")
         tries[again.call_id] = again
         record.arrivals += [Arrival("s", 0, again.call_id, 0.0, 0.0, False)] * 2  # copies count once
-    share, worst = rules.beyond_quota(record, (script.Plan(1.0, 8.0),), tries)
+    share, worst = rules.beyond_quota(record, (schedule.Plan(1.0, 8.0),), tries)
     assert share == pytest.approx(0.2)
     assert worst == pytest.approx(2 / 8)
 
@@ -189,7 +192,7 @@
     for name in scenario.shipped():
         one = scenario.load(name, site)
         assert one.shape is shape.load(site)
-        settings = build_settings(flatten(script.settings(one, script.write(tiny(one), 1), 0)), 1)
+        settings = build_settings(flatten(schedule.settings(one, schedule.write(tiny(one), 1), 0)), 1)
         assert settings.drain_grace == one.shape.drain_grace_ms
         assert len(settings.classes) == len(one.shape.kind)
 
@@ -243,10 +246,10 @@
 @pytest.mark.parametrize(("units", "broken"), [(30, False), (40, True)])
 def test_the_checker_sees_a_ceiling_that_is_passed(units: int, broken: bool) -> None:
     record, one, _ = record_of(0)
-    plan = script.Plan(1.0, 8.0, ceiling_rate=2.0, ceiling_burst=16.0, ceiling_slack=4.0)
+    plan = schedule.Plan(1.0, 8.0, ceiling_rate=2.0, ceiling_burst=16.0, ceiling_slack=4.0)
     tries = {}
     for number in range(units):
-        again = script.Try(number, 0.0, one.firm, 0, 1, 1.0, 100.0, 0, f"id{number}", "")
+        again = schedule.Try(number, 0.0, one.firm, 0, 1, 1.0, 100.0, 0, f"id{number}", "")
         tries[again.call_id] = again
         at = 200.0 * number  # five a second, where two are allowed: 16 + 2 t + 4.3 at most
         record.arrivals += [Arrival("s", 0, again.call_id, at, at, False, ran=True, answered=True)] * 2
@@ -265,15 +268,15 @@
 
 def test_hot_keys_gather_and_a_hot_caller_leaves_the_others_as_they_were() -> None:
     one = scenario.parse(SMALL + "[ingresses]\ncount = 3\n", "")
-    plain = script.write(one, 4)
+    plain = schedule.write(one, 4)
     caller = scenario.HotCaller(0.2, 0.6, 1.0)
-    hot = script.write(msgspec.structs.replace(one, hot_caller=(caller,)), 4)
+    hot = schedule.write(msgspec.structs.replace(one, hot_caller=(caller,)), 4)
     ids = {each.call_id for each in plain.tries}
     more = [each for each in hot.tries if each.call_id not in ids]
     assert ids < {each.call_id for each in hot.tries}
     assert len({each.firm.customer for each in more}) == 1
     assert all(200.0 <= each.at_ms <= 800.0 for each in more)
-    gathered = script.write(msgspec.structs.replace(one, hot_key=(scenario.HotKey(0.0, 9.0, 1.0),)), 4)
+    gathered = schedule.write(msgspec.structs.replace(one, hot_key=(scenario.HotKey(0.0, 9.0, 1.0),)), 4)
     places: dict[int, set[int]] = {}
     for each in gathered.tries:
         places.setdefault(each.firm.customer, set()).add(each.ingress)
@@ -401,9 +404,9 @@
 
 
 def test_virtual_gateways_are_told_of_their_subset_alone_and_servers_serve_alike_many() -> None:
-    from wickspring.lab.virtual import VirtualSite
+    from wickspring.lab.simulation.ingress_site import VirtualSite
 
-    site = VirtualSite(large(), 1, script.write(large(), 1))
+    site = VirtualSite(large(), 1, schedule.write(large(), 1))
     told = [set(gateway.reducer.entries) for gateway in site.gateways]
     assert {len(some) for some in told} == {20}
     shares = [sum(server in some for some in told) for server in site.servers]
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -19,7 +19,7 @@
 from wickspring import interface as api
 from wickspring.commands import top
 from wickspring.interface import ListKind, Readiness
-from wickspring.lab.site import free_port
+from wickspring.lab.emulation.site import free_port
 from wickspring.net import door, listening
 from wickspring.routing.maintenance import Maintenance
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,10 +22,11 @@
 from wickspring import interface as api
 from wickspring.commands import top
 from wickspring.config import Bounds
-from wickspring.lab import among, scenario
-from wickspring.lab.result import Result
-from wickspring.lab.run import run
-from wickspring.lab.site import free_port
+from wickspring.lab.emulation import peer_ingresses
+from wickspring.lab.emulation.site import free_port
+from wickspring.lab.experiments import scenario
+from wickspring.lab.experiments.run import run
+from wickspring.lab.reports.result import Result
 from wickspring.membership.anti_entropy import AntiEntropyTable
 from wickspring.membership.swim import MemberInfo, Membership, MemberState, Suspicion
 from wickspring.peer_state.counts import KEPT_MOST, LIVES_MOST, Ledger, Told, mates, most
@@ -429,16 +430,16 @@
 
 
 @pytest.fixture
-def seen(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[among.Among]]:
+def seen(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[peer_ingresses.Among]]:
     """Keep the talk of each run, to look at what the ingresses said last."""
-    kept: list[among.Among] = []
-    real = among.Among.judge
+    kept: list[peer_ingresses.Among] = []
+    real = peer_ingresses.Among.judge
 
-    def judge(self: among.Among, result: Result, record: Any) -> None:
+    def judge(self: peer_ingresses.Among, result: Result, record: Any) -> None:
         kept.append(self)
         real(self, result, record)
 
-    monkeypatch.setattr(among.Among, "judge", judge)
+    monkeypatch.setattr(peer_ingresses.Among, "judge", judge)
     yield kept
 
 
@@ -462,7 +463,7 @@
 
 
 def test_six_ingresses_cut_by_hall_stay_within_every_bound_and_find_each_other_again(
-    seen: list[among.Among],
+    seen: list[peer_ingresses.Among],
 ) -> None:
     cut = scenario.NetFault(
         at_s=1.0, for_s=2.5, kind="cut", source=("hall:0",), target=("not-hall:0", "counter")
@@ -478,7 +479,7 @@
 
 
 def test_stopped_killed_and_cut_one_way_ingresses_spend_no_more_than_the_bound(
-    seen: list[among.Among],
+    seen: list[peer_ingresses.Among],
 ) -> None:
     faults = (
         scenario.Fault(at_s=1.0, for_s=3.0, kind="ingress-paused", ingresses=(1,)),
@@ -498,7 +499,7 @@
 
 
 def test_with_the_counter_silent_six_that_hear_each_other_tell_what_they_send_on(
-    seen: list[among.Among],
+    seen: list[peer_ingresses.Among],
 ) -> None:
     silent = scenario.Fault(at_s=1.0, for_s=4.0, kind="counter-silent")
     result = play("peers-counter-lost", 5.0, silent)
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -23,7 +23,7 @@
 from wickspring.controlplane.replication.replica import Config, Replica, Update, digest_of
 from wickspring.controlplane.replication.view import View
 from wickspring.dataplane.process import DataPlane
-from wickspring.lab.keel_faults import Chaos
+from wickspring.lab.faults.core_faults import Chaos
 from wickspring.membership.anti_entropy import Digest
 
 ODD: list[Any] = [
--- a/tests/test_varied.py
+++ b/tests/test_varied.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from wickspring.lab.varied import CORES, replace_days, vary, widen, write
+from wickspring.lab.experiments.site_variants import CORES, replace_days, vary, widen, write
 
 SITE = """name = "x"
 wire = "wire.json"
--- a/wickspring/ctl/__main__.py
+++ b/wickspring/ctl/__main__.py
@@ -140,13 +140,13 @@
 
     def up(self, seconds: float = 0.0) -> None:
         """Run a toy gateway on loopback until interrupted: two pilots, three lighthouses, six servers."""
-        from wickspring.lab.harbour import up
+        from wickspring.lab.emulation.local_gateway import up
 
         up(seconds)
 
     def drill(self, name: str = "", seed: int = 1, seconds: float = 9.0, file: str = "") -> str:
         """Play a drill on loopback and judge it by the rules; without a name, list them."""
-        from wickspring.lab.drill import DRILLS, play
+        from wickspring.lab.experiments.drill import DRILLS, play
 
         if name not in DRILLS:
             return "\n".join(DRILLS) if not name else f"no drill {name}; there are {', '.join(DRILLS)}"
@@ -159,13 +159,13 @@
 
     def flotilla(self, pilots: int = 100, seed: int = 1) -> str:
         """Measure in virtual time how so many pilots come to know of each other, and what they say for it."""
-        from wickspring.lab.flotilla import measure
+        from wickspring.lab.simulation.gossip import measure
 
         return json.dumps(measure(pilots, seed), indent=1)
 
     def times(self, seeds: int = 20) -> str:
         """Measure on loopback how long orders, a mended chain and a start after all were killed take."""
-        from wickspring.lab.times import measure
+        from wickspring.lab.experiments.recovery_times import measure
 
         found = measure(seeds)
         return self._show(found, _table([{"what": name, **one} for name, one in found.items()]))
--- a/wickspring/lab/rules.py
+++ b/wickspring/lab/checks/rules.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from wickspring.lab.record import Arrival, Record
-from wickspring.lab.scenario import Scenario
-from wickspring.lab.script import SLACK_MS, Plan, Try
-from wickspring.lab.shape import Kind
+from wickspring.lab.emulation.shape import Kind
+from wickspring.lab.experiments.scenario import Scenario
+from wickspring.lab.reports.record import Arrival, Record
+from wickspring.lab.traffic.schedule import SLACK_MS, Plan, Try
 
 MINUTE_MS = 60_000.0
 CEILING_SLACK_MS = 150.0  # of the ceiling's rate, by which its slack is wider on sockets
--- a/wickspring/lab/cli.py
+++ b/wickspring/lab/cli.py
@@ -7,10 +7,10 @@
 
 import click
 
-from wickspring.lab import result as results
-from wickspring.lab import scenario as scenarios
-from wickspring.lab import shape as shapes
-from wickspring.lab.record import Record
+from wickspring.lab.emulation import shape as shapes
+from wickspring.lab.experiments import scenario as scenarios
+from wickspring.lab.reports import result as results
+from wickspring.lab.reports.record import Record
 
 
 class Progress:
@@ -72,9 +72,9 @@
     """
     import msgspec
 
-    from wickspring.lab import report
-    from wickspring.lab import run as runs
-    from wickspring.lab.site import ROOT, LabError
+    from wickspring.lab.emulation.site import ROOT, LabError
+    from wickspring.lab.experiments import run as runs
+    from wickspring.lab.reports import plots
 
     try:
         what = scenarios.load(scenario, site)
@@ -92,7 +92,7 @@
         click.echo(error, err=True)
         raise SystemExit(1) from error
     results.save(result, out)
-    path = report.write(result, out)
+    path = plots.write(result, out)
     click.echo(
         f"{what.name}: {result.requests} requests, {result.served_share:.3f} served, "
         f"{result.escalate_failed} of {result.escalates} escalates failed, {result.dials} dials, "
@@ -109,7 +109,7 @@
     from rich.console import Console
     from rich.table import Table
 
-    from wickspring.lab import report
+    from wickspring.lab.reports import plots
 
     try:
         ours, theirs = results.load_all(first), results.load_all(second)
@@ -118,7 +118,7 @@
         raise SystemExit(2) from error
     title = f"{first.name} ({len(ours)} runs) and {second.name} ({len(theirs)} runs)"
     table = Table("figure", first.name, second.name, "ratio", title=title, box=None)
-    for row in report.compare(ours, theirs):
+    for row in plots.compare(ours, theirs):
         table.add_row(*row)
     Console().print(table)
 
@@ -127,10 +127,10 @@
 @click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 def report_again(folder: Path) -> None:
     """Write the report of a run again from its result."""
-    from wickspring.lab import report
+    from wickspring.lab.reports import plots
 
     try:
-        click.echo(report.write(results.load(folder), folder))
+        click.echo(plots.write(results.load(folder), folder))
     except results.ResultError as error:
         click.echo(error, err=True)
         raise SystemExit(2) from error
--- /dev/null
+++ b/wickspring/lab/emulation/__init__.py
@@ -0,0 +1,1 @@
+"""Emulated sites: stand-in services, servers and whole gateways on loopback."""
--- a/wickspring/lab/harbour.py
+++ b/wickspring/lab/emulation/local_gateway.py
@@ -25,7 +25,7 @@
 import trio
 
 CONTROL, FRONT, READY, SERVER = 8783, 8782, 8789, 8080
-ROOT = Path(__file__).resolve().parents[2]
+ROOT = Path(__file__).resolve().parents[3]
 BEAT_S, DRAIN_S = 0.5, 2.5
 LIES = ("other_id", "no_seal", "encoded", "cut", "surplus", "junk", "failure")  # ways to spoil an answer
 HOST, PREFIX, KEY = "toy.example", "/look/", "key-of-toy"
@@ -48,7 +48,7 @@
 
 
 @dataclass
-class Standin:
+class StandInServer:
     """One stand-in server."""
 
     ip: str
@@ -205,7 +205,7 @@
         return 0, b""
 
 
-class Harbour:
+class LocalGateway:
     """The processes of one gateway."""
 
     def __init__(self, folder: Path, lights: int = 3, pilots: int = 2, net: int = 1) -> None:
@@ -214,7 +214,7 @@
         self.pilots = [f"127.{net}.2.{n + 1}" for n in range(pilots)]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.net = net
-        self.standins: list[Standin] = []
+        self.standins: list[StandInServer] = []
 
     def start(self, ip: str, first: bool = True) -> None:
         """Start the process of one machine."""
@@ -250,13 +250,13 @@
         for ip in list(self.processes):
             self.kill(ip)
 
-    def servers(self, each: int = 3) -> list[Standin]:
+    def servers(self, each: int = 3) -> list[StandInServer]:
         """Return stand-in servers of both services, to be run."""
         made = []
         for at, service in enumerate(("looker", "doer")):
             for n in range(each):
                 ip = f"127.{self.net}.{3 + at}.{n + 1}"
-                made.append(Standin(ip, service, self.lights, f"i-{service}-{n}"))
+                made.append(StandInServer(ip, service, self.lights, f"i-{service}-{n}"))
         self.standins = made
         return made
 
@@ -306,7 +306,7 @@
 
 async def _up(seconds: float, say: Callable[[str], None]) -> None:
     with tempfile.TemporaryDirectory() as folder:
-        harbour = Harbour(Path(folder), net=0)
+        harbour = LocalGateway(Path(folder), net=0)
         try:
             async with trio.open_nursery() as nursery:
                 say(f"configuration r1: {await harbour.launch(nursery, document(1, rate=20.0))}")
--- a/wickspring/lab/among.py
+++ b/wickspring/lab/emulation/peer_ingresses.py
@@ -14,13 +14,13 @@
 import msgspec
 import trio
 
-from wickspring.lab import rules
-from wickspring.lab.evaluate import peak
-from wickspring.lab.record import Record
-from wickspring.lab.relay import Relay
-from wickspring.lab.result import Result
-from wickspring.lab.scenario import NetFault, Scenario, parties
-from wickspring.lab.site import Site, free_port, odd_build
+from wickspring.lab.checks import rules
+from wickspring.lab.emulation.site import Site, free_port, odd_build
+from wickspring.lab.experiments.evaluate import peak
+from wickspring.lab.experiments.scenario import NetFault, Scenario, parties
+from wickspring.lab.faults.network_relay import Relay
+from wickspring.lab.reports.record import Record
+from wickspring.lab.reports.result import Result
 from wickspring.peer_state.messages import NUMBERS, Reply, Show, View
 from wickspring.wire import Link, WireError, connect
 
--- a/wickspring/lab/backing.py
+++ b/wickspring/lab/emulation/services.py
@@ -9,9 +9,9 @@
 
 import trio
 
-from wickspring.lab.clock import RunClock
-from wickspring.lab.record import Record, Told
-from wickspring.lab.scenario import Scenario
+from wickspring.lab.experiments.scenario import Scenario
+from wickspring.lab.reports.record import Record, Told
+from wickspring.lab.simulation.clock import RunClock
 
 
 class CounterService:
--- a/wickspring/lab/shape.py
+++ b/wickspring/lab/emulation/shape.py
@@ -14,7 +14,7 @@
 
 from wickspring.config import ConfigError, decode_toml
 
-SITES = Path(__file__).parent / "sites"
+SITES = Path(__file__).parents[1] / "sites"
 
 
 class ShapeError(ValueError):
--- a/wickspring/lab/site.py
+++ b/wickspring/lab/emulation/site.py
@@ -12,14 +12,14 @@
 import msgspec
 import trio
 
-from wickspring.lab import script as scripts
-from wickspring.lab.backing import CounterService, DiscoveryService
-from wickspring.lab.clock import RunClock
-from wickspring.lab.record import Record
-from wickspring.lab.scenario import Fault, Scenario
-from wickspring.lab.servers import TicketServer
-
-ROOT = Path(__file__).parent.parent.parent
+from wickspring.lab.emulation.services import CounterService, DiscoveryService
+from wickspring.lab.emulation.ticket_servers import TicketServer
+from wickspring.lab.experiments.scenario import Fault, Scenario
+from wickspring.lab.reports.record import Record
+from wickspring.lab.simulation.clock import RunClock
+from wickspring.lab.traffic import schedule as scripts
+
+ROOT = Path(__file__).resolve().parents[3]
 COUNTER_BACK_S = 4.0  # after which a counter that was lost with its hall is back elsewhere, empty
 
 Progress = Callable[[float, Record], None]
--- a/wickspring/lab/servers.py
+++ b/wickspring/lab/emulation/ticket_servers.py
@@ -13,11 +13,11 @@
 import h11
 import trio
 
-from wickspring.lab.clock import RunClock
-from wickspring.lab.record import Arrival, Load, Record
-from wickspring.lab.scenario import Scenario
-from wickspring.lab.script import Try
-from wickspring.lab.sockets import peek
+from wickspring.lab.emulation.sockets import peek
+from wickspring.lab.experiments.scenario import Scenario
+from wickspring.lab.reports.record import Arrival, Load, Record
+from wickspring.lab.simulation.clock import RunClock
+from wickspring.lab.traffic.schedule import Try
 
 BACKLOG = 256
 LINGER_S = 0.15  # a closing connection is watched for so long for what was still written to it
--- /dev/null
+++ b/wickspring/lab/experiments/__init__.py
@@ -0,0 +1,1 @@
+"""Experiments: scenarios, their runs, and measurements of capacity and recovery."""
--- a/wickspring/lab/capacity.py
+++ b/wickspring/lab/experiments/capacity.py
@@ -1,4 +1,4 @@
-"""What each thing more costs: `python -m wickspring.lab.capacity` measures, fits, and puts the results away.
+"""What each thing more costs: `python -m wickspring.lab.experiments.capacity` measures, fits, and puts the results away.
 
 Without a name all sweeps are played, each at four sizes or more and for two seeds; `SWEEP ...` plays some.
 `target` measures single steps, and a slice of a site, at the target's own size.
@@ -19,10 +19,10 @@
 
 import click
 
-from wickspring.lab.capacity_fit import COUNTED, fits, grown
-from wickspring.lab.capacity_runs import SWEEPS, target
+from wickspring.lab.experiments.capacity_sweeps import SWEEPS, target
+from wickspring.lab.experiments.linear_fit import COUNTED, fits, grown
 
-FOLDER = Path(__file__).resolve().parents[2] / "docs" / "capacity"
+FOLDER = Path(__file__).resolve().parents[3] / "docs" / "capacity"
 SHORT = "short.json"
 TARGET = "target"  # not a sweep: what can be measured at the target's own size
 DIGITS = 5
--- a/wickspring/lab/capacity_units.py
+++ b/wickspring/lab/experiments/capacity_steps.py
@@ -33,7 +33,7 @@
 from wickspring.controlplane.quota_counter import QuotaCounter
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
-from wickspring.lab.capacity_site import document
+from wickspring.lab.simulation.hollow_gateway import document
 from wickspring.net.link import Link
 
 TRIES = 3
--- a/wickspring/lab/capacity_runs.py
+++ b/wickspring/lab/experiments/capacity_sweeps.py
@@ -8,8 +8,8 @@
 
 import trio
 
-from wickspring.lab import capacity_units as units
-from wickspring.lab.capacity_site import CORE, INGRESS, Meter, Site, document, play
+from wickspring.lab.experiments import capacity_steps as units
+from wickspring.lab.simulation.hollow_gateway import CORE, INGRESS, Meter, Site, document, play
 
 BEAT_S = 1.5
 Figures = dict[str, float]
--- a/wickspring/lab/drill.py
+++ b/wickspring/lab/experiments/drill.py
@@ -19,7 +19,7 @@
 import trio
 
 from wickspring.common.quota_rule import quota_ceiling
-from wickspring.lab.harbour import DRAIN_S, Harbour, Standin, document
+from wickspring.lab.emulation.local_gateway import DRAIN_S, LocalGateway, StandInServer, document
 
 SPAN_S, EXCESS, SLACK = 5.0, 0.1, 20.0  # of the rule for quotas, as settings leave them
 TARGET_S = 0.5
@@ -44,13 +44,13 @@
     rate: float
     asked: list[Ask] = field(default_factory=list)
 
-    def most_in_span(self, servers: list[Standin]) -> int:
+    def most_in_span(self, servers: list[StandInServer]) -> int:
         """Return the most requests that ran within one span of the rule, by when they were sent."""
         ran = {id_ for one in servers for id_ in one.ran}
         times = sorted(ask.sent for ask in self.asked if ask.id in ran)
         return max((at + 1 - bisect_left(times, times[at] - SPAN_S) for at in range(len(times))), default=0)
 
-    def judge(self, servers: list[Standin]) -> dict[str, float | int]:
+    def judge(self, servers: list[StandInServer]) -> dict[str, float | int]:
         """Return the figures, with how often each rule was broken."""
         times: dict[str, int] = {}
         for one in servers:
@@ -82,7 +82,7 @@
     """One gateway under load."""
 
     def __init__(self, folder: Path, seed: int, net: int = 16, rate: float = 0.0) -> None:
-        self.harbour = Harbour(folder, net=net)
+        self.harbour = LocalGateway(folder, net=net)
         self.random, self.folder = Random(seed), folder
         self.ledger = Ledger(rate)
         self.version = 1
--- a/wickspring/lab/evaluate.py
+++ b/wickspring/lab/experiments/evaluate.py
@@ -7,11 +7,11 @@
 
 from hdrh.histogram import HdrHistogram
 
-from wickspring.lab import rules
-from wickspring.lab.record import Record
-from wickspring.lab.result import Result, Series
-from wickspring.lab.scenario import Scenario
-from wickspring.lab.script import Script, Try
+from wickspring.lab.checks import rules
+from wickspring.lab.experiments.scenario import Scenario
+from wickspring.lab.reports.record import Record
+from wickspring.lab.reports.result import Result, Series
+from wickspring.lab.traffic.schedule import Script, Try
 
 MOST_SHOWN = 20
 LATENCY_MOST_US, DIGITS = 60_000_000, 3
--- a/wickspring/lab/fleet.py
+++ b/wickspring/lab/experiments/fleet.py
@@ -23,12 +23,7 @@
 from wickspring.agent import wire
 from wickspring.fleet.home import down_most
 from wickspring.fleet.model import Rules
-from wickspring.lab import script as scripts
-from wickspring.lab.evaluate import evaluate
-from wickspring.lab.load import Load
-from wickspring.lab.result import Result
-from wickspring.lab.scenario import AgentFault, Command, FleetPart, InstanceFault, Scenario
-from wickspring.lab.site import (
+from wickspring.lab.emulation.site import (
     ROOT,
     LabError,
     Progress,
@@ -39,6 +34,11 @@
     odd_build,
     tell,
 )
+from wickspring.lab.experiments.evaluate import evaluate
+from wickspring.lab.experiments.scenario import AgentFault, Command, FleetPart, InstanceFault, Scenario
+from wickspring.lab.reports.result import Result
+from wickspring.lab.traffic import schedule as scripts
+from wickspring.lab.traffic.client import Load
 from wickspring.wire import WireError
 
 UP_WITHIN_S = 40.0
--- a/wickspring/lab/times.py
+++ b/wickspring/lab/experiments/recovery_times.py
@@ -14,7 +14,7 @@
 
 import trio
 
-from wickspring.lab.harbour import Harbour, document
+from wickspring.lab.emulation.local_gateway import LocalGateway, document
 
 ORDERS = 3  # of each seed
 STEP_S = 0.005
@@ -22,7 +22,7 @@
 Times = dict[str, list[float]]
 
 
-async def _served(harbour: Harbour, pilot: int, path: str, name: str) -> None:
+async def _served(harbour: LocalGateway, pilot: int, path: str, name: str) -> None:
     """Wait until a pilot serves a path; each ask has an id of its own."""
     with trio.fail_after(LATE_S):
         number = 0
@@ -31,14 +31,14 @@
             await trio.sleep(STEP_S)
 
 
-async def _all_serve(harbour: Harbour, path: str, name: str) -> None:
+async def _all_serve(harbour: LocalGateway, path: str, name: str) -> None:
     async with trio.open_nursery() as nursery:
         for pilot in range(len(harbour.pilots)):
             nursery.start_soon(_served, harbour, pilot, path, name)
 
 
 async def _play(folder: Path, seed: int, net: int, times: Times) -> None:
-    random, harbour = Random(seed), Harbour(folder, net=net)
+    random, harbour = Random(seed), LocalGateway(folder, net=net)
 
     def took(name: str, begun: float) -> None:
         times.setdefault(name, []).append(1000.0 * (trio.current_time() - begun))
--- a/wickspring/lab/run.py
+++ b/wickspring/lab/experiments/run.py
@@ -19,14 +19,15 @@
 import msgspec
 import trio
 
-from wickspring.lab import fleet, large_fleet, large_peers, virtual
-from wickspring.lab import script as scripts
-from wickspring.lab.among import COUNTER, DISCOVERY, Among, liar_build
-from wickspring.lab.evaluate import evaluate
-from wickspring.lab.load import Load
-from wickspring.lab.result import Result
-from wickspring.lab.scenario import Fault, Scenario
-from wickspring.lab.site import ROOT, LabError, Progress, Site, limits_text, listen, tell
+from wickspring.lab.emulation.peer_ingresses import COUNTER, DISCOVERY, Among, liar_build
+from wickspring.lab.emulation.site import ROOT, LabError, Progress, Site, limits_text, listen, tell
+from wickspring.lab.experiments import fleet
+from wickspring.lab.experiments.evaluate import evaluate
+from wickspring.lab.experiments.scenario import Fault, Scenario
+from wickspring.lab.reports.result import Result
+from wickspring.lab.simulation import ingress_site, large_fleet, large_peers
+from wickspring.lab.traffic import schedule as scripts
+from wickspring.lab.traffic.client import Load
 
 READY_S, END_S = 20.0, 6.0
 STOPPED = "broken[answered_before_the_deadline]"
@@ -269,7 +270,7 @@
     if scenario.kind == "virtual-peers":
         return large_peers.run(scenario, seed, progress)
     if scenario.kind == "virtual":
-        return virtual.run(scenario, seed, progress)
+        return ingress_site.run(scenario, seed, progress)
     result = _sockets(scenario, seed, program, progress)
     if scenario.peers.enabled and alone:  # the same once more with the talk off, to compare
         off = msgspec.structs.replace(scenario, peers=msgspec.structs.replace(scenario.peers, enabled=False))
--- a/wickspring/lab/scenario.py
+++ b/wickspring/lab/experiments/scenario.py
@@ -13,10 +13,10 @@
 
 from wickspring.config import Bounds, ConfigError, decode_toml
 from wickspring.connections.limits import ConnectionLimits
-from wickspring.lab.shape import Shape, ShapeError
-from wickspring.lab.shape import load as load_shape
+from wickspring.lab.emulation.shape import Shape, ShapeError
+from wickspring.lab.emulation.shape import load as load_shape
 
-SHIPPED = Path(__file__).parent / "scenarios"
+SHIPPED = Path(__file__).parents[1] / "scenarios"
 FaultKind = Literal[
     "reset-all", "restart", "slow", "drain", "half-open", "accept-silent", "spoilt", "failing", "replace",
     "counter-silent", "counter-slow", "counter-spoilt", "counter-flush", "discovery-silent",
--- a/wickspring/lab/keel_faults.py
+++ b/wickspring/lab/faults/core_faults.py
@@ -10,7 +10,7 @@
 
 from functools import partial
 
-from wickspring.lab.keel import ANSWER_MS, Core, Machine
+from wickspring.lab.simulation.core import ANSWER_MS, SimulatedCore, SimulatedNode
 
 CATCH_UP_MS = 4000.0  # after a machine's return, before another may lose its disk
 GRACE_MS = (6000.0, 10_000.0)  # after which a machine that is told to leave ends whatever is
@@ -21,7 +21,7 @@
 )  # fmt: skip
 
 
-class Faults(Core):
+class Faults(SimulatedCore):
     """Machines that are lost and come back."""
 
     wipes = kills = replaced = left = forced = 0
@@ -40,7 +40,7 @@
         zones = {self.machines[ip].zone for ip in away}
         return len(away) <= self.tolerance.machines or len(zones) <= self.tolerance.zones
 
-    def victims(self) -> list[Machine]:
+    def victims(self) -> list[SimulatedNode]:
         """Draw machines that may be lost now: one, all that are tolerated, or a zone; none if none may."""
         ips = sorted(set(self.machines) - self.away())
         self.random.shuffle(ips)
@@ -52,7 +52,7 @@
         return [self.machines[ip] for ip in sorted(found)] if found and self.may_lose(found) else []
 
     def lose(
-        self, machines: list[Machine], wipe: bool, away_ms: tuple[float, float] = (100.0, 3500.0)
+        self, machines: list[SimulatedNode], wipe: bool, away_ms: tuple[float, float] = (100.0, 3500.0)
     ) -> None:
         """Lose machines; they come back."""
         for machine in machines:
@@ -66,7 +66,7 @@
         self.lose(list(self.machines.values()), False, (50.0, 900.0))
 
     def cut_off(
-        self, machines: list[Machine], length_ms: float, both_ways: bool, hears: bool = False
+        self, machines: list[SimulatedNode], length_ms: float, both_ways: bool, hears: bool = False
     ) -> None:
         """Cut machines off from all others; one way: they are not heard, or they do not hear."""
         inside = {one.ip for one in machines}
@@ -87,7 +87,7 @@
 
         self.at(length_ms, heal_soon)
 
-    def hamper(self, machine: Machine, length_ms: float) -> None:
+    def hamper(self, machine: SimulatedNode, length_ms: float) -> None:
         """A machine's disk does not come back in time, and it says so."""
         chain = machine.chain
         if chain is not None:
@@ -95,13 +95,13 @@
             machine.back_at = self.now + length_ms
             self.at(length_ms, lambda: setattr(chain, "hampered", False))
 
-    def new_machine(self, zone: str) -> Machine:
+    def new_machine(self, zone: str) -> SimulatedNode:
         """Put an empty machine at an address of its own."""
-        machine = Machine(f"m{next(self.names)}", zone)
+        machine = SimulatedNode(f"m{next(self.names)}", zone)
         self.machines[machine.ip] = machine
         return machine
 
-    def replace(self, old: Machine) -> None:
+    def replace(self, old: SimulatedNode) -> None:
         """A machine is gone for good; an empty one comes at another address."""
         self.replaced += 1
         self.stop(old, wipe=True)
@@ -109,7 +109,7 @@
         new = self.new_machine(old.zone)
         self.at(self.random.uniform(100.0, 3500.0), partial(self.revive, new))
 
-    def replace_planned(self, old: Machine) -> None:
+    def replace_planned(self, old: SimulatedNode) -> None:
         """The new machine first; then the old one leaves, and ends when it may or after its grace."""
         self.replaced += 1
         new = self.new_machine(old.zone)
@@ -117,7 +117,7 @@
         new.back_at = -CATCH_UP_MS  # nobody misses it yet
         self.at(self.random.choice((0.0, 500.0, 3000.0)), partial(self.leave, old, new))
 
-    def leave(self, old: Machine, new: Machine) -> None:
+    def leave(self, old: SimulatedNode, new: SimulatedNode) -> None:
         """Tell a machine to leave."""
         ends_at = self.now + self.random.uniform(*GRACE_MS)
         old.leaving = True
--- a/wickspring/lab/relay.py
+++ b/wickspring/lab/faults/network_relay.py
@@ -14,7 +14,7 @@
 
 import trio
 
-from wickspring.lab.scenario import NetFault
+from wickspring.lab.experiments.scenario import NetFault
 
 PIECE = 65536
 LOOK_S = 0.005  # between looks whether a cut is over
--- /dev/null
+++ b/wickspring/lab/reports/__init__.py
@@ -0,0 +1,1 @@
+"""What a run saw, its figures and its plots."""
--- a/wickspring/lab/report.py
+++ b/wickspring/lab/reports/plots.py
@@ -8,7 +8,7 @@
 
 import matplotlib
 
-from wickspring.lab.result import Result, Series
+from wickspring.lab.reports.result import Result, Series
 
 matplotlib.use("Agg")
 
--- a/wickspring/lab/record.py
+++ b/wickspring/lab/reports/record.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from wickspring.lab.script import Try
+from wickspring.lab.traffic.schedule import Try
 
 
 @dataclass(slots=True)
--- a/wickspring/lab/keel.py
+++ b/wickspring/lab/simulation/core.py
@@ -24,7 +24,7 @@
 from wickspring.controlplane.replication.lease import MOST_DRIFT, Lease, grants
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import FaultTolerance, Member, PeerObservation, View
-from wickspring.lab.keel_orders import Ledger, Operators
+from wickspring.lab.simulation.core_operators import Ledger, Operators
 
 TICK_MS = 200.0
 SILENT_MS = 750.0
@@ -36,12 +36,12 @@
 FIRST_DISK = "first"
 
 
-class BrokenError(AssertionError):
+class InvariantBrokenError(AssertionError):
     """An invariant did not hold; the message says which, with the seed."""
 
 
 @dataclass(slots=True)
-class Machine:
+class SimulatedNode:
     """One core machine: what its disk holds, and its process while it runs."""
 
     ip: str
@@ -74,7 +74,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class PendingUpdate:
     """An order that came in at a machine, on its way to the head and back."""
 
     order: Update
@@ -83,7 +83,7 @@
     answer: Callable[[CommitOutcome], None]
 
 
-class Core:
+class SimulatedCore:
     """All core machines of one run."""
 
     crash_odds = 0.0
@@ -100,14 +100,14 @@
         self.turns = count()
         self.zones = zones or machines
         ips = [f"m{n}" for n in range(machines)]
-        self.machines = {ip: Machine(ip, f"z{n % self.zones}") for n, ip in enumerate(ips)}
+        self.machines = {ip: SimulatedNode(ip, f"z{n % self.zones}") for n, ip in enumerate(ips)}
         self.names = count(machines)
         self.first = tuple((ip, FIRST_DISK) for ip in ips[:seeds])
         self.cut: set[tuple[str, str]] = set()
         self.loss = 0.0
         self.ambush: tuple[str, Callable[[], None]] | None = None  # what happens at a message of that name
         self.number = count(1)
-        self.asked: dict[int, Asked] = {}
+        self.asked: dict[int, PendingUpdate] = {}
         self.ledger = Ledger(self.fail)
         self.operators = Operators(self.random, self.send_order)
         self.usable = self.reads = self.views = 0
@@ -116,7 +116,7 @@
 
     def fail(self, what: str) -> None:
         """Say what did not hold."""
-        raise BrokenError(f"seed {self.seed} at {self.now:.0f} ms: {what}")
+        raise InvariantBrokenError(f"seed {self.seed} at {self.now:.0f} ms: {what}")
 
     def at(self, delay: float, action: Callable[[], None]) -> None:
         """Have something done after so many ms."""
@@ -131,7 +131,7 @@
 
     # Machines.
 
-    def start(self, machine: Machine, first: bool = False) -> None:
+    def start(self, machine: SimulatedNode, first: bool = False) -> None:
         """Start a machine's process from what its disk holds."""
         machine.life += 1
         life, seed = machine.life, self.random.getrandbits(32)
@@ -154,7 +154,7 @@
         self.step(machine, lambda: chain.begin(self.now))
         self.at(self.random.uniform(1.0, TICK_MS), lambda: self.tick(machine, life))
 
-    def stop(self, machine: Machine, wipe: bool = False) -> None:
+    def stop(self, machine: SimulatedNode, wipe: bool = False) -> None:
         """End a machine's process at once."""
         machine.chain = None
         machine.heard = {}
@@ -163,12 +163,12 @@
         if wipe:
             machine.disk, machine.replica = None, Replica()
 
-    def revive(self, machine: Machine) -> None:
+    def revive(self, machine: SimulatedNode) -> None:
         """Start a machine that is down, if it is still one of them."""
         if machine.chain is None and self.machines.get(machine.ip) is machine:
             self.start(machine)
 
-    def crashes(self, machine: Machine) -> bool:
+    def crashes(self, machine: SimulatedNode) -> bool:
         """Tell whether a machine's process ends just here; it then comes back."""
         odds = max(self.crash_odds, machine.save_crash)
         if not odds or self.random.random() >= odds:
@@ -178,7 +178,7 @@
         self.at(self.random.uniform(100.0, 2500.0), lambda: self.revive(machine))
         return True
 
-    def step(self, machine: Machine, event: Callable[[], None]) -> None:
+    def step(self, machine: SimulatedNode, event: Callable[[], None]) -> None:
         """Let a machine take one event, save, and only then speak; it may end in between."""
         chain = machine.chain
         if chain is None:
@@ -205,7 +205,7 @@
         for ip, message in out:
             self.send(machine.ip, ip, message)
 
-    def look(self, machine: Machine, chain: ReplicationChain, handed_out: bool) -> None:
+    def look(self, machine: SimulatedNode, chain: ReplicationChain, handed_out: bool) -> None:
         """Check what must hold of one machine after each event."""
         if chain.view.epoch and chain.view.epoch not in self.ledger.views:
             self.views += 1
@@ -235,7 +235,7 @@
         if len(epochs) > 1:
             self.fail(f"leases of epochs {sorted(epochs)} are usable at once")
 
-    def tick(self, machine: Machine, life: int) -> None:
+    def tick(self, machine: SimulatedNode, life: int) -> None:
         """Have a machine look round, and be heard."""
         chain = machine.chain
         if machine.life != life or chain is None:
@@ -281,7 +281,7 @@
         for _ in range(1 + (self.random.random() < self.loss)):
             self.at(self.random.uniform(*DELAY_MS), arrive)
 
-    def hear(self, machine: Machine, sender: str, message: list[Any]) -> None:
+    def hear(self, machine: SimulatedNode, sender: str, message: list[Any]) -> None:
         """Take what another machine says of itself; the answer grants it a lease."""
         chain = machine.chain
         assert chain is not None
@@ -289,7 +289,7 @@
         machine.knows |= {sender, *message[3]} - {machine.ip}
         self.send(machine.ip, sender, ["tock", chain.me[1], message[2], grants(chain)])
 
-    def take(self, machine: Machine, sender: str, message: list[Any], size: int) -> None:
+    def take(self, machine: SimulatedNode, sender: str, message: list[Any], size: int) -> None:
         """Take a message of another machine."""
         chain, name = machine.chain, message[0]
         assert chain is not None
@@ -314,7 +314,7 @@
         if machine is None or chain is None or machine.stopped_until > self.now:
             return
         ticket = next(self.number)
-        self.asked[ticket] = Asked(order, ip, self.ledger.acked, answer)
+        self.asked[ticket] = PendingUpdate(order, ip, self.ledger.acked, answer)
         self.at(ENTER_MS, lambda: self.forget(ticket))
         if chain.head == ip:
             self.enter(machine, ticket, order)
@@ -330,13 +330,13 @@
             if chain is not None:
                 chain.drop(ticket)
 
-    def enter(self, machine: Machine, ticket: int, order: Update) -> None:
+    def enter(self, machine: SimulatedNode, ticket: int, order: Update) -> None:
         """An order reaches the machine that is thought to be the head."""
         chain = machine.chain
         if chain is not None:
             self.step(machine, lambda: chain.enter(self.now, ticket, order))
 
-    def answered(self, machine: Machine, chain: ReplicationChain, ticket: int, verdict: CommitOutcome) -> None:
+    def answered(self, machine: SimulatedNode, chain: ReplicationChain, ticket: int, verdict: CommitOutcome) -> None:
         """A head answers: check it, and send the answer back to where the order came in."""
         asked = self.asked.get(ticket)
         if asked is None:
--- a/wickspring/lab/flotilla.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -19,7 +19,7 @@
 from wickspring.common.connection import Message, PeerConnection
 from wickspring.controlplane.replication.replica import DIGEST_SIZE
 from wickspring.dataplane.gossip import GossipDigest, GossipNode
-from wickspring.lab.clock import VirtualClock
+from wickspring.lab.simulation.clock import VirtualClock
 
 LOSS = 0.01  # of all datagrams
 INTRODUCED = 3
--- a/wickspring/lab/capacity_site.py
+++ b/wickspring/lab/simulation/hollow_gateway.py
@@ -39,7 +39,7 @@
 from wickspring.dataplane import process as dataplane_process
 from wickspring.dataplane.upstream import BufferedResponse
 from wickspring.interface import Status
-from wickspring.lab.clock import VirtualClock
+from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.net import host
 from wickspring.net.link import READ_SIZE
 from wickspring.net.upstream.carrier import Job
@@ -129,7 +129,7 @@
         return metered
 
 
-class Pipe:
+class MemoryLink:
     """One end of a connection in memory, in the place of a `Link`."""
 
     def __init__(self, role: str, to: str) -> None:
@@ -137,7 +137,7 @@
         self.broken = self._ended = False
         self._in = bytearray()
         self._stirred = trio.Event()
-        self.other: Pipe | None = None
+        self.other: MemoryLink | None = None
 
     def send(self, data: bytes) -> None:
         """Have it arrive at the other end."""
@@ -176,17 +176,17 @@
 
     def __init__(self, meter: Meter) -> None:
         self.meter = meter
-        self.listening: dict[str, tuple[str, Callable[[Pipe], None]]] = {}
+        self.listening: dict[str, tuple[str, Callable[[MemoryLink], None]]] = {}
         self.wires: dict[str, Wire] = {}
 
-    async def connect(self, address: tuple[str, int], timeout_ms: float) -> Pipe | None:
+    async def connect(self, address: tuple[str, int], timeout_ms: float) -> MemoryLink | None:
         """Connect to who listens at an IP."""
         await trio.lowlevel.checkpoint()
         found = self.listening.get(address[0])
         if found is None:
             return None
         role, serve = found
-        mine, theirs = Pipe(ROLE.get(), role), Pipe(role, ROLE.get())
+        mine, theirs = MemoryLink(ROLE.get(), role), MemoryLink(role, ROLE.get())
         mine.other, theirs.other = theirs, mine
         serve(theirs)
         return mine
@@ -197,7 +197,7 @@
     ) -> None:  # fmt: skip
         """Listen at an IP."""
 
-        def taken(pipe: Pipe) -> None:
+        def taken(pipe: MemoryLink) -> None:
             with self.meter.inside(role, "rest"):
                 nursery.start_soon(serve, PeerConnection(pipe, clock))  # type: ignore[arg-type]
 
--- a/wickspring/lab/virtual.py
+++ b/wickspring/lab/simulation/ingress_site.py
@@ -25,12 +25,12 @@
 from wickspring.connections.limits import ConnectionLimits, most_connections
 from wickspring.core import effects as core
 from wickspring.core.reducer import Reducer
-from wickspring.lab import script as scripts
-from wickspring.lab.evaluate import evaluate
-from wickspring.lab.record import Arrival, Asked, Record
-from wickspring.lab.result import Result
-from wickspring.lab.scenario import Fault, Scenario
-from wickspring.lab.site import Progress
+from wickspring.lab.emulation.site import Progress
+from wickspring.lab.experiments.evaluate import evaluate
+from wickspring.lab.experiments.scenario import Fault, Scenario
+from wickspring.lab.reports.record import Arrival, Asked, Record
+from wickspring.lab.reports.result import Result
+from wickspring.lab.traffic import schedule as scripts
 
 EPOCH = 1_000_000_000.0  # the gateways' clock at the beginning of a run, ms
 SWEEP_MS, POOL_SWEEP_MS, REPORT_MS = 100.0, 250.0, 500.0
--- a/wickspring/lab/large_fleet.py
+++ b/wickspring/lab/simulation/large_fleet.py
@@ -17,11 +17,11 @@
 from wickspring.fleet import home, rollout
 from wickspring.fleet.model import FLEET, Kind, Operation, Record, Rules, Seen, Step, Want, scope_of
 from wickspring.fleet.views import Content, View
-from wickspring.lab.record import Record as Sights
-from wickspring.lab.result import Result
-from wickspring.lab.scenario import FleetPart, Scenario
-from wickspring.lab.site import Progress
-from wickspring.lab.virtual import Timeline
+from wickspring.lab.emulation.site import Progress
+from wickspring.lab.experiments.scenario import FleetPart, Scenario
+from wickspring.lab.reports.record import Record as Sights
+from wickspring.lab.reports.result import Result
+from wickspring.lab.simulation.ingress_site import Timeline
 
 BASE = 1_000_000.0  # seconds; the agents' clock at the beginning
 HOP_MS = (0.5, 3.0)
--- a/wickspring/lab/large_peers.py
+++ b/wickspring/lab/simulation/large_peers.py
@@ -18,14 +18,14 @@
 
 from wickspring import interface as api
 from wickspring.config import Bounds, build_settings, flatten
-from wickspring.lab import script as scripts
-from wickspring.lab.among import SAMPLE_S, middle_and_ninth
-from wickspring.lab.evaluate import peak
-from wickspring.lab.record import Record
-from wickspring.lab.result import Result
-from wickspring.lab.scenario import Scenario, parties
-from wickspring.lab.site import Progress
-from wickspring.lab.virtual import Timeline
+from wickspring.lab.emulation.peer_ingresses import SAMPLE_S, middle_and_ninth
+from wickspring.lab.emulation.site import Progress
+from wickspring.lab.experiments.evaluate import peak
+from wickspring.lab.experiments.scenario import Scenario, parties
+from wickspring.lab.reports.record import Record
+from wickspring.lab.reports.result import Result
+from wickspring.lab.simulation.ingress_site import Timeline
+from wickspring.lab.traffic import schedule as scripts
 from wickspring.peer_state.messages import About, Talk
 from wickspring.peer_state.participant import Participant
 from wickspring.peer_state.shares import Shares
--- a/wickspring/lab/answers.py
+++ b/wickspring/lab/simulation/request_path.py
@@ -28,8 +28,8 @@
 from wickspring.dataplane import process as programs
 from wickspring.dataplane.process import DataPlane
 from wickspring.dataplane.upstream import NOT_RUN
-from wickspring.lab.clock import VirtualClock
-from wickspring.lab.harbour import HOST, KEY, PREFIX, document
+from wickspring.lab.emulation.local_gateway import HOST, KEY, PREFIX, document
+from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.net import host
 from wickspring.net.http1_front import Http1Connection
 from wickspring.net.link import Link
@@ -47,7 +47,7 @@
 }  # fmt: skip
 
 
-class WrongError(Exception):
+class InvariantBrokenError(Exception):
     """A rule of the users is broken."""
 
 
@@ -66,7 +66,7 @@
         raise AssertionError
 
 
-class Near:
+class ClientEnd:
     """The pilot's end of a connection in memory: what `net.link.Link` is to a socket."""
 
     def __init__(self, random: Random, most: float) -> None:
@@ -75,7 +75,7 @@
         self.given = self.taken = 0
         self._unsent, self._in, self._end = bytearray(), bytearray(), ""
         self._coming: deque[tuple[float, bytes, str]] = deque()
-        self._moved, self.far = trio.Event(), Far(self)
+        self._moved, self.far = trio.Event(), ServerEnd(self)
 
     def move(self) -> None:
         """Wake whoever waits at this end."""
@@ -175,10 +175,10 @@
         self.move()
 
 
-class Far:
+class ServerEnd:
     """The peer's end."""
 
-    def __init__(self, near: Near) -> None:
+    def __init__(self, near: ClientEnd) -> None:
         self.near, self.got = near, bytearray()
         self.ended = self.reset = self.gone = False
         self._moved, self._known = trio.Event(), 0
@@ -238,7 +238,7 @@
 
 
 @dataclass
-class Books:
+class Ledger:
     """What was asked, run, said and told."""
 
     random: Random
@@ -251,7 +251,7 @@
 
     def wrong(self, what: str, *about: object) -> None:
         """Stop: a rule is broken."""
-        raise WrongError(f"{what}: {about}")
+        raise InvariantBrokenError(f"{what}: {about}")
 
     def read(self, id_: str, status: int, headers: dict[str, str], body: bytes) -> None:
         """Enter a whole answer that a client has read, and look up whether it may be."""
@@ -288,7 +288,7 @@
     """A server; each of its connections plays tricks."""
 
     name: str
-    books: Books
+    books: Ledger
     odd: float  # share of requests that are not answered well
     only: tuple[str, ...] = ()
     replays: list[bytes] = field(default_factory=list)  # its answers, as they were
@@ -362,7 +362,7 @@
         old = random.choice(self.replays) if self.replays else b"HTTP/1.1 200 OK\r\n\r\n"
         return old[: random.randint(1, len(old))] if random.random() < 0.6 else old
 
-    async def serve(self, end: Far) -> None:
+    async def serve(self, end: ServerEnd) -> None:
         """Serve one connection for as long as it lasts."""
         random, books = self.books.random, self.books
         while True:
@@ -418,7 +418,7 @@
             if not await self._reply(end, id_, trick, runs):
                 return
 
-    async def _reply(self, end: Far, id_: str, trick: str, runs: bool) -> bool:
+    async def _reply(self, end: ServerEnd, id_: str, trick: str, runs: bool) -> bool:
         """Answer a request that has been read; True where the connection goes on."""
         random = self.books.random
         await trio.sleep(random.choice((0.0, 0.003, 0.02, 0.2)))
@@ -467,7 +467,7 @@
 
 
 @dataclass
-class Play:
+class Simulation:
     """One play: a pilot, servers that lie, clients that ask."""
 
     seed: int
@@ -483,14 +483,14 @@
     def __post_init__(self) -> None:
         """Open the books."""
         self.random = Random(self.seed)
-        self.books = Books(self.random)
+        self.books = Ledger(self.random)
         self.peers = {
             f"i{n}": Peer(f"i{n}", self.books, self.odd, self.only) for n in range(2 * self.servers)
         }
         self.failed: list[str] = []
 
-    def run(self) -> Books:
-        """Play it in virtual time; `WrongError` names the rule that is broken."""
+    def run(self) -> Ledger:
+        """Play it in virtual time; `InvariantBrokenError` names the rule that is broken."""
         run: Any = trio._core._run
         run._r.seed(self.seed)
         with mock.patch.object(run, "_ALLOW_DETERMINISTIC_SCHEDULING", True), stood_in(self.failed):
@@ -553,7 +553,7 @@
             return None
         if conn.state.value == "closed":
             return None
-        near = Near(random, random.choice((math.inf, math.inf, 300, 30_000)))
+        near = ClientEnd(random, random.choice((math.inf, math.inf, 300, 30_000)))
         self.nursery.start_soon(self.peers[conn.server.decode()].serve, near.far)
         return cast(Link, near)
 
@@ -563,9 +563,9 @@
         while asks > 0 and self.asks:
             asks = await self._converse(self.knock(), number, asks)
 
-    def knock(self) -> Far:
+    def knock(self) -> ServerEnd:
         """Open a client's connection."""
-        near = Near(self.random, math.inf)
+        near = ClientEnd(self.random, math.inf)
         link = cast(Link, near)
         front = Http1Connection(link, self.pilot, patience=self.pilot.patience)
         self.nursery.start_soon(self.pilot.serve, front, link)
@@ -590,7 +590,7 @@
         chunks = b"%x\r\n%s\r\n" % (length, body) if length else b""
         return id_, f"{head}Transfer-Encoding: chunked\r\n\r\n".encode() + chunks + b"0\r\n\r\n", wait, length
 
-    async def _converse(self, end: Far, number: int, asks: int) -> int:
+    async def _converse(self, end: ServerEnd, number: int, asks: int) -> int:
         """Ask on one connection until it ends; return how many are left to ask."""
         random, rest = self.random, b""
         coming: list[tuple[str, bytes, float, int]] = []
@@ -622,14 +622,14 @@
         end.close()
         return asks
 
-    async def _say(self, end: Far, said: bytes) -> None:
+    async def _say(self, end: ServerEnd, said: bytes) -> None:
         at = self.random.randint(0, len(said)) if self.random.random() < 0.5 else len(said)
         end.say(said[:at])
         if at < len(said):
             await trio.sleep(self.random.choice((0.0, 0.01, 0.1)))
             end.say(said[at:])
 
-    async def read(self, end: Far, id_: str, rest: bytes) -> tuple[bytes, bool, bool]:
+    async def read(self, end: ServerEnd, id_: str, rest: bytes) -> tuple[bytes, bool, bool]:
         """Read one answer strictly; what is left over, whether the connection goes on, whether it flowed."""
         http, status, headers, body = h11.Connection(h11.CLIENT), 0, dict[str, str](), b""
         http.send(h11.Request(method="POST", target="/", headers=[("Host", HOST), ("Content-Length", "0")]))
@@ -686,7 +686,7 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Keep one."""
         error = record.exc_info[1] if record.exc_info else None
-        if not isinstance(error, WrongError):
+        if not isinstance(error, InvariantBrokenError):
             self.failed.append(f"{record.getMessage()} {error!r}")
 
 
--- a/wickspring/lab/keel_states.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -18,7 +18,7 @@
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
 from wickspring.controlplane.replication.view import PeerObservation, View
-from wickspring.lab.keel import BrokenError
+from wickspring.lab.simulation.core import InvariantBrokenError
 
 IPS = ("a", "b", "c")
 STEP_MS = 2000.0  # that pass with each look round: all that waits for time is due
@@ -105,7 +105,7 @@
         safe = chain.safe.config
         for version, digest in (*safe.history, (safe.version, safe.digest)):
             if version and self.safe.setdefault(version, digest) != digest:
-                raise BrokenError(f"r{version} is safe with two texts, the other at {ip}")
+                raise InvariantBrokenError(f"r{version} is safe with two texts, the other at {ip}")
         for ticket, verdict in chain.done:
             self.answered(ip, ticket, verdict)
         chain.out, chain.done, chain.news = [], [], []
@@ -117,11 +117,11 @@
         known = self.safe.get(order.version)
         if verdict == CommitOutcome.SAFE:
             if known not in (None, digest):
-                raise BrokenError(f"{ip} acknowledges r{order.version}, and another text of it is safe")
+                raise InvariantBrokenError(f"{ip} acknowledges r{order.version}, and another text of it is safe")
             if known == digest:
                 self.acked |= {ticket}
         elif verdict == CommitOutcome.CONFLICT and (known in (None, digest) or ticket in self.acked):
-            raise BrokenError(f"{ip} refuses r{order.version}, and no other text of it is safe")
+            raise InvariantBrokenError(f"{ip} refuses r{order.version}, and no other text of it is safe")
 
     def check(self) -> None:
         """Check what must hold."""
@@ -131,18 +131,18 @@
             epoch, config = chain.view.epoch, chain.replica.config
             newest = max(newest, epoch)
             if epoch and self.views.setdefault(epoch, chain.view) != chain.view:
-                raise BrokenError(f"two views of epoch {epoch}: {chain.view} and {self.views[epoch]}")
+                raise InvariantBrokenError(f"two views of epoch {epoch}: {chain.view} and {self.views[epoch]}")
             if config.version and texts.setdefault(config.rank, (config.digest, config.history)) != (
                 config.digest, config.history,
             ):  # fmt: skip
-                raise BrokenError(f"two copies of {config.rank} differ, one at {ip}")
+                raise InvariantBrokenError(f"two copies of {config.rank} differ, one at {ip}")
         for ip, chain in self.chains.items():
             if chain.view.epoch != newest or not chain.member:
                 continue
             for place in self.acked:
                 order = self.orders[place]
                 if chain.replica.config.judge(order.version, digest_of(order.document)) != CommitOutcome.SAFE:
-                    raise BrokenError(f"{ip} of epoch {newest} lacks r{order.version}, acknowledged")
+                    raise InvariantBrokenError(f"{ip} of epoch {newest} lacks r{order.version}, acknowledged")
 
     def steps(self, loses: str, looks: int, returns: str) -> list[tuple[str, Any]]:
         """Return all that may happen next."""
--- a/wickspring/lab/load.py
+++ b/wickspring/lab/traffic/client.py
@@ -14,12 +14,12 @@
 import h11
 import trio
 
-from wickspring.lab.clock import RunClock
-from wickspring.lab.record import Asked, Record
-from wickspring.lab.scenario import Scenario
-from wickspring.lab.script import Try
-from wickspring.lab.shape import Shape
-from wickspring.lab.sockets import peek
+from wickspring.lab.emulation.shape import Shape
+from wickspring.lab.emulation.sockets import peek
+from wickspring.lab.experiments.scenario import Scenario
+from wickspring.lab.reports.record import Asked, Record
+from wickspring.lab.simulation.clock import RunClock
+from wickspring.lab.traffic.schedule import Try
 
 LATE_MS = 400.0  # past its budget for which an answer is still watched for: a late one breaks a rule
 RETRY_SHARE = 0.7  # of the refused or failed tries that are retried, where clients retry
--- a/wickspring/lab/script.py
+++ b/wickspring/lab/traffic/schedule.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from wickspring.lab.scenario import Scenario
-from wickspring.lab.shape import PlanShape, Shape
+from wickspring.lab.emulation.shape import PlanShape, Shape
+from wickspring.lab.experiments.scenario import Scenario
 
 SLACK_MS = 50.0  # by which every limit of the rules is extended on sockets
 CEILING_SLACK = 0.1  # of what a ceiling holds; one of the largest requests at least
