--- a/tests/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -10,9 +10,9 @@
 import pytest
 import trio
 
-from tests.ldap_stand_in import NO_SUCH_OBJECT, Entry, LdapServer
-from tests.test_config import example
-from tests.test_parsers import CALLS, GOOD
+from tests.agent.test_config import example
+from tests.net.test_parsers import CALLS, GOOD
+from tests.support.ldap_server import NO_SUCH_OBJECT, Entry, LdapServer
 from wickspring import cli, config
 from wickspring.agent import agent, control, directory
 from wickspring.agent.control import Command
--- a/tests/test_config.py
+++ b/tests/agent/test_config.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from tests.test_simwire import SETTINGS
+from tests.policy.test_simwire import SETTINGS
 from wickspring import cli, config, simwire
 
-EXAMPLE = Path(__file__).parent.parent / "example" / "config.json"
+EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
 
 
 def example(**changes: Any) -> dict[str, Any]:
--- a/tests/test_events.py
+++ b/tests/common/test_log_events.py
@@ -5,7 +5,7 @@
 import re
 from pathlib import Path
 
-ROOT = Path(__file__).resolve().parents[1]
+ROOT = Path(__file__).resolve().parents[2]
 PARTS = ("harbour", "lighthouse", "pilot")
 
 
--- a/tests/test_strangers.py
+++ b/tests/common/test_malformed_input.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 
-from tests.test_gateway_parts import SETTINGS, document
+from tests.common.test_decoding import SETTINGS, document
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
 from wickspring.common.endpoints import Endpoint
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.gateway import Gateway, make_settings
+from tests.support.policy_gateway import Gateway, make_settings
 
 
 @pytest.fixture
--- a/tests/test_berths.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from tests.test_gateway_parts import SETTINGS
+from tests.common.test_decoding import SETTINGS
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import PeerConnection
 from wickspring.common.endpoints import DRAINING, Endpoint
--- a/tests/test_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -13,7 +13,8 @@
 import pytest
 import trio
 
-from tests.control_side import (
+from tests.common.test_decoding import SETTINGS
+from tests.support.virtual_system import (
     LIGHTS,
     PILOTS,
     Site,
@@ -25,7 +26,6 @@
     server,
     text,
 )
-from tests.test_gateway_parts import SETTINGS
 from wickspring.common import logs
 from wickspring.common import settings as settings_module
 from wickspring.common.config_status import ConfigStatus, QuorumContact
--- a/tests/test_catching_up.py
+++ b/tests/controlplane/test_replica_recovery.py
@@ -15,7 +15,7 @@
 import msgpack
 import pytest
 
-from tests.logbooks import Files, after_power, files
+from tests.support.storage_files import Files, after_power, files
 from wickspring.controlplane import storage
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.replica import CommitOutcome, Update
--- a/tests/test_keeping.py
+++ b/tests/controlplane/test_storage.py
@@ -13,8 +13,8 @@
 import msgspec
 import pytest
 
-from tests.logbooks import DURABLE, MEMBERS, OLD, files, found_in, reopened, replica, write_older
-from tests.test_gateway_parts import document
+from tests.common.test_decoding import document
+from tests.support.storage_files import DURABLE, MEMBERS, OLD, files, found_in, reopened, replica, write_older
 from wickspring.common.errors import ErrorKind
 from wickspring.controlplane import storage
 from wickspring.controlplane.replication import snapshot
--- a/tests/test_power.py
+++ b/tests/controlplane/test_storage_power_loss.py
@@ -16,7 +16,17 @@
 
 import pytest
 
-from tests.logbooks import DURABLE, LOG, MEMBERS, Files, after_power, files, found_in, replica, write_older
+from tests.support.storage_files import (
+    DURABLE,
+    LOG,
+    MEMBERS,
+    Files,
+    after_power,
+    files,
+    found_in,
+    replica,
+    write_older,
+)
 from wickspring.controlplane import storage
 from wickspring.controlplane.replication.replica import Config, Replica, Update, digest_of
 from wickspring.controlplane.storage import BAD, FILE, ReplicaStore
--- a/tests/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.gateway import KIND, Gateway, make_settings
+from tests.support.policy_gateway import KIND, Gateway, make_settings
 from wickspring import interface as api
 from wickspring.config import ListedServer, Listing
 from wickspring.core import effects as core
--- a/tests/test_fleet_parts.py
+++ b/tests/fleet/test_parts.py
@@ -19,7 +19,7 @@
 import trustme
 from rpds import HashTrieMap
 
-from tests.test_config import example
+from tests.agent.test_config import example
 from wickspring import cli, config
 from wickspring.agent import processes, wire
 from wickspring.agent.keeper import Keeper
@@ -449,7 +449,7 @@
 
 
 def fleet_file(folder: Path, agents: int = 1, instances: int = 1, extra: str = "", tls: bool = False) -> Path:
-    root = Path(__file__).parent.parent
+    root = Path(__file__).parents[2]
     lines = [extra, 'first_build = "1"', "backoff_first_s = 0.1"]
     if tls:
         lines += ["[tls]", 'ca = "ca.pem"', 'cert = "boss.pem"', 'key = "boss.pem"']
--- a/tests/test_fleet_lab.py
+++ b/tests/lab/test_fleet.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from tests.test_lab import kept
+from tests.lab.test_lab import kept
 from wickspring.lab.experiments import scenario
 from wickspring.lab.experiments.run import run
 from wickspring.lab.reports.result import Result
--- a/tests/test_fleet_size.py
+++ b/tests/net/test_discovery_pauses.py
@@ -10,8 +10,8 @@
 import pytest
 import trio
 
-from tests.gateway import make_settings
-from tests.loopback import client1, request, site
+from tests.support.ingress import client1, request, site
+from tests.support.policy_gateway import make_settings
 from wickspring import interface as api
 from wickspring.config import ConfigError, build_settings
 from wickspring.connections.backoff import Backoff
--- a/tests/test_handover.py
+++ b/tests/net/test_handover.py
@@ -18,10 +18,10 @@
 import trio
 
 from example import toy
-from tests.gateway import Gateway, make_settings
-from tests.loopback import client1, request
-from tests.test_config import example
-from tests.test_operating import call, listed, put
+from tests.agent.test_config import example
+from tests.net.test_operating import call, listed, put
+from tests.support.ingress import client1, request
+from tests.support.policy_gateway import Gateway, make_settings
 from wickspring import interface as api
 from wickspring.core import effects as core
 from wickspring.core import succession
@@ -49,7 +49,7 @@
         self.log = (folder / f"log{self.door[1]}").open("w+")
         self.process = subprocess.Popen(
             [sys.executable, "-O", "-m", "wickspring", "serve"], env=env, stderr=self.log,
-            cwd=Path(__file__).parent.parent,
+            cwd=Path(__file__).parents[2],
         )  # fmt: skip
 
     async def up(self) -> None:
--- a/tests/test_http1.py
+++ b/tests/net/test_http1.py
@@ -13,7 +13,7 @@
 import trio
 
 from example.toy import Answer, Seen, ToyServer, echo
-from tests.loopback import BIG_PLAN, client1, request, site
+from tests.support.ingress import BIG_PLAN, client1, request, site
 from wickspring import interface as api
 from wickspring.net import http1_front, server
 
--- a/tests/test_http2.py
+++ b/tests/net/test_http2.py
@@ -14,7 +14,7 @@
 from h2.errors import ErrorCodes
 
 from example.toy import Answer, Http2Side, Seen, ToyServer, echo, start
-from tests.loopback import BIG_PLAN, client1, client2, request, site
+from tests.support.ingress import BIG_PLAN, client1, client2, request, site
 from wickspring.net.http2_wire import LAST_STREAM, Frames, GoAway, goaway
 
 ALL = ("*",)
--- a/tests/test_long.py
+++ b/tests/net/test_long_bodies.py
@@ -12,8 +12,8 @@
 import trio
 
 from example.toy import Answer, Seen, ToyServer
-from tests.gateway import make_settings
-from tests.loopback import Client1, client1, client2, request, site
+from tests.support.ingress import Client1, client1, client2, request, site
+from tests.support.policy_gateway import make_settings
 from wickspring import interface as api
 from wickspring.core import effects as core
 from wickspring.core.reducer import Reducer
--- a/tests/test_rude.py
+++ b/tests/net/test_malformed_peers.py
@@ -11,8 +11,8 @@
 import trio
 
 from example.toy import Answer, Seen, ToyServer, echo
-from tests.loopback import BIG_PLAN, IDS, client1, client2, job, request, site
-from tests.test_http1 import abort, never
+from tests.net.test_http1 import abort, never
+from tests.support.ingress import BIG_PLAN, IDS, client1, client2, job, request, site
 from wickspring.net import link
 from wickspring.net.host import HELD_SHARE
 from wickspring.net.upstream.http1 import MOST_INTERIM, AnswerReader
--- a/tests/test_operating.py
+++ b/tests/net/test_operating.py
@@ -13,9 +13,9 @@
 import trio
 from click.testing import CliRunner
 
-from tests.gateway import Gateway, make_settings
-from tests.loopback import client1, request, site
-from tests.test_config import example
+from tests.agent.test_config import example
+from tests.support.ingress import client1, request, site
+from tests.support.policy_gateway import Gateway, make_settings
 from wickspring import interface as api
 from wickspring.commands import top
 from wickspring.interface import ListKind, Readiness
--- a/tests/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -12,8 +12,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.gateway import KIND, PLAN, make_settings
-from tests.loopback import job
+from tests.support.ingress import job
+from tests.support.policy_gateway import KIND, PLAN, make_settings
 from wickspring import interface as api
 from wickspring.net import counter, discovery
 from wickspring.net.calls import CallError, CallReader, Client
--- a/tests/test_peers.py
+++ b/tests/net/test_peers.py
@@ -17,7 +17,7 @@
 import trio
 from click.testing import CliRunner
 
-from tests.gateway import make_settings
+from tests.support.policy_gateway import make_settings
 from wickspring import config
 from wickspring import interface as api
 from wickspring.commands import top
@@ -533,7 +533,7 @@
     """Start one process that talks; discovery and counter are dead."""
     place = place or free_port()
     peers = write(folder / "peers.toml", f'enabled = true\nlisten = "127.0.0.1:{place}"\nhall = "a"\n')
-    example = json.loads((Path(__file__).parent.parent / "example" / "config.json").read_text())
+    example = json.loads((Path(__file__).parents[2] / "example" / "config.json").read_text())
     example |= {"listen": f"127.0.0.1:{free_port()}", "discovery": "127.0.0.1:9", "counter": "127.0.0.1:9"}
     path = folder / "config.json"
     if not path.exists():
--- a/tests/test_reload.py
+++ b/tests/net/test_reload.py
@@ -12,8 +12,8 @@
 import trio
 
 from example.toy import Answer, Seen, ToyCounter, ToyDiscovery, ToyServer, echo, start
-from tests.loopback import client1, request, site
-from tests.test_config import example
+from tests.agent.test_config import example
+from tests.support.ingress import client1, request, site
 from wickspring import config
 from wickspring.config import ConfigError, Instance, parse_address
 
--- a/tests/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.gateway import Gateway, every, only
+from tests.support.policy_gateway import Gateway, every, only
 from wickspring import interface as api
 from wickspring.interface import Effect, Group, Status
 from wickspring.policy import RETRY_MOST, RETRY_SHARE
--- a/tests/test_fleet_cold.py
+++ b/tests/policy/test_cold_servers.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from tests.gateway import Gateway, every
-from tests.test_fleet import fleet, sends
+from tests.policy.test_many_policies import fleet, sends
+from tests.support.policy_gateway import Gateway, every
 from wickspring import interface as api
 from wickspring.interface import Readiness, Status
 from wickspring.lab.simulation.ingress_site import Timeline
--- a/tests/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.gateway import Gateway, make_settings
+from tests.support.policy_gateway import Gateway, make_settings
 from wickspring import interface as api
 from wickspring.interface import Effect, Group, Status
 
--- a/tests/test_fleet.py
+++ b/tests/policy/test_many_policies.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.gateway import Gateway, every, make_settings, only
+from tests.support.policy_gateway import Gateway, every, make_settings, only
 from wickspring import interface as api
 from wickspring.interface import Effect, Group, Status
 from wickspring.policy import ACCOUNT_LIFE, COLD_CARE, COLD_DRAWS, COLD_LOAD
--- a/tests/test_many.py
+++ b/tests/policy/test_one_of_many.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from tests.gateway import Gateway, every, make_settings, only
-from tests.test_fleet import fleet
+from tests.policy.test_many_policies import fleet
+from tests.support.policy_gateway import Gateway, every, make_settings, only
 from wickspring import interface as api
 from wickspring.interface import ListKind, Readiness, Status
 from wickspring.quota.windows import window
--- a/tests/test_ceiling.py
+++ b/tests/quota/test_ceiling.py
@@ -12,7 +12,7 @@
 from pyModelChecking import Kripke
 from pyModelChecking.CTL import AG, EF, AtomicProposition, Not, modelcheck
 
-from tests.gateway import PLAN, Gateway, make_settings
+from tests.support.policy_gateway import PLAN, Gateway, make_settings
 from wickspring import interface as api
 from wickspring.interface import Status
 from wickspring.quota.account import opened as opened_account
--- a/tests/test_room.py
+++ b/tests/routing/test_room.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from tests.gateway import Gateway, make_settings
+from tests.support.policy_gateway import Gateway, make_settings
 from wickspring import interface as api
 from wickspring.policy import Policy
 from wickspring.routing.room import LEAST, START, Room
--- a/tests/test_silence.py
+++ b/tests/routing/test_silence.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.gateway import KIND, Gateway, every, only
+from tests.support.policy_gateway import KIND, Gateway, every, only
 from wickspring import interface as api
 from wickspring.interface import Status
 from wickspring.routing.silence import LATE, MEMORY, SIZES_MOST, Order, Sizes
--- a/tests/loopback.py
+++ b/tests/support/ingress.py
@@ -15,7 +15,7 @@
 import trio
 
 from example import toy
-from tests.gateway import KIND, PLAN, make_settings
+from tests.support.policy_gateway import KIND, PLAN, make_settings
 from wickspring import interface as api
 from wickspring.config import Http2, Instance, Limits, ListedServer, Listing, parse_address
 from wickspring.net import server
--- a/tests/control_side.py
+++ b/tests/support/virtual_system.py
@@ -12,7 +12,7 @@
 import trio
 import trio.testing
 
-from tests.test_gateway_parts import SETTINGS, document
+from tests.common.test_decoding import SETTINGS, document
 from wickspring.common import connection as connection_module
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import PeerConnection
--- a/tests/test_example.py
+++ b/tests/system/test_example.py
@@ -8,8 +8,8 @@
 import trio
 
 from example import toy
-from tests.loopback import client1, request
-from tests.test_config import example
+from tests.agent.test_config import example
+from tests.support.ingress import client1, request
 from wickspring import config
 from wickspring.lab.emulation.site import free_port
 from wickspring.net import server
--- a/tests/test_readme.py
+++ b/tests/system/test_readme.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-README = Path(__file__).parent.parent / "README.md"
+README = Path(__file__).parents[2] / "README.md"
 
 
 def test_example_runs_as_shown(capsys: pytest.CaptureFixture[str]) -> None:
