--- /dev/null
+++ b/tests/test_compatibility.py
@@ -0,0 +1,202 @@
+"""Stored files and messages of an earlier version (`tests/fixtures`) are read and accepted unchanged."""
+
+from __future__ import annotations
+
+import json
+import shutil
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgpack
+import msgspec
+import pytest
+import trio
+
+from tests.control_side import _WHO, LIGHTS, PILOTS, Site, play
+from wickspring.agent.store import Store
+from wickspring.fleet.file import load_fleet
+from wickspring.harbour import boot
+from wickspring.harbour.cable import UNREADABLE, Cable
+from wickspring.lab.clock import VirtualClock
+from wickspring.lighthouse import snapshot
+from wickspring.lighthouse.chain import Chain
+from wickspring.lighthouse.logbook import FILE, Logbook
+from wickspring.lighthouse.views import View
+
+FIXTURES = Path(__file__).parent / "fixtures"
+MESSAGES: list[dict[str, Any]] = json.loads((FIXTURES / "messages.json").read_text())
+CONTROL, DATA = "control_plane", "data_plane"
+CHAIN = {
+    "accept", "accepted", "copy", "fetch", "outbid", "pass", "passed", "prepare", "promise", "view",
+}  # fmt: skip
+KINDS = {
+    (CONTROL, CONTROL, "tcp"): {
+        "alive", "chain", "cores", "enter", "entered", "hello", "servers", "shadow", "tell", "tick", "tock",
+    },
+    (CONTROL, DATA, "tcp"): {
+        "berths", "chart", "leaving", "lost", "moved", "pilots", "servers", "sum", "tock", "view", "whole",
+    },
+    (DATA, CONTROL, "tcp"): {
+        "add", "back", "berth", "hello", "in", "out", "past", "spent", "tick", "whole",
+    },
+    (DATA, DATA, "tcp"): {"chart", "fetch", "whole"},
+    (DATA, DATA, "udp"): {"leaving", "probe", "reach", "reached", "servers", "word"},
+}  # fmt: skip
+# Replies that taking a message brings at once on the same cable; any of a set.
+REPLIES = {
+    (CONTROL, CONTROL, "tick"): {"tock"}, (DATA, CONTROL, "tick"): {"tock"},
+    (DATA, CONTROL, "whole"): {"view"}, (DATA, CONTROL, "hello"): {"view"},
+    (DATA, CONTROL, "add"): {"sum", "moved"}, (DATA, CONTROL, "berth"): {"berths"},
+    (DATA, DATA, "fetch"): {"chart", "whole"},
+}  # fmt: skip
+WITHOUT_ARGUMENTS = {(CONTROL, "cores"), (DATA, "tick"), (DATA, "whole")}  # by sender
+
+
+def plain(value: Any) -> Any:
+    """Return a value as the fixtures have it in JSON."""
+    if isinstance(value, bytes):
+        return {"hex": value.hex()}
+    if isinstance(value, list | tuple):
+        return [plain(one) for one in value]
+    if isinstance(value, dict):
+        return {str(key): plain(one) for key, one in value.items()}
+    return value
+
+
+def recorded(name: str) -> Any:
+    return json.loads((FIXTURES / name).read_text())
+
+
+@pytest.mark.parametrize("schema", [1, 2, 3])
+def test_a_core_machines_database_is_read(tmp_path: Path, schema: int) -> None:
+    shutil.copy(FIXTURES / f"core_schema_{schema}.sqlite", tmp_path / FILE)
+    for _ in range(2):  # as it was found, and as it was moved on
+        book = Logbook(str(tmp_path))
+        found = book.load()
+        assert found is not None and not book.set_aside
+        durable, replica = found
+        told = {"durable": durable, "replica": replica.pack(), "servers": book.load_servers()}
+        assert plain(told) == recorded(f"core_schema_{schema}.json")
+        book.close()
+
+
+@pytest.mark.parametrize("form", [1, 2])
+def test_a_snapshot_is_read(form: int) -> None:
+    order = snapshot.unpack((FIXTURES / f"snapshot_{form}.json").read_bytes())
+    assert order.is_ok() and plain(order.ok.pack()) == recorded(f"snapshot_{form}.unpacked.json")
+
+
+@pytest.mark.parametrize("role", [CONTROL, DATA])
+def test_a_settings_file_is_read(role: str) -> None:
+    settings = boot.read((FIXTURES / f"settings_{role}.conf").read_text())
+    assert msgspec.to_builtins(settings) == recorded(f"settings_{role}.json")
+
+
+def test_a_fleet_file_is_read() -> None:
+    fleet = load_fleet(FIXTURES / "fleet.toml", configs=False)
+    assert plain(msgspec.to_builtins(fleet.file)) == recorded("fleet.json")
+
+
+def test_an_agents_store_is_read(tmp_path: Path) -> None:
+    shutil.copy(FIXTURES / "agent.sqlite", tmp_path)
+    store = Store(tmp_path / "agent.sqlite")
+    expected = recorded("agent.json")
+    found = {name: plain(msgspec.to_builtins(getattr(store, name)())) for name in expected}
+    store.close()
+    assert found == expected
+
+
+# Messages.
+
+
+class Link:
+    """Keeps the names of what is said on a cable."""
+
+    broken = False
+
+    def __init__(self) -> None:
+        self.said: list[str] = []
+
+    def send(self, data: bytes) -> None:
+        self.said.append(msgpack.unpackb(data, strict_map_key=False)[0])
+
+    def finish(self) -> None:
+        pass
+
+    def close(self) -> None:
+        pass
+
+
+def unpacked(one: dict[str, Any]) -> list[Any]:
+    message: list[Any] = msgpack.unpackb(bytes.fromhex(one["bytes"]), strict_map_key=False)
+    return message
+
+
+def receiver(site: Site, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
+    """Return what takes such a message today."""
+    cable = Cable(link, VirtualClock())
+    cable.name, kind = one["sender"], one["kind"]
+    light, pilot = site.lights[LIGHTS[0]], site.pilots[PILOTS[0]]
+    if one["to"] == CONTROL:
+        if kind == "chain":
+            members = tuple((f"10.1.0.{n}", "first") for n in (1, 2, 3))
+            chain = Chain("10.1.0.1", "first", View(1, members, members), 1)
+            return lambda message: chain.receive(0.0, cable.name, message[1])
+        if kind == "tock" or (kind == "cores" and len(one["message"]) > 1):
+            return lambda message: light.core._take(cable, message)
+        if one["from"] == CONTROL and kind != "hello":
+            cable.about["core"] = True
+        return lambda message: light._take(cable, message)
+    if one["from"] == CONTROL:
+        return lambda message: pilot.moorings.take(cable, message)
+    if one["transport"] == "udp":
+        return lambda message: pilot.flotilla._take(cable.name, message)
+    if kind == "fetch":
+        return lambda message: pilot.tell_all(cable, int(message[1]), bytes(message[2]))
+    return lambda message: pilot.take(cable, message)
+
+
+def cut_short(one: dict[str, Any]) -> list[Any]:
+    """Return the message without all that follows its name, which a receiver that knows the name refuses."""
+    kind, inner = one["kind"], one["inner"]
+    return [kind, [inner]] if inner else [kind, one["sender"]] if one["transport"] == "udp" else [kind]
+
+
+@pytest.mark.parametrize("direction", KINDS, ids="-".join)
+def test_its_receiver_takes_each_message(
+    monkeypatch: pytest.MonkeyPatch, direction: tuple[str, str, str]
+) -> None:
+    async def scene(site: Site) -> None:
+        pilot = await site.start_pilot(PILOTS[0])
+        await site.until_safe(LIGHTS[0], 1)
+        await site.until(lambda: pilot.moorings.informed and pilot.moorings.chart.version == 1)
+        _WHO.set(LIGHTS[0] if direction[1] == CONTROL else PILOTS[0])  # who dials where a message asks for it
+        for one in MESSAGES:
+            if (one["from"], one["to"], one["transport"]) != direction:
+                continue
+            link = Link()
+            receiver(site, one, link)(unpacked(one))
+            replies = REPLIES.get((one["from"], one["to"], one["kind"]))
+            assert replies is None or replies & set(link.said), one["kind"]
+            if (one["from"], one["kind"]) not in WITHOUT_ARGUMENTS:
+                with pytest.raises(UNREADABLE):
+                    receiver(site, one, Link())(cut_short(one))
+        await trio.sleep(0.1)
+
+    play(monkeypatch, scene)
+
+
+def test_messages_are_packed_to_the_same_bytes() -> None:
+    for one in MESSAGES:
+        message = unpacked(one)
+        assert plain(message) == one["message"]
+        assert msgpack.packb(message).hex() == one["bytes"]
+
+
+def test_there_is_a_fixture_of_every_kind_of_message() -> None:
+    found: dict[tuple[str, str, str], set[str]] = {}
+    for one in MESSAGES:
+        found.setdefault((one["from"], one["to"], one["transport"]), set()).add(one["kind"])
+    assert found == KINDS
+    assert {one["inner"] for one in MESSAGES if one["kind"] == "chain"} == CHAIN
