--- a/tests/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -13,18 +13,18 @@
 import pytest
 import trio
 
-from tests.control_side import _WHO, LIGHTS, PILOTS, Site, play
+from tests.support.virtual_system import _WHO, LIGHTS, PILOTS, Site, play
 from wickspring.agent.store import Store
+from wickspring.common.connection import DECODE_ERRORS, PeerConnection
+from wickspring.common.settings import parse_settings
+from wickspring.controlplane.replication import snapshot
+from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.view import View
+from wickspring.controlplane.storage import FILE, ReplicaStore
 from wickspring.fleet.file import load_fleet
-from wickspring.harbour import boot
-from wickspring.harbour.cable import UNREADABLE, Cable
-from wickspring.lab.clock import VirtualClock
-from wickspring.lighthouse import snapshot
-from wickspring.lighthouse.chain import Chain
-from wickspring.lighthouse.logbook import FILE, Logbook
-from wickspring.lighthouse.views import View
-
-FIXTURES = Path(__file__).parent / "fixtures"
+from wickspring.lab.simulation.clock import VirtualClock
+
+FIXTURES = Path(__file__).parents[1] / "fixtures"
 MESSAGES: list[dict[str, Any]] = json.loads((FIXTURES / "messages.json").read_text())
 CONTROL, DATA = "control_plane", "data_plane"
 CHAIN = {
@@ -72,7 +72,7 @@
 def test_a_core_machines_database_is_read(tmp_path: Path, schema: int) -> None:
     shutil.copy(FIXTURES / f"core_schema_{schema}.sqlite", tmp_path / FILE)
     for _ in range(2):  # as it was found, and as it was moved on
-        book = Logbook(str(tmp_path))
+        book = ReplicaStore(str(tmp_path))
         found = book.load()
         assert found is not None and not book.set_aside
         durable, replica = found
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("role", [CONTROL, DATA])
 def test_a_settings_file_is_read(role: str) -> None:
-    settings = boot.read((FIXTURES / f"settings_{role}.conf").read_text())
+    settings = parse_settings((FIXTURES / f"settings_{role}.conf").read_text())
     assert msgspec.to_builtins(settings) == recorded(f"settings_{role}.json")
 
 
@@ -135,13 +135,13 @@
 
 def receiver(site: Site, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
     """Return what takes such a message today."""
-    cable = Cable(link, VirtualClock())
+    cable = PeerConnection(link, VirtualClock())
     cable.name, kind = one["sender"], one["kind"]
     light, pilot = site.lights[LIGHTS[0]], site.pilots[PILOTS[0]]
     if one["to"] == CONTROL:
         if kind == "chain":
             members = tuple((f"10.1.0.{n}", "first") for n in (1, 2, 3))
-            chain = Chain("10.1.0.1", "first", View(1, members, members), 1)
+            chain = ReplicationChain("10.1.0.1", "first", View(1, members, members), 1)
             return lambda message: chain.receive(0.0, cable.name, message[1])
         if kind == "tock" or (kind == "cores" and len(one["message"]) > 1):
             return lambda message: light.core._take(cable, message)
@@ -180,7 +180,7 @@
             replies = REPLIES.get((one["from"], one["to"], one["kind"]))
             assert replies is None or replies & set(link.said), one["kind"]
             if (one["from"], one["kind"]) not in WITHOUT_ARGUMENTS:
-                with pytest.raises(UNREADABLE):
+                with pytest.raises(DECODE_ERRORS):
                     receiver(site, one, Link())(cut_short(one))
         await trio.sleep(0.1)
 
