--- a/tests/net/test_discovery_pauses.py
+++ b/tests/net/test_discovery_pauses.py
@@ -62,8 +62,8 @@
         watch = discovery.Discovery(
             ("127.0.0.1", 1),
             discovery.Directory(()),
-            None,
-            lambda _: None,  # type: ignore[arg-type]
+            None,  # type: ignore[arg-type]
+            lambda _: None,
             seed,
             settings.gateways,
             settings.drain_grace,
--- a/wickspring/dataplane/request.py
+++ b/wickspring/dataplane/request.py
@@ -1,8 +1,8 @@
-"""The way of one request through the data plane: from its client, by route, quota and endpoint, to its answer.
+"""The way of one request through the data plane, from its client to its answer.
 
-`RequestHandler.ask` admits it, `_send` forwards it to an endpoint, `_ended` learns how an attempt ended and goes
-on from there, and one of `_land`, `_end` and a `ResponseStream` answers it. `docs/design/answers.md` lists what
-may go wrong on the way.
+`RequestHandler.ask` admits it, `_send` forwards it to an endpoint, `_ended` learns how an attempt ended and
+goes on from there, and one of `_land`, `_end` and a `ResponseStream` answers it. `docs/design/answers.md`
+lists what may go wrong on the way.
 """
 
 from __future__ import annotations
--- a/wickspring/lab/experiments/site_variants.py
+++ b/wickspring/lab/experiments/site_variants.py
@@ -1,7 +1,7 @@
 """Copies of a deployment's site file with other figures: what holds on two files by luck is not done.
 
-`python -m wickspring.lab.experiments.site_variants SITE FOLDER --seed N` writes one copy: delays, processor shares,
-quotas, the
+`python -m wickspring.lab.experiments.site_variants SITE FOLDER --seed N` writes one copy: delays,
+processor shares, quotas, the
 number of tenants, beats, disks, bounds of connections and the seeds of days are drawn anew around what the
 file says; with `--seed 0` they stay. `--core five` (or `six`, `seven`) widens the core and what it has to
 bear. `--days FOLDER` puts the days of our own for this site in place of the file's, with `--luck N` as their
--- a/wickspring/lab/experiments/storage_cost.py
+++ b/wickspring/lab/experiments/storage_cost.py
@@ -1,7 +1,7 @@
 """What a core machine's disk costs: bytes and time of a save, files, and the time of a start.
 
-`python -m wickspring.lab.experiments.storage_cost` saves a configuration of 100 KB under 1,000 numbers, each with
-a server
+`python -m wickspring.lab.experiments.storage_cost` saves a configuration of 100 KB under 1,000 numbers,
+each with a server
 that leaves, on top of 4,096 leaving servers, and then single changes of each kind. Bytes are those that the
 process handed to write calls, checkpoints with them; times are those of this machine's disk.
 """
