--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -13,7 +13,7 @@
 import pytest
 import trio
 
-from tests.support.virtual_system import _WHO, LIGHTS, PILOTS, Site, play
+from tests.support.virtual_system import _WHO, CONTROL_PLANES, DATA_PLANES, Site, play
 from wickspring.agent.store import Store
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
 from wickspring.common.settings import parse_settings
@@ -176,26 +176,26 @@
 
 def receiver(site: Site, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
     """Return what takes such a message today."""
-    cable = PeerConnection(link, VirtualClock())
-    cable.name, kind = one["sender"], one["kind"]
-    light, pilot = site.lights[LIGHTS[0]], site.pilots[PILOTS[0]]
+    connection = PeerConnection(link, VirtualClock())
+    connection.name, kind = one["sender"], one["kind"]
+    control_plane, data_plane = site.control_planes[CONTROL_PLANES[0]], site.data_planes[DATA_PLANES[0]]
     if one["to"] == CONTROL:
         if kind == "chain":
             members = tuple((f"10.1.0.{n}", "first") for n in (1, 2, 3))
             chain = ReplicationChain("10.1.0.1", "first", View(1, members, members), 1)
-            return lambda message: chain.receive(0.0, cable.name, message[1])
+            return lambda message: chain.receive(0.0, connection.name, message[1])
         if kind == "tock" or (kind == "cores" and len(one["message"]) > 1):
-            return lambda message: light.core._take(cable, message)
+            return lambda message: control_plane.core._take(connection, message)
         if one["from"] == CONTROL and kind != "hello":
-            cable.about["core"] = True
-        return lambda message: light._take(cable, message)
+            connection.about["core"] = True
+        return lambda message: control_plane._take(connection, message)
     if one["from"] == CONTROL:
-        return lambda message: pilot.moorings.take(cable, message)
+        return lambda message: data_plane.control_client.take(connection, message)
     if one["transport"] == "udp":
-        return lambda message: pilot.flotilla._take(cable.name, message)
+        return lambda message: data_plane.gossip._take(connection.name, message)
     if kind == "fetch":
-        return lambda message: pilot.tell_all(cable, int(message[1]), bytes(message[2]))
-    return lambda message: pilot.take(cable, message)
+        return lambda message: data_plane.tell_all(connection, int(message[1]), bytes(message[2]))
+    return lambda message: data_plane.take(connection, message)
 
 
 def cut_short(one: dict[str, Any]) -> list[Any]:
@@ -208,11 +208,17 @@
 def test_its_receiver_takes_each_message(
     monkeypatch: pytest.MonkeyPatch, direction: tuple[str, str, str]
 ) -> None:
-    async def scene(site: Site) -> None:
-        pilot = await site.start_pilot(PILOTS[0])
-        await site.until_safe(LIGHTS[0], 1)
-        await site.until(lambda: pilot.moorings.informed and pilot.moorings.chart.version == 1)
-        _WHO.set(LIGHTS[0] if direction[1] == CONTROL else PILOTS[0])  # who dials where a message asks for it
+    async def observation(site: Site) -> None:
+        data_plane = await site.start_pilot(DATA_PLANES[0])
+        await site.until_safe(CONTROL_PLANES[0], 1)
+        await site.until(
+            lambda: (
+                data_plane.control_client.informed and data_plane.control_client.routing_table.version == 1
+            )
+        )
+        _WHO.set(
+            CONTROL_PLANES[0] if direction[1] == CONTROL else DATA_PLANES[0]
+        )  # who dials where a message asks for it
         for one in MESSAGES:
             if (one["from"], one["to"], one["transport"]) != direction:
                 continue
@@ -225,7 +231,7 @@
                     receiver(site, one, Link())(cut_short(one))
         await trio.sleep(0.1)
 
-    play(monkeypatch, scene)
+    play(monkeypatch, observation)
 
 
 def test_messages_are_packed_to_the_same_bytes() -> None:
--- a/tests/common/test_decoding.py
+++ b/tests/common/test_decoding.py
@@ -88,12 +88,14 @@
 def test_a_configuration_is_laid_out() -> None:
     body = json.dumps(document()).encode()
     assert validate_config(body).ok == 7
-    chart = build_routing_table(body)
-    deep, flat = chart.route("h.example", "/a/b/c?x=/a/"), chart.route("H.example:80", "/a/c")
+    routing_table = build_routing_table(body)
+    deep, flat = routing_table.route("h.example", "/a/b/c?x=/a/"), routing_table.route("H.example:80", "/a/c")
     assert deep is not None and deep.name == "r2" and not deep.pure and deep.services == (("t", 1.0),)
     assert flat is not None and flat.name == "r1" and flat.services == (("s", 9.0), ("t", 1.0))
-    assert chart.route("h.example", "/b/") is None and chart.route("other", "/a/") is None
-    assert chart.keys["k2"].rate == 63.0 and chart.guarded and chart.bounds.idle_s == 9.0
+    assert routing_table.route("h.example", "/b/") is None and routing_table.route("other", "/a/") is None
+    assert (
+        routing_table.keys["k2"].rate == 63.0 and routing_table.guarded and routing_table.bounds.idle_s == 9.0
+    )
 
 
 def broken(change: str) -> bytes:
@@ -176,7 +178,7 @@
     replica = Replica()
     replica.take(Update(9, b"doc", {"i1": 1}), 3)
     chain = ReplicationChain("a", "d1", View(3, members, members), 1, replica)
-    chain.decree.accept(4, (2, "b"), (View(4, members, members[1:]), replica.begun(4)))
+    chain.paxos.accept(4, (2, "b"), (View(4, members, members[1:]), replica.begun(4)))
     book = ReplicaStore(str(tmp_path))
     assert book.load() is None
     book.save({**chain.durable(), "disk": "d1"}, chain.replica)
@@ -188,7 +190,7 @@
     fresh = ReplicationChain("a", str(durable["disk"]), View(), 2, held)
     fresh.restore(durable)
     assert (fresh.view, fresh.replica, fresh.me) == (chain.view, chain.replica, chain.me)
-    assert (fresh.decree.promised, fresh.decree.accepted) == (chain.decree.promised, chain.decree.accepted)
+    assert (fresh.paxos.promised, fresh.paxos.accepted) == (chain.paxos.promised, chain.paxos.accepted)
     again.close()
     with closing(sqlite3.connect(tmp_path / FILE)) as db:
         db.execute("update part set data = ? where name = 'config'", (b"\x93junk",))
@@ -214,19 +216,19 @@
 
 
 def test_the_register_tells_news_once_and_late_calls_nothing() -> None:
-    register = EndpointRegistry(1500.0)
-    assert register.beat(0.0, beat(1)) is not None
-    assert register.beat(1500.0, beat(2)) is None
-    left = register.beat(2000.0, beat(4, DRAINING))
+    registry = EndpointRegistry(1500.0)
+    assert registry.beat(0.0, beat(1)) is not None
+    assert registry.beat(1500.0, beat(2)) is None
+    left = registry.beat(2000.0, beat(4, DRAINING))
     assert left is not None and left.state == DRAINING
-    assert register.beat(2100.0, beat(3)) is None  # late
-    assert register.beat(3500.0, beat(5)) is None and register.servers["i1"].state == DRAINING
-    assert register.leave({"i1": GONE})[0].state == GONE
-    register.beat(4000.0, beat(1, id_="i2"))
-    register.alive(7000.0, [("i2", 3)])
-    assert register.sweep(8100.0) == ["i1"] and register.sweep(8100.0) == []
-    assert register.sweep(12_000.0) == ["i2"]
-    assert register.beat(12_100.0, beat(9, id_="i2")) is not None  # it is back
+    assert registry.beat(2100.0, beat(3)) is None  # late
+    assert registry.beat(3500.0, beat(5)) is None and registry.servers["i1"].state == DRAINING
+    assert registry.leave({"i1": GONE})[0].state == GONE
+    registry.beat(4000.0, beat(1, id_="i2"))
+    registry.alive(7000.0, [("i2", 3)])
+    assert registry.sweep(8100.0) == ["i1"] and registry.sweep(8100.0) == []
+    assert registry.sweep(12_000.0) == ["i2"]
+    assert registry.beat(12_100.0, beat(9, id_="i2")) is not None  # it is back
 
 
 def test_seeds_are_read_again_while_nobody_is_in_reach(
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -109,14 +109,14 @@
         "condition": {"state": "ready", "call_seq": 4, "cold_left_s": 0.5},
     }
 
-    async def play(light: ControlPlane) -> None:
+    async def play(control_plane: ControlPlane) -> None:
         taken = 0
         for _ in range(2000):
             try:
                 body = json.dumps(spoil(random, beat)).encode()
             except TypeError:  # bytes have no form in JSON
                 body = b"\xff"
-            said = await Heartbeat(light).call(ApiRequest("POST", "", body, {"id": "i1"}))
+            said = await Heartbeat(control_plane).call(ApiRequest("POST", "", body, {"id": "i1"}))
             assert said.status in (
                 200,
                 ERROR_RESPONSES[ErrorKind.BAD_REQUEST].status,
@@ -125,9 +125,11 @@
             taken += said.status == 200
         assert 0 < taken < 1000
         beat["condition"] = {"state": "ready", "call_seq": 10**25}  # no cable could carry it
-        said = await Heartbeat(light).call(ApiRequest("POST", "", json.dumps(beat).encode(), {"id": "i2"}))
-        assert said.status == 400 and "i2" not in light.register.servers
-        for one in light.register.whole():
+        said = await Heartbeat(control_plane).call(
+            ApiRequest("POST", "", json.dumps(beat).encode(), {"id": "i2"})
+        )
+        assert said.status == 400 and "i2" not in control_plane.registry.servers
+        for one in control_plane.registry.whole():
             parse_address(one.address)
 
     in_light(tmp_path, play)
@@ -139,11 +141,11 @@
 
     async def run() -> None:
         async with trio.open_nursery() as nursery:
-            light = ControlPlane(settings_module.parse_settings(settings), nursery, 1)
-            light.core.lease.take_up(0.0, light.core.chain.view)
-            light.core.chain.safe.take(Update(7, json.dumps(document()).encode()), 1)
-            light._safe(light.core.chain.safe)
-            await play(light)
+            control_plane = ControlPlane(settings_module.parse_settings(settings), nursery, 1)
+            control_plane.core.lease.take_up(0.0, control_plane.core.chain.view)
+            control_plane.core.chain.safe.take(Update(7, json.dumps(document()).encode()), 1)
+            control_plane._safe(control_plane.core.chain.safe)
+            await play(control_plane)
             nursery.cancel_scope.cancel()
 
     trio.run(run)
@@ -178,28 +180,30 @@
         ["tell", ["i1"]],
     ]
 
-    async def play(light: ControlPlane) -> None:
+    async def play(control_plane: ControlPlane) -> None:
         refused = 0
         for _ in range(4000):
             core = random.random() < 0.5
-            cable = cast(PeerConnection, Heard(**({"core": True} if core else {})))
+            connection = cast(PeerConnection, Heard(**({"core": True} if core else {})))
             if not core:
-                light.pilots[cable] = "p"
+                control_plane.data_planes[connection] = "p"
             message = spoil(random, random.choice(of_core if core else of_pilots))
             try:
                 if isinstance(message, list) and message and isinstance(message[0], str):
-                    light._take(cable, message)
+                    control_plane._take(connection, message)
             except DECODE_ERRORS:
                 refused += 1
-            light.pilots.pop(cable, None)
+            control_plane.data_planes.pop(connection, None)
         assert refused > 300
         heard = Heard()
-        light.pilots[cast(PeerConnection, heard)] = "p"
-        while light.clock.now() - light.core.lease.since < 500.0:
+        control_plane.data_planes[cast(PeerConnection, heard)] = "p"
+        while control_plane.clock.now() - control_plane.core.lease.since < 500.0:
             await trio.lowlevel.checkpoint()
-        light._take(cast(PeerConnection, heard), ["add", 9, "n", False, light.core.lease.epoch])
+        control_plane._take(
+            cast(PeerConnection, heard), ["add", 9, "n", False, control_plane.core.lease.epoch]
+        )
         assert heard.said[-1][:2] == ("sum", 9)
-        light.status()
+        control_plane.status()
 
     in_light(tmp_path, play)
 
@@ -234,25 +238,25 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            pilot = DataPlane(settings_module.parse_settings(settings), nursery, 1)
+            data_plane = DataPlane(settings_module.parse_settings(settings), nursery, 1)
             refused = 0
             for step in range(4000):
                 known = step % 2 == 0
                 message = spoil(random, random.choice(messages if known else datagrams))
                 try:
                     if known:
-                        pilot.moorings.take(cast(PeerConnection, Heard()), message)
+                        data_plane.control_client.take(cast(PeerConnection, Heard()), message)
                     elif message[1] == "127.0.9.9":
-                        pilot.flotilla._take("127.0.9.9", message)
+                        data_plane.gossip._take("127.0.9.9", message)
                 except DECODE_ERRORS:
                     refused += 1
             assert refused > 300
-            for berth in pilot.choice.berths.values():
+            for berth in data_plane.choice.candidates.values():
                 parse_address(berth.server.address)
-            pilot.choice.forget(pilot.clock.now(), 1.0)
-            pilot._digest()
+            data_plane.choice.forget(data_plane.clock.now(), 1.0)
+            data_plane._digest()
             nursery.cancel_scope.cancel()
-            pilot.wire.close()
+            data_plane.wire.close()
 
     trio.run(play)
 
@@ -263,13 +267,15 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            pilot = DataPlane(settings_module.parse_settings(settings), nursery, 1)
+            data_plane = DataPlane(settings_module.parse_settings(settings), nursery, 1)
             members = ["10.1.0.33", "10.4.0.22"]  # the second is no seed, and the teller does not reach it
-            pilot.moorings.take(cast(PeerConnection, Heard()), ["view", 2, members, ["10.1.0.33"], 8])
-            assert set(members) <= set(pilot.moorings.callers)
-            assert {pilot.moorings.keeper(f"t{n}") for n in range(50)} == set(members)
+            data_plane.control_client.take(
+                cast(PeerConnection, Heard()), ["view", 2, members, ["10.1.0.33"], 8]
+            )
+            assert set(members) <= set(data_plane.control_client.callers)
+            assert {data_plane.control_client.owner(f"t{n}") for n in range(50)} == set(members)
             nursery.cancel_scope.cancel()
-            pilot.wire.close()
+            data_plane.wire.close()
 
     trio.run(play)
 
--- a/tests/controlplane/test_chain.py
+++ b/tests/controlplane/test_chain.py
@@ -146,13 +146,15 @@
     zones = {"m1": "z1", "m2": "z2", "m3": "z0", "m4": "z1", "m5": "z2"}
     for there in (("m1", "m2", "m5"), tuple(zones)):
         reach = {ip: PeerObservation(True, "first", zone=zones[ip]) for ip in there}
-        scene = ClusterObservation(("m0", "first"), "z0", False, reach)
+        observation = ClusterObservation(("m0", "first"), "z0", False, reach)
         view = View(2, members, members)
-        following = next_view(view, scene, ZONE)
+        following = next_view(view, observation, ZONE)
         assert len(following.voters) == (3 if len(there) == 3 else 5)
-        most = max(sum(scene.zone_of(one) == zone for one in following.voters) for zone in ("z0", "z1", "z2"))
+        most = max(
+            sum(observation.zone_of(one) == zone for one in following.voters) for zone in ("z0", "z1", "z2")
+        )
         assert most <= (len(following.voters) - 1) // 2
-        assert not differs(following, next_view(following, scene, ZONE))
+        assert not differs(following, next_view(following, observation, ZONE))
 
 
 def test_one_text_under_two_numbers_keeps_the_history_whole() -> None:
--- a/tests/controlplane/test_chain_defects.py
+++ b/tests/controlplane/test_chain_defects.py
@@ -121,7 +121,7 @@
     def _take_promise(  # type: ignore[no-untyped-def]
         self, now, member, slot, ballot, told, copy
     ) -> None:
-        one = self.decree.mine(slot, ballot)
+        one = self.paxos.mine(slot, ballot)
         if one is not None and member == self.me and one.value is None:
             mine = (self.me,)
             self._install(now, View(self.view.epoch + 1, mine, mine), self.replica.begun(slot))
@@ -230,14 +230,14 @@
 
 @pytest.mark.parametrize(("decree", "agreed"), [(PaxosVoter, False), (Loose, True)])
 def test_a_view_needs_the_promise_of_one_who_has_what_was_acknowledged(
-    decree: type[PaxosVoter], agreed: bool
+    paxos: type[PaxosVoter], agreed: bool
 ) -> None:
     """Of three voters the head alone is the chain, and is away: the others may not go on without it."""
     members = tuple((ip, "first") for ip in "abc")
     view = View(1, members, members[:1])
     chains = {ip: ReplicationChain(ip, "first", view, 1) for ip in "bc"}
     for ip, one in chains.items():
-        one.decree = decree()
+        one.paxos = paxos()
         one.begin(0.0)
         one.reach = {other: PeerObservation(other != "a", "first", epoch=1) for other in "abc" if other != ip}
     for now in range(2000, 12_000, 200):
--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -26,10 +26,10 @@
 def waits(told: bool, seed: int) -> float:
     """Play 8 pilots on 12 servers of two slots, two thirds busy; the mean time that requests wait, ms."""
     random, lot = Random(seed), servers(12)
-    berths, pilots = LoadTracker(seed), [EndpointSelector("a", seed + n) for n in range(8)]
-    for pilot in pilots:
+    load_tracker, data_planes = LoadTracker(seed), [EndpointSelector("a", seed + n) for n in range(8)]
+    for data_plane in data_planes:
         for one in lot:
-            pilot.heard(0.0, one)
+            data_plane.heard(0.0, one)
     free = {one.id: [0.0, 0.0] for one in lot}  # when each slot is free
     ends: list[tuple[float, int, str]] = []
     now, waited, work = 0.0, list[float](), 100.0
@@ -37,20 +37,22 @@
         now += random.expovariate(0.16)
         while ends and ends[0][0] <= now:
             at, whose, id_ = heapq.heappop(ends)
-            ratio = pilots[whose].ended(at, pilots[whose].berths[id_], round(at * 1e6), "r", True)
-            berths.ended(at, f"p{whose}", id_, ratio)
+            ratio = data_planes[whose].ended(
+                at, data_planes[whose].candidates[id_], round(at * 1e6), "r", True
+            )
+            load_tracker.ended(at, f"p{whose}", id_, ratio)
         number = random.randrange(8)
-        pilot = pilots[number]
-        offers = berths.offers(now, "a", lot) if told else ()
-        berth = pilot.pick(now, "s", "r", set(), offers)
+        data_plane = data_planes[number]
+        offers = load_tracker.offers(now, "a", lot) if told else ()
+        berth = data_plane.pick(now, "s", "r", set(), offers)
         assert berth is not None
         slots = free[berth.server.id]
         begins = max(now, min(slots))
         took = random.expovariate(1.0 / work)
         slots[slots.index(min(slots))] = begins + took
         waited.append(begins - now)
-        pilot.sent(now, berth, round((begins + took) * 1e6))
-        berths.sent(f"p{number}", berth.server.id)
+        data_plane.sent(now, berth, round((begins + took) * 1e6))
+        load_tracker.sent(f"p{number}", berth.server.id)
         heapq.heappush(ends, (begins + took, number, berth.server.id))
     return sum(waited) / len(waited)
 
@@ -61,19 +63,19 @@
 
 
 def test_what_is_slow_silent_failing_or_leaving_is_not_offered_first() -> None:
-    berths, lot = LoadTracker(1), servers(6)
+    load_tracker, lot = LoadTracker(1), servers(6)
     del lot[0]
     for _ in range(6):
-        berths.sent("p", "i1")  # and never answers
-    berths.ended(0.0, "p", "i2", -1.0)
+        load_tracker.sent("p", "i1")  # and never answers
+    load_tracker.ended(0.0, "p", "i2", -1.0)
     for _ in range(30):
-        berths.ended(0.0, "q", "i3", 3.0)
-    first = [berths.offers(1.0, "a", lot)[0][0] for _ in range(50)]
+        load_tracker.ended(0.0, "q", "i3", 3.0)
+    first = [load_tracker.offers(1.0, "a", lot)[0][0] for _ in range(50)]
     assert set(first) == {"i4", "i5"}
-    offers = dict(berths.offers(1.0, "a", lot))
+    offers = dict(load_tracker.offers(1.0, "a", lot))
     assert len(offers) == OFFERS and "i0" not in offers
-    berths.gone("p")  # what a pilot that ended had out is forgotten
-    assert "i1" in {berths.offers(1.0, "a", lot)[0][0] for _ in range(50)}
+    load_tracker.gone("p")  # what a pilot that ended had out is forgotten
+    assert "i1" in {load_tracker.offers(1.0, "a", lot)[0][0] for _ in range(50)}
 
 
 def test_a_pilot_leaves_out_what_it_knows_better() -> None:
@@ -92,7 +94,7 @@
     choice = EndpointSelector("a", 1)
     for one in servers(2):
         choice.heard(0.0, one)
-    busy, dead = choice.berths["i0"], choice.berths["i1"]
+    busy, dead = choice.candidates["i0"], choice.candidates["i1"]
     for number, berth in enumerate((busy, dead)):
         choice.sent(10.0, berth, number)
     choice.sent(10.0, busy, 9)
@@ -116,16 +118,18 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            light = ControlPlane(settings_module.parse_settings(settings), nursery, 1)
+            control_plane = ControlPlane(settings_module.parse_settings(settings), nursery, 1)
             for one in servers(2):
-                light.register.beat(light.clock.now(), one)
+                control_plane.registry.beat(control_plane.clock.now(), one)
             heard = Heard()
             ask = ["berth", 1, "s", "a"]
-            light._take(cast(PeerConnection, heard), ask)  # of two seeds it reaches only itself
+            control_plane._take(cast(PeerConnection, heard), ask)  # of two seeds it reaches only itself
             assert heard.said.pop() == ("berths", 1, [], 2)
-            light.core.chain.view = View(2, (light.core.chain.me,), (light.core.chain.me,))
-            light.core.lease.take_up(light.clock.now(), light.core.chain.view)
-            light._take(cast(PeerConnection, heard), ask)
+            control_plane.core.chain.view = View(
+                2, (control_plane.core.chain.me,), (control_plane.core.chain.me,)
+            )
+            control_plane.core.lease.take_up(control_plane.clock.now(), control_plane.core.chain.view)
+            control_plane._take(cast(PeerConnection, heard), ask)
             _, _, offers, known = heard.said.pop()
             assert len(cast(list[object], offers)) == known == 2
             nursery.cancel_scope.cancel()
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -15,8 +15,8 @@
 
 from tests.common.test_decoding import SETTINGS
 from tests.support.virtual_system import (
-    LIGHTS,
-    PILOTS,
+    CONTROL_PLANES,
+    DATA_PLANES,
     Site,
     beat,
     deregister,
@@ -54,26 +54,28 @@
     return snapshot.pack(replica, 1)
 
 
-async def all_calls(light: ControlPlane, version: int) -> dict[str, ApiResponse]:
+async def all_calls(control_plane: ControlPlane, version: int) -> dict[str, ApiResponse]:
     """Send one of each call that a lighthouse without contact must not answer for good."""
     return {
-        "new": await replace(light, version),
-        "same again": await replace(light, 2),
-        "same number, other text": await replace(light, 2, "other"),
-        "lower": await replace(light, 1),
-        "read": await read(light),
-        "draining": await beat(light, "i1", 50, "draining"),
-        "ready": await beat(light, "i2", 50),
-        "ended": await deregister(light, "i3"),
-        "snapshot taken": await TakeSnapshot(light).call(ApiRequest("GET", "", b"")),
-        "snapshot brought": await BringSnapshot(light).call(ApiRequest("POST", "", snapshot_of(version))),
+        "new": await replace(control_plane, version),
+        "same again": await replace(control_plane, 2),
+        "same number, other text": await replace(control_plane, 2, "other"),
+        "lower": await replace(control_plane, 1),
+        "read": await read(control_plane),
+        "draining": await beat(control_plane, "i1", 50, "draining"),
+        "ready": await beat(control_plane, "i2", 50),
+        "ended": await deregister(control_plane, "i3"),
+        "snapshot taken": await TakeSnapshot(control_plane).call(ApiRequest("GET", "", b"")),
+        "snapshot brought": await BringSnapshot(control_plane).call(
+            ApiRequest("POST", "", snapshot_of(version))
+        ),
     }
 
 
 def pick(site: Site, who: str) -> str:
     chain = site.chain
     if who == "spare":
-        return next(ip for ip in site.lights if ip not in chain)
+        return next(ip for ip in site.control_planes if ip not in chain)
     return chain[{"head": 0, "middle": 1}.get(who, -1)]
 
 
@@ -81,73 +83,75 @@
 @pytest.mark.parametrize("who", WAY)
 def test_cut_off_twenty_seconds(monkeypatch: pytest.MonkeyPatch, who: str, way: str) -> None:
     async def cut_off(site: Site) -> None:
-        assert (await replace(site.lights[LIGHTS[0]], 1)).status == 200
-        for ip in PILOTS:
+        assert (await replace(site.control_planes[CONTROL_PLANES[0]], 1)).status == 200
+        for ip in DATA_PLANES:
             await site.start_pilot(ip)
         victim = pick(site, who)
-        others = [one for ip, one in site.lights.items() if ip != victim]
+        others = [one for ip, one in site.control_planes.items() if ip != victim]
         assert (await replace(others[0], 2)).status == 200
-        await site.until(lambda: all(one.moorings.chart.version == 2 for one in site.pilots.values()))
-        site.cut(victim, way=way, spare=PILOTS)  # pilots, servers and operators reach both sides
+        await site.until(
+            lambda: all(one.control_client.routing_table.version == 2 for one in site.data_planes.values())
+        )
+        site.cut(victim, way=way, spare=DATA_PLANES)  # pilots, servers and operators reach both sides
         begun = trio.current_time()
         if who == "restarted":
             site.kill(victim)
             await site.start_light(victim)
-        light = site.lights[victim]
+        control_plane = site.control_planes[victim]
         await trio.sleep(2.0 * GAP_MS / 1000.0)
-        assert light.status()["chain"]["contact"] == "none"
-        await site.until(lambda: others[0].core.in_contact and others[0].offers.chart.version == 2)
+        assert control_plane.status()["chain"]["contact"] == "none"
+        await site.until(lambda: others[0].core.in_contact and others[0].offers.routing_table.version == 2)
         version = 3
         while trio.current_time() - begun < CUT_S:
             asked = trio.current_time()
-            for call, said in (await all_calls(light, version)).items():
+            for call, said in (await all_calls(control_plane, version)).items():
                 assert said.status == 503 and said.retry_after, call
             assert trio.current_time() == asked  # at once
-            invalid = await ConfigReplace(light).call(ApiRequest("POST", "", b"{}"))
+            invalid = await ConfigReplace(control_plane).call(ApiRequest("POST", "", b"{}"))
             assert invalid.status == 400  # a fact of the text
             assert (await replace(others[version % len(others)], version)).status == 200
             assert (await replace(others[0], version, "other")).status == 409
             await site.until(
                 lambda number=version: all(  # type: ignore[misc]
-                    one.moorings.chart.version == number for one in site.pilots.values()
+                    one.control_client.routing_table.version == number for one in site.data_planes.values()
                 ),
                 1.0,
             )
             version += 1
             await trio.sleep(2.5)
         site.heal()
-        assert await site.until(lambda: light.look() is not QuorumContact.NONE) < 4.0
-        await site.until(lambda: light.offers.chart.version == version - 1, 2.0)
+        assert await site.until(lambda: control_plane.look() is not QuorumContact.NONE) < 4.0
+        await site.until(lambda: control_plane.offers.routing_table.version == version - 1, 2.0)
         tried = trio.current_time()  # the chain takes it in again meanwhile
         assert (await site.until_safe(victim, version)).status == 200 and trio.current_time() - tried < 3.0
-        assert (await replace(light, version)).status == 200  # however often
-        assert (await replace(light, 1)).status == 200  # and what is not above changes nothing
-        assert (await replace(light, version, "other")).status == 409
-        assert (await read(light)).body == text(version)
-        assert (await beat(light, "i2", 60)).status == 200
+        assert (await replace(control_plane, version)).status == 200  # however often
+        assert (await replace(control_plane, 1)).status == 200  # and what is not above changes nothing
+        assert (await replace(control_plane, version, "other")).status == 409
+        assert (await read(control_plane)).body == text(version)
+        assert (await beat(control_plane, "i2", 60)).status == 200
         await site.until(lambda: all(numbers[-1] == version for numbers in site.taken.values()))
         for numbers in site.taken.values():
             assert numbers == sorted(numbers) and len(set(numbers)) == len(numbers)
 
-    play(monkeypatch, cut_off, lights=4 if who == "spare" else 3)
+    play(monkeypatch, cut_off, control_planes=4 if who == "spare" else 3)
 
 
 def started_beside(site: Site, victim: str) -> None:
     """Leave new pilots nobody to reach but one lighthouse."""
-    site.cut(victim, spare=PILOTS)
-    site.cut(*PILOTS, spare=(victim,))
+    site.cut(victim, spare=DATA_PLANES)
+    site.cut(*DATA_PLANES, spare=(victim,))
 
 
 async def leave_new_pilots_the_old(site: Site, restarted: bool) -> None:
     """Have r1 taken everywhere and r2 without one lighthouse, the only one that new pilots reach."""
-    victim = LIGHTS[2]
-    assert (await replace(site.lights[victim], 1)).status == 200
+    victim = CONTROL_PLANES[2]
+    assert (await replace(site.control_planes[victim], 1)).status == 200
     await trio.sleep(1.0)
     started_beside(site, victim)
     if restarted:
         site.kill(victim)
         await site.start_light(victim)
-    assert (await site.until_safe(LIGHTS[0], 2)).status == 200
+    assert (await site.until_safe(CONTROL_PLANES[0], 2)).status == 200
 
 
 @pytest.mark.parametrize("restarted", [False, True])
@@ -159,15 +163,15 @@
     async def cut_off(site: Site) -> None:
         await leave_new_pilots_the_old(site, restarted)
         begun = trio.current_time()
-        pilot = await site.start_pilot(PILOTS[0])
-        took = await site.until(lambda: pilot.moorings.chart.version == 1, 6.0)
+        data_plane = await site.start_pilot(DATA_PLANES[0])
+        took = await site.until(lambda: data_plane.control_client.routing_table.version == 1, 6.0)
         assert took >= ALONE_MS / 1000.0 and trio.current_time() - begun < 6.0
-        assert pilot.moorings.standing is (ConfigStatus.HELD if restarted else ConfigStatus.SAFE)
-        assert not pilot.moorings.in_contact
+        assert data_plane.control_client.standing is (ConfigStatus.HELD if restarted else ConfigStatus.SAFE)
+        assert not data_plane.control_client.in_contact
         site.heal()
-        await site.until(lambda: pilot.moorings.chart.version == 2)
-        await site.until(lambda: pilot.moorings.standing is ConfigStatus.CURRENT, 0.5)
-        assert site.taken[PILOTS[0]] == [1, 2]
+        await site.until(lambda: data_plane.control_client.routing_table.version == 2)
+        await site.until(lambda: data_plane.control_client.standing is ConfigStatus.CURRENT, 0.5)
+        assert site.taken[DATA_PLANES[0]] == [1, 2]
 
     play(monkeypatch, cut_off)
 
@@ -179,15 +183,15 @@
     """Cables are up again at once; what the others said last was said twenty seconds ago."""
 
     async def cut_off(site: Site) -> None:
-        victim, other = LIGHTS[2], site.lights[LIGHTS[0]]
-        light = site.lights[victim]
-        assert (await replace(light, 1)).status == 200
+        victim, other = CONTROL_PLANES[2], site.control_planes[CONTROL_PLANES[0]]
+        control_plane = site.control_planes[victim]
+        assert (await replace(control_plane, 1)).status == 200
         site.cut(victim)
-        assert (await site.until_safe(other.boot.ip, 2)).status == 200
+        assert (await site.until_safe(other.settings.ip, 2)).status == 200
         await trio.sleep(CUT_S)
         site.heal()
-        while light.offers.chart.version != 2:
-            assert not light.core.in_contact or light.epoch >= other.epoch
+        while control_plane.offers.routing_table.version != 2:
+            assert not control_plane.core.in_contact or control_plane.epoch >= other.epoch
             await trio.sleep(0.0005)
 
     play(monkeypatch, cut_off, seed=seed)
@@ -200,12 +204,12 @@
     async def cut_off(site: Site) -> None:
         await leave_new_pilots_the_old(site, restarted)
         await trio.sleep(2.0)
-        pilot = await site.start_pilot(PILOTS[0])
+        data_plane = await site.start_pilot(DATA_PLANES[0])
         await trio.sleep(0.9)
-        site.cuts -= {(PILOTS[0], LIGHTS[0]), (LIGHTS[0], PILOTS[0])}
-        await site.until(lambda: pilot.moorings.chart.version == 2)
+        site.cuts -= {(DATA_PLANES[0], CONTROL_PLANES[0]), (CONTROL_PLANES[0], DATA_PLANES[0])}
+        await site.until(lambda: data_plane.control_client.routing_table.version == 2)
         await trio.sleep(3.0)
-        taken.extend(site.taken[PILOTS[0]])
+        taken.extend(site.taken[DATA_PLANES[0]])
 
     play(monkeypatch, cut_off)
     return taken
@@ -222,16 +226,16 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def apart(site: Site) -> None:
-        first, second = PILOTS
-        assert (await replace(site.lights[LIGHTS[0]], 1)).status == 200
+        first, second = DATA_PLANES
+        assert (await replace(site.control_planes[CONTROL_PLANES[0]], 1)).status == 200
         await site.start_pilot(first)
         site.cut(second, spare=(first,))
         alone = await site.start_pilot(second)
-        alone.flotilla.introduce([first])
-        await site.until(lambda: alone.moorings.chart.version == 1)
-        assert alone.state()[:2] == (1, digest_of(text(1))) and not alone.moorings.in_contact
-        assert (await replace(site.lights[LIGHTS[0]], 2)).status == 200
-        await site.until(lambda: alone.moorings.chart.version == 2)
+        alone.gossip.introduce([first])
+        await site.until(lambda: alone.control_client.routing_table.version == 1)
+        assert alone.state()[:2] == (1, digest_of(text(1))) and not alone.control_client.in_contact
+        assert (await replace(site.control_planes[CONTROL_PLANES[0]], 2)).status == 200
+        await site.until(lambda: alone.control_client.routing_table.version == 2)
 
     play(monkeypatch, apart)
 
@@ -242,9 +246,9 @@
 def test_the_scenario_sees_what_is_handed_out_before_contact(monkeypatch: pytest.MonkeyPatch) -> None:
     begin = ControlPlane._begin
 
-    def hasty(light: ControlPlane) -> None:
-        begin(light)
-        light._safe(light.core.chain.replica)
+    def hasty(control_plane: ControlPlane) -> None:
+        begin(control_plane)
+        control_plane._safe(control_plane.core.chain.replica)
 
     monkeypatch.setattr(ControlPlane, "_begin", hasty)
     monkeypatch.setattr(config_adoption, "ALONE_MS", 0.0)  # and a pilot that takes what comes first
@@ -256,11 +260,11 @@
 
     def __init__(self) -> None:
         self.name, self.about, self.live = "", dict[str, Any](), True
-        self.charts: list[tuple[float, ConfigStatus]] = []
+        self.routing_tables: list[tuple[float, ConfigStatus]] = []
 
     def send(self, *message: Any) -> None:
         if message[0] == "chart":
-            self.charts.append((trio.current_time(), ConfigStatus(message[4])))
+            self.routing_tables.append((trio.current_time(), ConfigStatus(message[4])))
 
     def close(self) -> None:
         self.live = False
@@ -271,26 +275,26 @@
     monkeypatch: pytest.MonkeyPatch, defect: bool
 ) -> None:
     async def restarted(site: Site) -> None:
-        victim = LIGHTS[1]
-        assert (await replace(site.lights[victim], 1)).status == 200
+        victim = CONTROL_PLANES[1]
+        assert (await replace(site.control_planes[victim], 1)).status == 200
         await trio.sleep(1.0)
         site.cut(victim)
         site.kill(victim)
         if defect:
             begin = ControlPlane._begin
 
-            def hasty(light: ControlPlane) -> None:
-                begin(light)
-                light._safe(light.core.chain.replica)
+            def hasty(control_plane: ControlPlane) -> None:
+                begin(control_plane)
+                control_plane._safe(control_plane.core.chain.replica)
 
             monkeypatch.setattr(ControlPlane, "_begin", hasty)
-        light, begun, heard = await site.start_light(victim), trio.current_time(), Heard()
-        cable = cast(PeerConnection, heard)
-        light._take(cable, ["hello", "pilot", PILOTS[0], {"version": 0, "digest": b""}])
+        control_plane, begun, heard = await site.start_light(victim), trio.current_time(), Heard()
+        connection = cast(PeerConnection, heard)
+        control_plane._take(connection, ["hello", "pilot", DATA_PLANES[0], {"version": 0, "digest": b""}])
         for _ in range(20):
             await trio.sleep(0.2)
-            light._take(cable, ["tick", 0, b""])
-        (at, standing), *more = heard.charts
+            control_plane._take(connection, ["tick", 0, b""])
+        (at, standing), *more = heard.routing_tables
         assert not more
         seen = at - begun < ALONE_MS / 1000.0 or standing is not ConfigStatus.HELD
         assert seen == defect
@@ -302,7 +306,7 @@
     """Play with one lighthouse whose core is told what to answer."""
 
     async def run(site: Site) -> None:
-        await test(site.lights[LIGHTS[0]])
+        await test(site.control_planes[CONTROL_PLANES[0]])
 
     play(monkeypatch, run)
 
@@ -322,34 +326,34 @@
 ) -> None:
     """Whatever the chain says; with the defect seeded, that it believes itself in contact, it is."""
 
-    async def test(light: ControlPlane) -> None:
+    async def test(control_plane: ControlPlane) -> None:
         contact = [True]
         core_says(monkeypatch, verdict, contact)
         usual = 200 if verdict is CommitOutcome.SAFE else 409
-        assert (await replace(light, 3)).status == usual
+        assert (await replace(control_plane, 3)).status == usual
         contact[0] = False
         if defect:
             monkeypatch.setattr(QuorumContactMonitor, "look", lambda *_: QuorumContact.SETTLED)
         begun = trio.current_time()
-        said = await replace(light, 3)
+        said = await replace(control_plane, 3)
         assert said.status == (usual if defect else 503)
         if not defect:
             assert 0.5 < trio.current_time() - begun < 1.0  # a short gap is waited out
             await trio.sleep(1.0)
             begun = trio.current_time()
-            assert (await replace(light, 3)).status == 503 and trio.current_time() == begun
+            assert (await replace(control_plane, 3)).status == 503 and trio.current_time() == begun
 
     in_light(monkeypatch, test)
 
 
 def test_a_short_gap_is_waited_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test(light: ControlPlane) -> None:
+    async def test(control_plane: ControlPlane) -> None:
         contact = [False]
         core_says(monkeypatch, CommitOutcome.SAFE, contact)
         said: list[ApiResponse] = []
 
         async def order() -> None:
-            said.append(await replace(light, 3))
+            said.append(await replace(control_plane, 3))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(order)
@@ -366,18 +370,18 @@
 
 def test_a_server_is_sent_on_and_only_to_what_is_in_reach(monkeypatch: pytest.MonkeyPatch) -> None:
     async def cut_off(site: Site) -> None:
-        light = site.lights[LIGHTS[0]]
+        control_plane = site.control_planes[CONTROL_PLANES[0]]
         monkeypatch.setattr(
-            light, "boot", settings_module.parse_settings(SETTINGS.replace("zone=a", "zone=b"))
+            control_plane, "boot", settings_module.parse_settings(SETTINGS.replace("zone=a", "zone=b"))
         )
-        target = light.beat_target("a")
-        assert target.encode() in (await beat(light, "i1", 1)).body
+        target = control_plane.beat_target("a")
+        assert target.encode() in (await beat(control_plane, "i1", 1)).body
         lost = target.partition(":")[0]
-        assert lost in LIGHTS[1:3]
+        assert lost in CONTROL_PLANES[1:3]
         site.cut(lost)
-        await site.until(lambda: not light.core.live(lost))
-        await site.until(lambda: light.core.in_contact)
-        said = await beat(light, "i1", 2)
+        await site.until(lambda: not control_plane.core.live(lost))
+        await site.until(lambda: control_plane.core.in_contact)
+        said = await beat(control_plane, "i1", 2)
         assert said.status == 200 and target.encode() not in said.body
 
     play(monkeypatch, cut_off)
@@ -387,46 +391,46 @@
     """A server falls silent and another ends while one lighthouse, which pilots reach, is cut off."""
 
     async def cut_off(site: Site) -> None:
-        victim, light = site.lights[LIGHTS[2]], site.lights[LIGHTS[0]]
-        await replace(light, 1)
-        pilot = await site.start_pilot(PILOTS[0])
+        victim, control_plane = site.control_planes[CONTROL_PLANES[2]], site.control_planes[CONTROL_PLANES[0]]
+        await replace(control_plane, 1)
+        data_plane = await site.start_pilot(DATA_PLANES[0])
         for id_ in ("silent", "ended", "well"):
             assert (await beat(victim, id_, 40)).status == 200
-        await site.until(lambda: len(pilot.choice.berths) == 3)
-        site.cut(victim.boot.ip, spare=PILOTS)
-        assert (await site.until_safe(LIGHTS[0], 2)).status == 200
-        assert (await beat(light, "ended", 41, "draining")).status == 200
-        assert (await deregister(light, "ended")).status == 200
+        await site.until(lambda: len(data_plane.choice.candidates) == 3)
+        site.cut(victim.settings.ip, spare=DATA_PLANES)
+        assert (await site.until_safe(CONTROL_PLANES[0], 2)).status == 200
+        assert (await beat(control_plane, "ended", 41, "draining")).status == 200
+        assert (await deregister(control_plane, "ended")).status == 200
         heard: list[tuple[Any, ...]] = []
-        for cable in victim.pilots:
-            send = cable.send
+        for connection in victim.data_planes:
+            send = connection.send
 
             def noted(*message: object, send: Callable[..., None] = send) -> None:
                 heard.append(message)
                 send(*message)
 
-            monkeypatch.setattr(cable, "send", noted)
+            monkeypatch.setattr(connection, "send", noted)
         seq = 41
-        while not pilot.choice.berths["silent"].lost:
+        while not data_plane.choice.candidates["silent"].lost:
             seq += 1
             assert seq < 60
-            assert (await beat(light, "well", seq)).status == 200
+            assert (await beat(control_plane, "well", seq)).status == 200
             await trio.sleep(1.0)
         for _ in range(8):  # the one cut off still lists them
-            for cable in victim.pilots:
-                victim._whole(cable)
+            for connection in victim.data_planes:
+                victim._whole(connection)
             seq += 1
-            await beat(light, "well", seq)
+            await beat(control_plane, "well", seq)
             await trio.sleep(1.0)
-        assert pilot.choice.berths["silent"].lost and not pilot.choice.takes("ended")
-        assert not pilot.choice.berths["well"].lost
+        assert data_plane.choice.candidates["silent"].lost and not data_plane.choice.takes("ended")
+        assert not data_plane.choice.candidates["well"].lost
         assert any(m[0] == "whole" for m in heard) and not any(m[0] in ("lost", "sum") for m in heard)
         site.heal()
         await site.until(lambda: victim.look() is QuorumContact.SETTLED)
-        assert not pilot.choice.berths["well"].lost and not pilot.choice.takes("ended")
-        assert pilot.choice.berths["silent"].lost
+        assert not data_plane.choice.candidates["well"].lost and not data_plane.choice.takes("ended")
+        assert data_plane.choice.candidates["silent"].lost
         assert (await beat(victim, "well", seq + 1)).status == 200
-        assert [one.id for one in victim.register.whole() if one.state == READY] == ["well"]
+        assert [one.id for one in victim.registry.whole() if one.state == READY] == ["well"]
 
     play(monkeypatch, cut_off)
 
@@ -435,20 +439,20 @@
     choice = EndpointSelector("a", 1)
     choice.heard(0.0, server("i1", 4))
     choice.silent(["i1"])
-    assert not choice.heard(1.0, server("i1", 9), fresh=False) and choice.berths["i1"].lost
-    assert choice.heard(1.0, server("i2", 9), fresh=False) and not choice.berths["i2"].lost
+    assert not choice.heard(1.0, server("i1", 9), fresh=False) and choice.candidates["i1"].lost
+    assert choice.heard(1.0, server("i2", 9), fresh=False) and not choice.candidates["i2"].lost
     choice.left({"i2": GONE})
     choice.heard(2.0, server("i2", 99))
     assert not choice.takes("i2")
-    assert choice.heard(3.0, server("i1", 10)) and not choice.berths["i1"].lost
+    assert choice.heard(3.0, server("i1", 10)) and not choice.candidates["i1"].lost
 
 
 def test_a_beat_that_came_elsewhere_brings_a_server_back() -> None:
-    register = EndpointRegistry(1500.0)
-    register.beat(0.0, server("i1"))
-    assert register.sweep(5000.0) == ["i1"] and not register.whole()
-    assert [one.id for one in register.alive(5100.0, [("i1", 2), ("i9", 1)])] == ["i1"]
-    assert [one.id for one in register.whole()] == ["i1"] and register.sweep(5200.0) == []
+    registry = EndpointRegistry(1500.0)
+    registry.beat(0.0, server("i1"))
+    assert registry.sweep(5000.0) == ["i1"] and not registry.whole()
+    assert [one.id for one in registry.alive(5100.0, [("i1", 2), ("i9", 1)])] == ["i1"]
+    assert [one.id for one in registry.whole()] == ["i1"] and registry.sweep(5200.0) == []
 
 
 # The rules of what a pilot goes by.
@@ -501,24 +505,28 @@
     monkeypatch.setattr(logs, "log_event", lambda name, **_: events.append(name))
 
     async def two_texts(site: Site) -> None:
-        light = site.lights[LIGHTS[0]]
-        await replace(light, 1)
-        pilot = await site.start_pilot(PILOTS[0])
-        await site.until(lambda: pilot.moorings.chart.version == 1)
-        good = pilot.moorings.packed
+        control_plane = site.control_planes[CONTROL_PLANES[0]]
+        await replace(control_plane, 1)
+        data_plane = await site.start_pilot(DATA_PLANES[0])
+        await site.until(lambda: data_plane.control_client.routing_table.version == 1)
+        good = data_plane.control_client.packed
         other = zlib.compress(text(1, "other"))
-        cable = next(iter(light.pilots))
-        for standing, by_lighthouse in ((ConfigStatus.SAFE, True), (ConfigStatus.CURRENT, False)):
+        connection = next(iter(control_plane.data_planes))
+        for standing, by_control_plane in ((ConfigStatus.SAFE, True), (ConfigStatus.CURRENT, False)):
             told = ["chart", 1, other, digest_of(text(1, "other")), int(standing)]
-            pilot.moorings.take(cable, told, by_lighthouse)
-            assert pilot.moorings.packed == good
-        pilot.moorings.take(cable, ["chart", 1, other, digest_of(text(1)), int(ConfigStatus.CURRENT)])
-        assert pilot.moorings.packed == good  # not the text of its digest: half a copy is none
-        pilot.moorings.take(
-            cable, ["chart", 1, other, digest_of(text(1, "other")), int(ConfigStatus.CURRENT)]
+            data_plane.control_client.take(connection, told, by_control_plane)
+            assert data_plane.control_client.packed == good
+        data_plane.control_client.take(
+            connection, ["chart", 1, other, digest_of(text(1)), int(ConfigStatus.CURRENT)]
+        )
+        assert data_plane.control_client.packed == good  # not the text of its digest: half a copy is none
+        data_plane.control_client.take(
+            connection, ["chart", 1, other, digest_of(text(1, "other")), int(ConfigStatus.CURRENT)]
         )
-        assert pilot.moorings.packed == other
-        await site.until(lambda: pilot.moorings.packed == good)  # its lighthouses have another still
+        assert data_plane.control_client.packed == other
+        await site.until(
+            lambda: data_plane.control_client.packed == good
+        )  # its lighthouses have another still
 
     play(monkeypatch, two_texts)
     assert events.count("config_two_texts") == 2
@@ -551,13 +559,13 @@
 def test_a_lighthouse_ends_once_it_may_or_its_grace_is_nearly_over(
     monkeypatch: pytest.MonkeyPatch, free_after_s: float
 ) -> None:
-    async def leave(light: ControlPlane) -> None:
+    async def leave(control_plane: ControlPlane) -> None:
         begun = trio.current_time()
         free = property(lambda core: trio.current_time() - begun >= free_after_s)
         monkeypatch.setattr(ReplicationNode, "may_leave", free)
-        await drain(light)
-        most = LEAVE_SHARE * light.boot.guarantees.grace_s
-        assert light.core.leaving and light.draining
+        await drain(control_plane)
+        most = LEAVE_SHARE * control_plane.settings.guarantees.grace_s
+        assert control_plane.core.leaving and control_plane.draining
         assert min(free_after_s, most) <= trio.current_time() - begun <= min(free_after_s, most) + 0.06
 
     in_light(monkeypatch, leave)
--- a/tests/controlplane/test_view.py
+++ b/tests/controlplane/test_view.py
@@ -70,9 +70,9 @@
 
 def test_an_emptied_disk_is_another_member() -> None:
     members = tuple(one for one, _ in machines("abc"))
-    scene = seen_by(members[0], "abc")
+    observation = seen_by(members[0], "abc")
     emptied = ClusterObservation(
-        scene.me, "a", False, {**scene.reach, "m2": PeerObservation(True, "new", False, "c")}
+        observation.me, "a", False, {**observation.reach, "m2": PeerObservation(True, "new", False, "c")}
     )
     assert next_view(View(1, members, members), emptied, FaultTolerance()).chain == (
         *members[:2],
@@ -82,9 +82,12 @@
 
 def test_the_last_copies_stay_though_their_machines_are_ill_or_leave() -> None:
     members = tuple(one for one, _ in machines("abc"))
-    scene = seen_by(members[0], "abc", away="m1", ill="m2")
-    assert next_view(View(1, members, members), scene, FaultTolerance()).chain == (members[0], members[2])
-    leaving = ClusterObservation(scene.me, "a", True, scene.reach)
+    observation = seen_by(members[0], "abc", away="m1", ill="m2")
+    assert next_view(View(1, members, members), observation, FaultTolerance()).chain == (
+        members[0],
+        members[2],
+    )
+    leaving = ClusterObservation(observation.me, "a", True, observation.reach)
     assert set(next_view(View(1, members, members), leaving, FaultTolerance()).chain) == {
         members[0],
         members[2],
--- a/tests/dataplane/test_gossip.py
+++ b/tests/dataplane/test_gossip.py
@@ -10,12 +10,12 @@
 
 
 @pytest.mark.parametrize(("pilots", "seed"), [(12, 1), (12, 2), (40, 3)])
-def test_all_know_who_is_there_and_what_one_was_told(pilots: int, seed: int) -> None:
-    found = measure(pilots, seed)
+def test_all_know_who_is_there_and_what_one_was_told(data_planes: int, seed: int) -> None:
+    found = measure(data_planes, seed)
     assert 0.0 <= found["all_know_all_s"] < 30.0
     assert found["wrongly_gone_most"] == 0 and found["bytes_s_most"] < LINK_SHARE_BYTES_S
     assert 0.0 <= found["news_half_s"] < 5.0 and 0.0 <= found["news_all_s"] < 5.0
     # Whom no doubt reaches finds out in its own turn: a round for each of the others, and its patience.
-    own_turn_s = 1.2 * pilots + 25.0
+    own_turn_s = 1.2 * data_planes + 25.0
     assert 0.0 < found["gone_half_s"] < 25.0 and 0.0 < found["gone_all_s"] < own_turn_s
     assert 0.0 < found["unheard_gone_s"] < own_turn_s and 0.0 <= found["unheard_back_s"] < own_turn_s
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -34,38 +34,38 @@
     """Pilots add, or rule alone while the keeper is away; keepers begin anew from the pilots' word."""
     random = Random(seed)
     tenant = Tenant("t", 0, random.choice((7.0, 33.0, 63.0)), random.choice((0.0, 33.0, 63.0)))
-    pilots = [QuotaPolicy(SPAN_S, EXCESS, SLACK) for _ in range(8)]
-    weights = [random.choice((1.0, 1.0, 4.0)) for _ in pilots]
-    keeper: QuotaCounter | None = QuotaCounter(SPAN_S, EXCESS, SLACK)
+    data_planes = [QuotaPolicy(SPAN_S, EXCESS, SLACK) for _ in range(8)]
+    weights = [random.choice((1.0, 1.0, 4.0)) for _ in data_planes]
+    owner: QuotaCounter | None = QuotaCounter(SPAN_S, EXCESS, SLACK)
     now, sent, away_until = 1e6, list[float](), 0.0
     cut: set[int] = set()  # pilots that no keeper hears
     while now < 1e6 + 60_000.0:
         hot = 8.0 if 20_000.0 < now - 1e6 < 40_000.0 else 0.6
         now += random.expovariate(max(1.0, tenant.rate) * hot) * 1000.0
-        if keeper is not None and random.random() < 0.0008:
-            keeper, away_until = None, now + random.uniform(200.0, 3000.0)
-        if keeper is None and now >= away_until:
-            keeper, cut = QuotaCounter(SPAN_S, EXCESS, SLACK), set()
-            for number, one in enumerate(pilots):
+        if owner is not None and random.random() < 0.0008:
+            owner, away_until = None, now + random.uniform(200.0, 3000.0)
+        if owner is None and now >= away_until:
+            owner, cut = QuotaCounter(SPAN_S, EXCESS, SLACK), set()
+            for number, one in enumerate(data_planes):
                 for name, told in one.past(now):
-                    keeper.past(now, name, f"p{number}", told)
-        if keeper is not None and random.random() < 0.0004:
+                    owner.past(now, name, f"p{number}", told)
+        if owner is not None and random.random() < 0.0004:
             for number in cut:
-                for name, told in pilots[number].past(now):
-                    keeper.past(now, name, f"p{number}", told)
-                keeper.back(f"p{number}")
+                for name, told in data_planes[number].past(now):
+                    owner.past(now, name, f"p{number}", told)
+                owner.back(f"p{number}")
             cut = set(random.sample(range(8), random.choice((0, 1, 2))))
             for number in cut:
-                keeper.away(now, f"p{number}")
+                owner.away(now, f"p{number}")
         number = random.choices(range(8), weights)[0]
-        pilot = pilots[number]
-        pilot.sent(now, "t")
-        if keeper is None or number in cut:
-            ruling = pilot.alone(now, tenant, 8)
+        data_plane = data_planes[number]
+        data_plane.sent(now, "t")
+        if owner is None or number in cut:
+            ruling = data_plane.alone(now, tenant, 8)
         else:
             again = random.random() < 0.3
-            total, limit, wait = keeper.add(now, "t", f"p{number}", tenant.rate, tenant.burst, again)
-            ruling = pilot.counted(now, "t", total, limit, wait)
+            total, limit, wait = owner.add(now, "t", f"p{number}", tenant.rate, tenant.burst, again)
+            ruling = data_plane.counted(now, "t", total, limit, wait)
         if ruling.goes:
             sent.append(now)
         else:
@@ -77,24 +77,24 @@
 
 
 def test_a_keeper_gives_what_the_rate_brings_and_the_burst_once() -> None:
-    tally, granted = QuotaCounter(SPAN_S, EXCESS, SLACK), 0
+    event_counts, granted = QuotaCounter(SPAN_S, EXCESS, SLACK), 0
     for step in range(10_000):  # ten times the rate, for ten seconds
-        total, limit, _ = tally.add(float(step), "t", "p", 50.0, 50.0)
+        total, limit, _ = event_counts.add(float(step), "t", "p", 50.0, 50.0)
         granted += total <= limit
     assert 550 <= granted <= 50 * 10 * 1.05 + 60
     # Those who come again get nothing while those who come first use it all up.
-    total, limit, wait = tally.add(10_000.0, "t", "p", 50.0, 50.0, True)
+    total, limit, wait = event_counts.add(10_000.0, "t", "p", 50.0, 50.0, True)
     assert total > limit and wait > 0.0
 
 
 def test_a_unit_that_was_not_used_comes_back() -> None:
-    tally = QuotaCounter(SPAN_S, EXCESS, SLACK)
-    given = [tally.add(1000.0, "t", "p", 1.0, 0.0) for _ in range(10)]
+    event_counts = QuotaCounter(SPAN_S, EXCESS, SLACK)
+    given = [event_counts.add(1000.0, "t", "p", 1.0, 0.0) for _ in range(10)]
     spent = sum(total <= limit for total, limit, _ in given)
-    tally.give_back(1000.0, "t", "p")
-    total, limit, _ = tally.add(1000.0, "t", "p", 1.0, 0.0)
+    event_counts.give_back(1000.0, "t", "p")
+    total, limit, _ = event_counts.add(1000.0, "t", "p", 1.0, 0.0)
     assert spent < 10 and total == limit
-    total, limit, _ = tally.add(1000.0, "t", "p", 1.0, 0.0)
+    total, limit, _ = event_counts.add(1000.0, "t", "p", 1.0, 0.0)
     assert total > limit
 
 
@@ -140,14 +140,14 @@
     choice = EndpointSelector("a", 2)
     for number in range(4):
         choice.heard(0.0, server(number))
-    for number, berth in enumerate(choice.berths.values()):
-        choice.sent(0.0, berth, number)
-        choice.ended(100.0, berth, number, "r", number != 0)
-    silent = choice.berths["i1"]
+    for number, candidate in enumerate(choice.candidates.values()):
+        choice.sent(0.0, candidate, number)
+        choice.ended(100.0, candidate, number, "r", number != 0)
+    silent = choice.candidates["i1"]
     choice.sent(100.0, silent, 9)
     chosen = [one.server.id for _ in range(200) if (one := choice.pick(600.0, "s", "r", set()))]
     assert chosen.count("i0") == 0 and chosen.count("i1") < 10
-    assert choice.pick(100.0, "s", "r", {"i1", "i2", "i3"}) is choice.berths["i0"]  # better than none
+    assert choice.pick(100.0, "s", "r", {"i1", "i2", "i3"}) is choice.candidates["i0"]  # better than none
 
 
 def route(pure: bool, tries: int = 2) -> Route:
@@ -182,7 +182,7 @@
 def test_what_pilots_cut_off_may_send_on_is_kept_back(told: bool, kept: bool) -> None:
     """Half of the pilots of a hot tenant are cut off; without what is kept back the ceiling is passed."""
     random, tenant = Random(3), Tenant("t", 0, 63.0, 63.0)
-    pilots, keeper = (
+    data_planes, owner = (
         [QuotaPolicy(SPAN_S, EXCESS, SLACK) for _ in range(8)],
         QuotaCounter(SPAN_S, EXCESS, SLACK),
     )
@@ -193,15 +193,15 @@
             cut = True
             for number in range(4):
                 if told:
-                    keeper.away(now, f"p{number}")
+                    owner.away(now, f"p{number}")
         number = random.randrange(8)
-        pilot = pilots[number]
-        pilot.sent(now, "t")
+        data_plane = data_planes[number]
+        data_plane.sent(now, "t")
         if cut and number < 4:
-            ruling = pilot.alone(now, tenant, 8)
+            ruling = data_plane.alone(now, tenant, 8)
         else:
-            total, limit, wait = keeper.add(now, "t", f"p{number}", tenant.rate, tenant.burst)
-            ruling = pilot.counted(now, "t", total, limit, wait)
+            total, limit, wait = owner.add(now, "t", f"p{number}", tenant.rate, tenant.burst)
+            ruling = data_plane.counted(now, "t", total, limit, wait)
         if ruling.goes:
             sent.append(now)
     most = quota_ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
@@ -210,13 +210,13 @@
 
 @pytest.mark.parametrize("told", [True, False])
 def test_what_ended_together_with_its_keeper_is_not_forgotten(told: bool) -> None:
-    keeper, other, units = QuotaCounter(SPAN_S, EXCESS, SLACK), QuotaCounter(SPAN_S, EXCESS, SLACK), 0
+    owner, other, units = QuotaCounter(SPAN_S, EXCESS, SLACK), QuotaCounter(SPAN_S, EXCESS, SLACK), 0
     for step in range(2000):
         now = float(step)
-        total, limit, _ = keeper.add(now, "t", "p", 63.0, 63.0)
+        total, limit, _ = owner.add(now, "t", "p", 63.0, 63.0)
         units += total <= limit
         if told and step % 250 == 0:
-            for name, windows in keeper.much_used(now, {"t": 63.0}).items():
+            for name, windows in owner.much_used(now, {"t": 63.0}).items():
                 other.shadowed(now, name, windows)
     other.begin(2000.0)  # and pilot p, which alone could tell, has ended too
     given = 0
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -28,8 +28,8 @@
 from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.net import host
 
-LIGHTS = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.0.4")
-PILOTS = ("10.1.1.1", "10.1.1.2")
+CONTROL_PLANES = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.0.4")
+DATA_PLANES = ("10.1.1.1", "10.1.1.2")
 _WHO: ContextVar[str] = ContextVar("machine")
 
 
@@ -113,9 +113,9 @@
 
     def __init__(self, nursery: trio.Nursery, random: Random) -> None:
         self.nursery, self.random = nursery, random
-        self.books = {ip: Book() for ip in LIGHTS}
-        self.lights: dict[str, ControlPlane] = {}
-        self.pilots: dict[str, DataPlane] = {}
+        self.books = {ip: Book() for ip in CONTROL_PLANES}
+        self.control_planes: dict[str, ControlPlane] = {}
+        self.data_planes: dict[str, DataPlane] = {}
         self.taken: dict[str, list[int]] = {}  # numbers that each pilot has gone by
         self.scopes: dict[str, trio.CancelScope] = {}
         self.links: list[MemoryLink] = []
@@ -136,10 +136,10 @@
         async def serve() -> None:
             _WHO.set(theirs)
             end = PeerConnection(MemoryLink(there, self.nursery), clock)  # type: ignore[arg-type]
-            if theirs in self.lights:
-                await self.lights[theirs].cable(end)
+            if theirs in self.control_planes:
+                await self.control_planes[theirs].connection(end)
             else:
-                await self.pilots[theirs].flotilla.serve(end)
+                await self.data_planes[theirs].gossip.serve(end)
 
         self.nursery.start_soon(serve)
         return here
@@ -147,7 +147,7 @@
     def cut(self, *ips: str, way: str = "both", spare: tuple[str, ...] = ()) -> None:
         """Cut these off from all others but the spared, both ways or one."""
         for ip in ips:
-            for other in {*LIGHTS, *PILOTS} - {*ips, *spare}:
+            for other in {*CONTROL_PLANES, *DATA_PLANES} - {*ips, *spare}:
                 self.cuts |= {(ip, other)} if way != "deaf" else set()
                 self.cuts |= {(other, ip)} if way != "unheard" else set()
 
@@ -161,12 +161,12 @@
         settings = settings.replace("bind.front_http=10.1.0.30:8782", f"bind.control_addr={ip}:8783")
         settings = settings.replace("bind.ready_addr=10.1.0.30:8789\n", "")
         await self._start(ip, settings + f"data_dir={ip}\n", first, self._light)
-        return self.lights[ip]
+        return self.control_planes[ip]
 
     async def start_pilot(self, ip: str) -> DataPlane:
         settings = SETTINGS.replace("ip=10.1.0.30", f"ip={ip}").replace("edge-a-1", ip)
         await self._start(ip, settings, False, self._pilot)
-        return self.pilots[ip]
+        return self.data_planes[ip]
 
     async def _start(
         self,
@@ -175,7 +175,7 @@
         first: bool,
         make: Callable[[settings_module.NodeSettings, trio.Nursery], None],
     ) -> None:
-        seeds = ",".join(f"{seed}:8783" for seed in LIGHTS[:3])
+        seeds = ",".join(f"{seed}:8783" for seed in CONTROL_PLANES[:3])
         settings = settings.replace("10.1.0.33:8783,10.2.0.25:8783", seeds)
         told = settings_module.parse_settings(
             settings.replace("is_first_start=true", f"is_first_start={str(first).lower()}")
@@ -194,43 +194,45 @@
         await made.wait()
 
     def _light(self, told: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
-        light = self.lights[told.ip] = ControlPlane(told, nursery, self.random.getrandbits(32))
-        for task in (light.core.run, light.core.tick, light.upkeep):
+        control_plane = self.control_planes[told.ip] = ControlPlane(
+            told, nursery, self.random.getrandbits(32)
+        )
+        for task in (control_plane.core.run, control_plane.core.tick, control_plane.upkeep):
             nursery.start_soon(task)
 
     def _pilot(self, told: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
-        made = self.pilots[told.ip] = DataPlane(told, nursery, self.random.getrandbits(32))
+        made = self.data_planes[told.ip] = DataPlane(told, nursery, self.random.getrandbits(32))
         numbers = self.taken[told.ip] = []
-        charted = made.moorings._charted
+        charted = made.control_client._charted
 
-        def noted(chart: Any) -> None:
-            numbers.append(chart.version)
-            charted(chart)
+        def noted(routing_table: Any) -> None:
+            numbers.append(routing_table.version)
+            charted(routing_table)
 
-        made.moorings._charted = noted
-        for task in (made.moorings.tick, made.flotilla.run):
+        made.control_client._charted = noted
+        for task in (made.control_client.tick, made.gossip.run):
             nursery.start_soon(task)
 
     def kill(self, ip: str) -> None:
         self.scopes.pop(ip).cancel()
-        self.lights.pop(ip, None)
+        self.control_planes.pop(ip, None)
         for link in [one for one in self.links if one.sock.mine == ip]:
             link.close()
 
     @property
     def chain(self) -> list[str]:
         """Return the chain of the newest view that anybody knows."""
-        best = max((one.core.chain.view for one in self.lights.values()), key=lambda view: view.epoch)
+        best = max((one.core.chain.view for one in self.control_planes.values()), key=lambda view: view.epoch)
         return [ip for ip, _ in best.chain]
 
     async def settled(self) -> None:
         """Wait until all lighthouses are in contact, and have been for long enough."""
-        await self.until(lambda: all(one.look().name == "SETTLED" for one in self.lights.values()))
+        await self.until(lambda: all(one.look().name == "SETTLED" for one in self.control_planes.values()))
 
     async def until_safe(self, ip: str, version: int) -> ApiResponse:
         """Send a configuration again until it is acknowledged, as an operator does."""
         for _ in range(20):
-            said = await replace(self.lights[ip], version)
+            said = await replace(self.control_planes[ip], version)
             if said.status == 200:
                 break
             await trio.sleep(0.25)
@@ -254,25 +256,27 @@
     return json.dumps(document(generation=f"r{version}", note=mark)).encode()
 
 
-async def replace(light: ControlPlane, version: int, mark: str = "") -> ApiResponse:
-    return await ConfigReplace(light).call(ApiRequest("POST", "", text(version, mark)))
+async def replace(control_plane: ControlPlane, version: int, mark: str = "") -> ApiResponse:
+    return await ConfigReplace(control_plane).call(ApiRequest("POST", "", text(version, mark)))
 
 
-async def read(light: ControlPlane) -> ApiResponse:
-    return await ConfigRead(light).call(ApiRequest("GET", "", b""))
+async def read(control_plane: ControlPlane) -> ApiResponse:
+    return await ConfigRead(control_plane).call(ApiRequest("GET", "", b""))
 
 
-async def beat(light: ControlPlane, id_: str, seq: int, state: str = "ready", zone: str = "a") -> ApiResponse:
+async def beat(
+    control_plane: ControlPlane, id_: str, seq: int, state: str = "ready", zone: str = "a"
+) -> ApiResponse:
     told = {
         "address": "10.1.2.9:8080",
         "build_info": {"service": "s", "zone": zone, "capacity": 2},
         "condition": {"state": state, "call_seq": seq},
     }
-    return await Heartbeat(light).call(ApiRequest("POST", "", json.dumps(told).encode(), {"id": id_}))
+    return await Heartbeat(control_plane).call(ApiRequest("POST", "", json.dumps(told).encode(), {"id": id_}))
 
 
-async def deregister(light: ControlPlane, id_: str) -> ApiResponse:
-    return await Deregister(light).call(ApiRequest("POST", "", b"", {"id": id_}))
+async def deregister(control_plane: ControlPlane, id_: str) -> ApiResponse:
+    return await Deregister(control_plane).call(ApiRequest("POST", "", b"", {"id": id_}))
 
 
 def server(id_: str, seq: int = 1) -> Endpoint:
@@ -280,7 +284,10 @@
 
 
 def play(
-    monkeypatch: pytest.MonkeyPatch, test: Callable[[Site], Awaitable[None]], lights: int = 3, seed: int = 1
+    monkeypatch: pytest.MonkeyPatch,
+    test: Callable[[Site], Awaitable[None]],
+    control_planes: int = 3,
+    seed: int = 1,
 ) -> None:
     """Play a test with so many lighthouses, all settled, in virtual time."""
 
@@ -295,8 +302,8 @@
             for module in (connection_module, gossip):
                 monkeypatch.setattr(module, "connect", site.connect)
                 monkeypatch.setattr(module, "Link", MemoryLink)
-            for ip in LIGHTS[:lights]:
-                await site.start_light(ip, first=ip in LIGHTS[:3])
+            for ip in CONTROL_PLANES[:control_planes]:
+                await site.start_light(ip, first=ip in CONTROL_PLANES[:3])
             await site.settled()
             await test(site)
             nursery.cancel_scope.cancel()
--- a/wickspring/common/bootstrap.py
+++ b/wickspring/common/bootstrap.py
@@ -28,7 +28,7 @@
         self.control = _open(flat, "bind.control_addr")
         from wickspring.common.settings import parse_settings
 
-        self.boot = parse_settings(text)
+        self.settings = parse_settings(text)
 
 
 def _open(flat: dict[str, str], name: str) -> socket.socket | None:
--- a/wickspring/common/connection.py
+++ b/wickspring/common/connection.py
@@ -97,7 +97,7 @@
     ) -> None:
         self.address, self.clock, self.nursery, self.random = address, clock, nursery, random
         self._greet, self._take, self._lost = greet, take, lost
-        self.cable: PeerConnection | None = None
+        self.connection: PeerConnection | None = None
         self.tried_at = -1e12
         self.closed = False
         self._scope = trio.CancelScope()
@@ -106,14 +106,14 @@
     @property
     def live(self) -> bool:
         """Tell whether the other side is in reach as far as is known."""
-        return self.cable is not None and self.cable.live
+        return self.connection is not None and self.connection.live
 
     def send(self, *message: object) -> bool:
         """Say something; False where nobody will hear it."""
-        cable = self.cable
-        if cable is None or cable.link.broken:
+        connection = self.connection
+        if connection is None or connection.link.broken:
             return False
-        cable.send(*message)
+        connection.send(*message)
         return True
 
     def close(self) -> None:
@@ -135,26 +135,26 @@
 
     def hurry(self) -> None:
         """Dial at once where no cable is up: the other side has just shown that it is there."""
-        if self.cable is None:
+        if self.connection is None:
             self._hurried.set()
 
     async def _use(self, sock: socket.socket) -> None:
-        cable = self.cable = PeerConnection(Link(sock, self.nursery), self.clock)
+        connection = self.connection = PeerConnection(Link(sock, self.nursery), self.clock)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._watch, cable)
-                self._greet(cable)
-                await cable.read(self._take)
+                nursery.start_soon(self._watch, connection)
+                self._greet(connection)
+                await connection.read(self._take)
                 nursery.cancel_scope.cancel()
         finally:
-            cable.close()
-            self.cable = None
+            connection.close()
+            self.connection = None
             self._lost(self)
 
-    async def _watch(self, cable: PeerConnection) -> None:
-        while cable.live:
+    async def _watch(self, connection: PeerConnection) -> None:
+        while connection.live:
             await trio.sleep(SILENCE_TIMEOUT_MS / 4000.0)
-        cable.close()
+        connection.close()
 
 
 async def accept_connections(
--- a/wickspring/common/lifecycle.py
+++ b/wickspring/common/lifecycle.py
@@ -10,7 +10,7 @@
 import trio
 
 from wickspring.common import logs as logs_module
-from wickspring.common import settings as boots
+from wickspring.common import settings as settings_module
 from wickspring.common import settings_file
 from wickspring.common.bootstrap import Bootstrap
 from wickspring.common.errors import GatewayError
@@ -33,7 +33,7 @@
 def _reread() -> None:
     """Read the settings file again; what it says of seeds is for later lives, but a fault in it is news."""
     try:
-        boots.parse_settings(settings_file.read_settings_file())
+        settings_module.parse_settings(settings_file.read_settings_file())
     except GatewayError as error:
         logs_module.log_event("settings_bad", reason=error)
 
@@ -48,7 +48,7 @@
 
 def main(run: Run, started: Bootstrap) -> None:
     """Run a program to its end."""
-    logs_module.setup_logging(started.boot.node_name)
+    logs_module.setup_logging(started.settings.node_name)
     gc.freeze()
     gc.set_threshold(GC_AFTER, 20, 20)
     gc.enable()
--- a/wickspring/common/routing_table.py
+++ b/wickspring/common/routing_table.py
@@ -108,10 +108,10 @@
 def build_routing_table(document: bytes) -> RoutingTable:
     """Lay out a configuration that has been checked."""
     tree = msgspec.json.decode(document)
-    chart = RoutingTable(parse_version(tree["generation"]))
+    routing_table = RoutingTable(parse_version(tree["generation"]))
     for socket in tree["sockets"]:
         routes = sorted(map(_route, socket["policy"]), key=lambda route: -len(route.prefix))
-        chart.hosts[socket["host"].lower()] = routes
+        routing_table.hosts[socket["host"].lower()] = routes
     for one in tree.get("tenants", ()):
         tenant = Tenant(
             one["name"],
@@ -119,19 +119,19 @@
             float(one.get("rate_per_s", 0)),
             float(one.get("burst", 0)),
         )
-        chart.tenants[tenant.name] = tenant
+        routing_table.tenants[tenant.name] = tenant
         for key in one["api_keys"]:
-            chart.keys[key] = tenant
-    chart.guarded = bool(tree.get("tenants"))
+            routing_table.keys[key] = tenant
+    routing_table.guarded = bool(tree.get("tenants"))
     for one in tree["backends"]:
         service = Service(one["name"], one.get("health_path", "/health"), int(one.get("max_conns", 0)))
-        chart.services[service.name] = service
+        routing_table.services[service.name] = service
     limits = tree.get("limits", {})
     usual = ClientLimits()
-    chart.bounds = ClientLimits(
+    routing_table.bounds = ClientLimits(
         int(limits.get("max_header_bytes", usual.head)),
         int(limits.get("max_body_bytes", usual.body)),
         float(limits.get("header_timeout_s", usual.header_s)),
         float(limits.get("idle_timeout_s", usual.idle_s)),
     )
-    return chart
+    return routing_table
--- a/wickspring/common/seeds.py
+++ b/wickspring/common/seeds.py
@@ -16,8 +16,8 @@
 class SeedList:
     """What the settings file says of seeds."""
 
-    def __init__(self, boot: NodeSettings) -> None:
-        self._ips = boot.seed_ips()
+    def __init__(self, settings: NodeSettings) -> None:
+        self._ips = settings.seed_ips()
         self._reached_at: float | None = None
 
     def ips(self, now: float, reached: bool) -> list[str]:
--- a/wickspring/common/settings.py
+++ b/wickspring/common/settings.py
@@ -107,14 +107,19 @@
             at = below
         at[last] = [one for one in value.split(",") if one] if name in _LISTS else value
     try:
-        boot = msgspec.convert(tree, NodeSettings, strict=False)
-        for text in (boot.bind.front_http, boot.bind.ready_addr, boot.bind.control_addr, *boot.seed_addrs):
+        settings = msgspec.convert(tree, NodeSettings, strict=False)
+        for text in (
+            settings.bind.front_http,
+            settings.bind.ready_addr,
+            settings.bind.control_addr,
+            *settings.seed_addrs,
+        ):
             if text:
                 parse_address(text)
-        if not 0 < boot.talk_port < 65536:
+        if not 0 < settings.talk_port < 65536:
             raise ValueError("port_range: not a port")
-        if boot.config_mode != CONFIG_MODE:
-            raise ValueError(f"config_mode: {boot.config_mode!r} is not known, only {CONFIG_MODE!r}")
+        if settings.config_mode != CONFIG_MODE:
+            raise ValueError(f"config_mode: {settings.config_mode!r} is not known, only {CONFIG_MODE!r}")
     except (msgspec.ValidationError, ValueError) as error:
         raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, str(error))) from error
-    return boot
+    return settings
--- a/wickspring/controlplane/api/resources.py
+++ b/wickspring/controlplane/api/resources.py
@@ -60,12 +60,12 @@
 class _Resource:
     """What every handler has."""
 
-    def __init__(self, light: ControlPlaneApi) -> None:
-        self.light = light
+    def __init__(self, control_plane: ControlPlaneApi) -> None:
+        self.control_plane = control_plane
 
     async def _read_all(self) -> Replica | None:
         """Return all that the chain keeps, as of now; None where that cannot be told."""
-        entered = await self.light.order(Update(), read=True)
+        entered = await self.control_plane.order(Update(), read=True)
         return entered.replica if entered.verdict is CommitOutcome.SAFE else None
 
 
@@ -87,7 +87,7 @@
             info.capacity,
             _STATES[how.state],
             how.call_seq,
-            self.light.clock.now() + left if left > 0 else 0.0,
+            self.control_plane.clock.now() + left if left > 0 else 0.0,
             info.generation,
         )
 
@@ -97,12 +97,12 @@
             server = self._read(call)
         except (msgspec.MsgspecError, UnicodeDecodeError, GatewayError) as error:
             return error_response(ErrorDetail(ErrorKind.BAD_REQUEST, f"heartbeat: {error}"))
-        if self.light.cut_off:  # the others may take the server for lost while it calls here
+        if self.control_plane.cut_off:  # the others may take the server for lost while it calls here
             return error_response(NO_QUORUM)
-        self.light.beat(server)
-        if server.state == DRAINING and not await self.light.leaves(server.id, DRAINING):
+        self.control_plane.beat(server)
+        if server.state == DRAINING and not await self.control_plane.leaves(server.id, DRAINING):
             return error_response(ErrorDetail(ErrorKind.NOT_SAFE_YET, "draining"))
-        target = self.light.beat_target(server.zone)
+        target = self.control_plane.beat_target(server.zone)
         return ApiResponse(200, msgspec.json.encode({"beat_target": target} if target else {}))
 
 
@@ -113,7 +113,7 @@
 
     async def call(self, call: ApiRequest) -> ApiResponse:
         """Take a server's word that it ends."""
-        if await self.light.leaves(call.parts["id"], GONE):
+        if await self.control_plane.leaves(call.parts["id"], GONE):
             return ApiResponse(200)
         return error_response(ErrorDetail(ErrorKind.NOT_SAFE_YET, "deregister"))
 
@@ -130,7 +130,7 @@
             logs.log_event("config_refused", reason=checked.error.reason)
             return error_response(checked.error)
         version = checked.ok
-        entered = await self.light.order(Update(version, call.body))
+        entered = await self.control_plane.order(Update(version, call.body))
         if entered.verdict is not CommitOutcome.SAFE:
             return _not_safe(entered.verdict, "configuration", version)
         logs.log_event("config_acknowledged", version=version)
@@ -173,7 +173,7 @@
         return (
             error_response(NO_QUORUM)
             if safe is None
-            else ApiResponse(200, snapshot.pack(safe, self.light.epoch))
+            else ApiResponse(200, snapshot.pack(safe, self.control_plane.epoch))
         )
 
 
@@ -188,7 +188,7 @@
         if read.is_error():
             return error_response(read.error)
         brought = read.ok
-        entered = await self.light.order(brought, read=True)
+        entered = await self.control_plane.order(brought, read=True)
         if entered.verdict is not CommitOutcome.SAFE or entered.replica is None:
             return _not_safe(entered.verdict, "snapshot", brought.version)
         version, leaving = entered.replica.config.version, len(entered.replica.leaving)
@@ -203,7 +203,7 @@
 
     async def call(self, call: ApiRequest) -> ApiResponse:
         """Return it as JSON."""
-        return ApiResponse(200, msgspec.json.encode(self.light.status()))
+        return ApiResponse(200, msgspec.json.encode(self.control_plane.status()))
 
 
 RESOURCES: tuple[Callable[[Any], Any], ...] = (
--- a/wickspring/controlplane/config_distribution.py
+++ b/wickspring/controlplane/config_distribution.py
@@ -31,35 +31,35 @@
     """What is safe, as pilots get it, and what each of them was handed."""
 
     def __init__(self) -> None:
-        self.chart = RoutingTable()
+        self.routing_table = RoutingTable()
         self.copy = _PackedConfig()
         self._last_known = _PackedConfig()
 
     def safe(self, config: Config) -> bool:
         """Take in what has become safe; True where that is news."""
-        known = self.chart.version
+        known = self.routing_table.version
         if config.version < known or (config.version == known and config.digest == self.copy.digest):
             return False
         if config.version == known:
             logs.log_event("config_two_texts", version=known, digest=config.digest.hex())
         try:
-            self.chart, self.copy = build_routing_table(config.document), _PackedConfig.of(config)
+            self.routing_table, self.copy = build_routing_table(config.document), _PackedConfig.of(config)
         except (KeyError, TypeError, ValueError) as error:
             logs.log_event("chart_unusable", version=config.version, reason=repr(error))
             return False
         logs.log_event("chart", version=config.version)
         return True
 
-    def holds(self, cable: PeerConnection, version: Any, digest: Any) -> None:
+    def holds(self, connection: PeerConnection, version: Any, digest: Any) -> None:
         """Hear which configuration a pilot goes by."""
-        cable.about["holds"] = int(version), bytes(digest)
+        connection.about["holds"] = int(version), bytes(digest)
 
-    def offer(self, cable: PeerConnection, contact: QuorumContact, last_known: Config | None) -> None:
+    def offer(self, connection: PeerConnection, contact: QuorumContact, last_known: Config | None) -> None:
         """Hand a pilot the configuration, where it has said that it has an older one or none.
 
         The last known, which may never have become safe, goes only to one that has none.
         """
-        version, digest = cable.about.get("holds", (0, b""))
+        version, digest = connection.about.get("holds", (0, b""))
         copy, standing = (
             self.copy,
             ConfigStatus.SAFE if contact is QuorumContact.NONE else ConfigStatus.CURRENT,
@@ -72,6 +72,6 @@
             copy, standing = self._last_known, ConfigStatus.HELD
         other = copy.version == version and copy.digest != digest and standing is ConfigStatus.CURRENT
         offer = copy.version, copy.digest, standing, version, digest  # it may wait with what it was handed
-        if (copy.version > version or other) and cable.about.get("offered") != offer:
-            cable.about["offered"] = offer
-            cable.send("chart", copy.version, copy.packed, copy.digest, int(standing))
+        if (copy.version > version or other) and connection.about.get("offered") != offer:
+            connection.about["offered"] = offer
+            connection.send("chart", copy.version, copy.packed, copy.digest, int(standing))
--- a/wickspring/controlplane/load_tracker.py
+++ b/wickspring/controlplane/load_tracker.py
@@ -28,18 +28,18 @@
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.out: Counter[str] = Counter()
-        self.by_pilot: dict[str, Counter[str]] = {}
+        self.by_data_plane: dict[str, Counter[str]] = {}
         self.slow: dict[str, float] = {}  # answer times, by those usual for the request
         self.shunned: dict[str, float] = {}  # until when
 
-    def sent(self, pilot: str, server: str) -> None:
+    def sent(self, data_plane: str, server: str) -> None:
         """Note that a pilot has sent a request to a server."""
         self.out[server] += 1
-        self.by_pilot.setdefault(pilot, Counter())[server] += 1
+        self.by_data_plane.setdefault(data_plane, Counter())[server] += 1
 
-    def ended(self, now: float, pilot: str, server: str, ratio: float) -> None:
+    def ended(self, now: float, data_plane: str, server: str, ratio: float) -> None:
         """Note its end: its time by what is usual, 0 where it was turned away, below 0 where it failed."""
-        mine = self.by_pilot.get(pilot)
+        mine = self.by_data_plane.get(data_plane)
         if mine is not None and mine[server] > 0:
             mine[server] -= 1
             self.out[server] -= 1
@@ -49,9 +49,9 @@
         elif ratio < 0:
             self.shunned[server] = now + SHUN_MS
 
-    def gone(self, pilot: str) -> None:
+    def gone(self, data_plane: str) -> None:
         """Forget what a pilot has out: it has ended, or tells anew."""
-        for server, units in self.by_pilot.pop(pilot, Counter()).items():
+        for server, units in self.by_data_plane.pop(data_plane, Counter()).items():
             self.out[server] -= units
 
     def forget(self, server: str) -> None:
--- a/wickspring/controlplane/process.py
+++ b/wickspring/controlplane/process.py
@@ -51,12 +51,12 @@
 class ControlPlane(Host):
     """One lighthouse."""
 
-    def __init__(self, boot: NodeSettings, nursery: trio.Nursery, seed: int) -> None:
-        super().__init__(nursery, boot.limits.memory_mb)
-        self.boot, self.random = boot, Random(seed)
+    def __init__(self, settings: NodeSettings, nursery: trio.Nursery, seed: int) -> None:
+        super().__init__(nursery, settings.limits.memory_mb)
+        self.settings, self.random = settings, Random(seed)
         self.core = ReplicationNode(
-            boot,
-            ReplicaStore(boot.data_dir or "."),
+            settings,
+            ReplicaStore(settings.data_dir or "."),
             self.clock,
             nursery,
             self.random,
@@ -64,14 +64,14 @@
             self._viewed,
             self._from_core,
         )
-        self.register = EndpointRegistry(1000.0 * boot.heartbeat_s)
-        bounds = boot.guarantees
-        self.tally = QuotaCounter(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack)
-        self.berths = LoadTracker(self.random.getrandbits(32))
+        self.registry = EndpointRegistry(1000.0 * settings.heartbeat_s)
+        bounds = settings.guarantees
+        self.quota_counter = QuotaCounter(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack)
+        self.load_tracker = LoadTracker(self.random.getrandbits(32))
         self.resources = [make(self) for make in RESOURCES]
-        self.pilots: dict[PeerConnection, str] = {}
+        self.data_planes: dict[PeerConnection, str] = {}
         self.offers = ConfigDistributor()
-        self.contact = QuorumContactMonitor(self.clock.now(), 1000.0 * boot.heartbeat_s)
+        self.contact = QuorumContactMonitor(self.clock.now(), 1000.0 * settings.heartbeat_s)
         self._saved: set[str] = set()  # servers on disk
         self._silent: set[str] = set()  # servers taken for lost of which the pilots have not been told
         self._begin()
@@ -87,10 +87,10 @@
         it leaves is never taken back, safe or not, so those get no work from the start.
         """
         now = self.clock.now()
-        self.register.leave(self.core.chain.replica.leaving)
-        for told in self.core.keeper.load_servers():
+        self.registry.leave(self.core.chain.replica.leaving)
+        for told in self.core.store.load_servers():
             server = Endpoint.unpack(told, now)
-            self.register.beat(now, server)
+            self.registry.beat(now, server)
             self._saved.add(server.id)
 
     # Calls.
@@ -98,7 +98,7 @@
     @property
     def sockets(self) -> int:
         """How many descriptors this process may have."""
-        return self.boot.limits.max_fds
+        return self.settings.limits.max_fds
 
     @property
     def flowing(self) -> int:
@@ -188,7 +188,7 @@
 
     def beat(self, server: Endpoint) -> None:
         """Take a beat that came to this machine."""
-        news = self.register.beat(self.clock.now(), server)
+        news = self.registry.beat(self.clock.now(), server)
         self._fresh[server.id] = server.seq
         if news is not None:
             logs.log_event("server", id=news.id, service=news.service, state=news.state, address=news.address)
@@ -207,36 +207,36 @@
 
     def beat_target(self, zone: str) -> str:
         """Name where a server's beats are best sent: to a lighthouse in its own zone, else here."""
-        if zone != self.boot.zone:
+        if zone != self.settings.zone:
             for ip, told in self.core.states.items():
                 if told.zone == zone and not told.ill and self.core.live(ip):
                     return told.control
-        return self.boot.bind.control_addr
+        return self.settings.bind.control_addr
 
     # News.
 
     def _tell(self, *message: object) -> None:
-        for cable in self.pilots:
-            cable.send(*message)
+        for connection in self.data_planes:
+            connection.send(*message)
 
     def _safe(self, replica: Replica) -> None:
         """Tell the pilots what has become safe."""
         if self.offers.safe(replica.config):
-            for cable in self.pilots:
-                self._offer(cable)
-        told = self.register.leaving
+            for connection in self.data_planes:
+                self._offer(connection)
+        told = self.registry.leaving
         fresh = {id_: state for id_, state in replica.leaving.items() if told.get(id_, READY) < state}
         if fresh:
-            self.register.leave(fresh)
+            self.registry.leave(fresh)
             self._tell("leaving", fresh)
 
     def _viewed(self) -> None:
         """Take up another view: counts begin anew, from what the pilots tell of what they have sent on."""
-        self.tally.begin(self.clock.now())
+        self.quota_counter.begin(self.clock.now())
         self._tell(*self._view())
 
     def _cores(self) -> list[str]:
-        return [self.boot.ip, *(ip for ip in self.core.callers if self.core.live(ip))]
+        return [self.settings.ip, *(ip for ip in self.core.callers if self.core.live(ip))]
 
     def _view(self) -> tuple[Any, ...]:
         chain = self.core.chain
@@ -245,92 +245,101 @@
     @property
     def fleet(self) -> int:
         """How many pilots are in reach."""
-        return len({name for cable, name in self.pilots.items() if cable.live})
+        return len({name for connection, name in self.data_planes.items() if connection.live})
 
-    def _offer(self, cable: PeerConnection) -> None:
+    def _offer(self, connection: PeerConnection) -> None:
         """Hand a pilot the configuration, where it has none or an older one."""
         contact, alone = self.look(), self.contact.alone(self.clock.now())
-        self.offers.offer(cable, contact, self.core.chain.replica.config if alone else None)
+        self.offers.offer(connection, contact, self.core.chain.replica.config if alone else None)
 
-    def _whole(self, cable: PeerConnection) -> None:
+    def _whole(self, connection: PeerConnection) -> None:
         now, fresh = self.clock.now(), self.look() is QuorumContact.SETTLED
-        cable.send("whole", [one.pack(now) for one in self.register.whole()], self.register.leaving, fresh)
+        connection.send(
+            "whole", [one.pack(now) for one in self.registry.whole()], self.registry.leaving, fresh
+        )
 
     def digest(self) -> int:
         """Return a number for all that is known of servers."""
-        return endpoints_digest(self.register.whole())
+        return endpoints_digest(self.registry.whole())
 
     # Cables.
 
-    async def cable(self, cable: PeerConnection) -> None:
+    async def connection(self, connection: PeerConnection) -> None:
         """Serve one cable that another process has called."""
         try:
-            await cable.read(self._take)
+            await connection.read(self._take)
         finally:
-            if self.pilots.pop(cable, None) is not None and cable.name not in self.pilots.values():
-                self.berths.gone(cable.name)
-            cable.close()
-
-    def _take(self, cable: PeerConnection, message: Message) -> None:
+            if (
+                self.data_planes.pop(connection, None) is not None
+                and connection.name not in self.data_planes.values()
+            ):
+                self.load_tracker.gone(connection.name)
+            connection.close()
+
+    def _take(self, connection: PeerConnection, message: Message) -> None:
         name = message[0]
         if name == "hello":
-            cable.name = parse_ip(message[2])
+            connection.name = parse_ip(message[2])
             if message[1] == "core":
-                cable.about = {"core": True}
-                self.core.called(cable.name)
+                connection.about = {"core": True}
+                self.core.called(connection.name)
             else:
-                self.pilots[cable] = cable.name
-                self.tally.back(cable.name)
-                self.berths.gone(cable.name)
-                cable.send(*self._view())
-                others = sorted(set(self.pilots.values()) - {cable.name})
-                cable.send("pilots", self.random.sample(others, min(INTRODUCED, len(others))))
-                self._whole(cable)
-                self.offers.holds(cable, message[3].get("version", 0), message[3].get("digest", b""))
-                self._offer(cable)
-        elif cable.about.get("core"):
-            self.core.take(cable, message)
+                self.data_planes[connection] = connection.name
+                self.quota_counter.back(connection.name)
+                self.load_tracker.gone(connection.name)
+                connection.send(*self._view())
+                others = sorted(set(self.data_planes.values()) - {connection.name})
+                connection.send("pilots", self.random.sample(others, min(INTRODUCED, len(others))))
+                self._whole(connection)
+                self.offers.holds(connection, message[3].get("version", 0), message[3].get("digest", b""))
+                self._offer(connection)
+        elif connection.about.get("core"):
+            self.core.take(connection, message)
         elif name == "add":
-            self._add(cable, int(message[1]), str(message[2]), bool(message[3]), int(message[4]))
+            self._add(connection, int(message[1]), str(message[2]), bool(message[3]), int(message[4]))
         elif name == "berth":
             now, service = self.clock.now(), str(message[2])
-            known = [one for one in self.register.whole() if one.service == service and one.state == READY]
+            known = [one for one in self.registry.whole() if one.service == service and one.state == READY]
             # Cut off from the others it hears some of the servers alone, and would send all pilots to those.
-            offers = self.berths.offers(now, str(message[3]), known) if self.core.steady else []
-            cable.send("berths", message[1], offers, len(known))
+            offers = self.load_tracker.offers(now, str(message[3]), known) if self.core.steady else []
+            connection.send("berths", message[1], offers, len(known))
         elif name == "out":
-            self.berths.sent(cable.name, str(message[1]))
+            self.load_tracker.sent(connection.name, str(message[1]))
         elif name == "in":
-            self.berths.ended(self.clock.now(), cable.name, str(message[1]), float(message[2]))
+            self.load_tracker.ended(self.clock.now(), connection.name, str(message[1]), float(message[2]))
         elif name == "spent":
-            tenant = self.offers.chart.tenants.get(str(message[1]))
+            tenant = self.offers.routing_table.tenants.get(str(message[1]))
             if tenant is not None:
-                self.tally.spent(self.clock.now(), tenant.name, cable.name, tenant.rate, tenant.burst)
+                self.quota_counter.spent(
+                    self.clock.now(), tenant.name, connection.name, tenant.rate, tenant.burst
+                )
         elif name == "back":
-            self.tally.give_back(self.clock.now(), str(message[1]), cable.name)
+            self.quota_counter.give_back(self.clock.now(), str(message[1]), connection.name)
         elif name == "past":
-            self.tally.past(self.clock.now(), str(message[1]), cable.name, message[2])
+            self.quota_counter.past(self.clock.now(), str(message[1]), connection.name, message[2])
         elif name == "tick":
             copy, contact, servers = self.offers.copy, self.look(), self.digest()
-            same = cable.about.get("tocked") == copy.digest
-            cable.about["tocked"] = copy.digest
+            same = connection.about.get("tocked") == copy.digest
+            connection.about["tocked"] = copy.digest
             told = b"" if same else copy.digest  # as last told on this cable
-            cable.send("tock", self.epoch, copy.version, self.fleet, servers, told, int(contact))
+            connection.send("tock", self.epoch, copy.version, self.fleet, servers, told, int(contact))
             if len(message) > 1:
-                self.offers.holds(cable, message[1], message[2])
-            self._offer(cable)
+                self.offers.holds(connection, message[1], message[2])
+            self._offer(connection)
         elif name == "whole":
-            cable.send(*self._view())
-            self._whole(cable)
+            connection.send(*self._view())
+            self._whole(connection)
 
-    def _add(self, cable: PeerConnection, number: int, name: str, again: bool, epoch: int) -> None:
+    def _add(self, connection: PeerConnection, number: int, name: str, again: bool, epoch: int) -> None:
         now = self.clock.now()
-        tenant = self.offers.chart.tenants.get(name)
+        tenant = self.offers.routing_table.tenants.get(name)
         if tenant is None or not self.core.keeps or epoch != self.core.lease.epoch:
-            cable.send("moved", number)
+            connection.send("moved", number)
             return
-        total, limit, wait = self.tally.add(now, name, cable.name, tenant.rate, tenant.burst, again)
-        cable.send("sum", number, total, limit, round(wait))
+        total, limit, wait = self.quota_counter.add(
+            now, name, connection.name, tenant.rate, tenant.burst, again
+        )
+        connection.send("sum", number, total, limit, round(wait))
 
     def _from_core(self, ip: str, message: Message) -> None:
         """Hear another core machine's news of servers."""
@@ -338,21 +347,21 @@
         if message[0] == "servers":
             for told in message[1]:
                 server = Endpoint.unpack(told, now)
-                known = self.register.servers.get(server.id)
-                if self.register.beat(now, server) is not None and known is None:
+                known = self.registry.servers.get(server.id)
+                if self.registry.beat(now, server) is not None and known is None:
                     self._tell("servers", [server.pack(now)])
         elif message[0] == "shadow":
             for name, told in message[1].items():
-                self.tally.shadowed(now, str(name), [(int(ago), int(units)) for ago, units in told])
+                self.quota_counter.shadowed(now, str(name), [(int(ago), int(units)) for ago, units in told])
         elif message[0] == "alive":
-            back = self.register.alive(now, [(str(id_), int(seq)) for id_, seq in message[1]])
+            back = self.registry.alive(now, [(str(id_), int(seq)) for id_, seq in message[1]])
             if back:
                 self._tell("servers", [one.pack(now) for one in back])
-            missing = [id_ for id_, _ in message[1] if id_ not in self.register.servers]
+            missing = [id_ for id_, _ in message[1] if id_ not in self.registry.servers]
             if missing:
                 self.core.say(ip, "tell", missing)
         elif message[0] == "tell":
-            asked = [self.register.servers.get(str(id_)) for id_ in message[1]]
+            asked = [self.registry.servers.get(str(id_)) for id_ in message[1]]
             self.core.say(ip, "servers", [one.pack(now) for one in asked if one is not None])
 
     # Upkeep.
@@ -384,17 +393,17 @@
                 told_at = now
                 self.core.say_all("alive", list(self._fresh.items()))
                 self._fresh = {}
-            bursts = {name: tenant.burst for name, tenant in self.offers.chart.tenants.items()}
-            much_used = self.tally.much_used(now, bursts)
+            bursts = {name: tenant.burst for name, tenant in self.offers.routing_table.tenants.items()}
+            much_used = self.quota_counter.much_used(now, bursts)
             if much_used and self.core.steady:
                 self.core.say_all("shadow", much_used)
-            for cable, name in list(self.pilots.items()):
-                if not cable.live:  # silent, and no reset: it may be cut off, and go on alone
-                    del self.pilots[cable]
-                    if name not in self.pilots.values():
-                        self.tally.away(now, name)
-                    cable.close()
-            known = [one for one in self.register.whole() if one.state == READY]
+            for connection, name in list(self.data_planes.items()):
+                if not connection.live:  # silent, and no reset: it may be cut off, and go on alone
+                    del self.data_planes[connection]
+                    if name not in self.data_planes.values():
+                        self.quota_counter.away(now, name)
+                    connection.close()
+            known = [one for one in self.registry.whole() if one.state == READY]
             if now - saved_at >= SAVE_MS and self._saved != {one.id for one in known}:
                 saved_at, self._saved = now, {one.id for one in known}
                 await self.core.save_servers([one.pack(now) for one in known])
@@ -402,12 +411,12 @@
 
     def sweep(self, now: float, contact: QuorumContact) -> None:
         """Look whose beats have stopped; pilots are told while this machine hears of all that beat."""
-        known_before = set(self.register.servers)
-        self._silent |= set(self.register.sweep(now))
-        for id_ in known_before - set(self.register.servers):
-            self.berths.forget(id_)
+        known_before = set(self.registry.servers)
+        self._silent |= set(self.registry.sweep(now))
+        for id_ in known_before - set(self.registry.servers):
+            self.load_tracker.forget(id_)
         if contact is QuorumContact.SETTLED and self._silent:
-            lost, self._silent = sorted(self._silent & self.register.lost), set()
+            lost, self._silent = sorted(self._silent & self.registry.lost), set()
             if lost:
                 logs.log_event("servers_silent", ids=",".join(lost))
                 self._tell("lost", lost)
@@ -416,7 +425,7 @@
         """Return what is known here, for operators."""
         chain, now = self.core.chain, self.clock.now()
         return {
-            "node": self.boot.node_name,
+            "node": self.settings.node_name,
             "chain": {
                 "epoch": chain.view.epoch,
                 "members": [ip for ip, _ in chain.view.chain],
@@ -439,7 +448,7 @@
                 for ip in self.core.callers
                 for told in (self.core.states.get(ip),)
             },
-            "pilots": sorted({name for cable, name in self.pilots.items() if cable.live}),
+            "pilots": sorted({name for connection, name in self.data_planes.items() if connection.live}),
             "servers": [
                 {
                     "id": one.id,
@@ -448,48 +457,50 @@
                     "zone": one.zone,
                     "state": ("ready", "draining", "gone")[one.state],
                     "slots": one.slots,
-                    "silent_s": round((now - self.register.heard_at.get(one.id, now)) / 1000.0, 1),
+                    "silent_s": round((now - self.registry.heard_at.get(one.id, now)) / 1000.0, 1),
                 }
-                for one in self.register.servers.values()
+                for one in self.registry.servers.values()
             ],
             "counts": {
                 name: {"in_span": count.total, "left": round(max(0.0, count.level or 0.0), 1)}
-                for name, count in self.tally.counts.items()
+                for name, count in self.quota_counter.counts.items()
             },
         }
 
 
-async def serve(link: Link, light: Host) -> None:
+async def serve(link: Link, control_plane: Host) -> None:
     """Serve one caller's connection."""
     patience = Patience(silent=10_000.0, head=5_000.0, body=10_000.0, idle=30_000.0)
-    await light.serve(Http1Connection(link, light, patience=patience), link)
+    await control_plane.serve(Http1Connection(link, control_plane, patience=patience), link)
 
 
-async def drain(light: ControlPlane) -> None:
+async def drain(control_plane: ControlPlane) -> None:
     """Wait until what this machine keeps is kept without it, or the grace is nearly over."""
-    light.draining = light.core.leaving = True
-    with trio.move_on_after(LEAVE_SHARE * light.boot.guarantees.grace_s):
-        while not light.core.may_leave:
+    control_plane.draining = control_plane.core.leaving = True
+    with trio.move_on_after(LEAVE_SHARE * control_plane.settings.guarantees.grace_s):
+        while not control_plane.core.may_leave:
             await trio.sleep(0.05)
 
 
 async def run(started: Bootstrap, seed: int, ended: trio.Event) -> None:
     """Run a lighthouse until told to end."""
-    boot = started.boot
+    settings = started.settings
     async with trio.open_nursery() as nursery:
-        light = ControlPlane(boot, nursery, seed)
-        core = light.core
-        nursery.start_soon(light.timers.run)
+        control_plane = ControlPlane(settings, nursery, seed)
+        core = control_plane.core
+        nursery.start_soon(control_plane.timers.run)
         nursery.start_soon(core.run)
-        nursery.start_soon(partial(accept_connections, started.talk, light.clock, nursery, light.cable))
+        nursery.start_soon(
+            partial(accept_connections, started.talk, control_plane.clock, nursery, control_plane.connection)
+        )
         nursery.start_soon(core.tick)
-        nursery.start_soon(light.upkeep)
-        light.tidy()
+        nursery.start_soon(control_plane.upkeep)
+        control_plane.tidy()
         if started.control is not None:
-            nursery.start_soon(accept, started.control, light, serve)
+            nursery.start_soon(accept, started.control, control_plane, serve)
         held = core.chain.replica.config.version
-        logs.log_event("lit", disk=core.chain.me[1], epoch=light.epoch, held=held)
+        logs.log_event("lit", disk=core.chain.me[1], epoch=control_plane.epoch, held=held)
         await ended.wait()
-        await drain(light)
+        await drain(control_plane)
         logs.log_event("out", epoch=core.chain.view.epoch)
         nursery.cancel_scope.cancel()
--- a/wickspring/controlplane/quota_counter.py
+++ b/wickspring/controlplane/quota_counter.py
@@ -67,7 +67,7 @@
             at = number
         return min(most, level + max(0, window - at) * brings)
 
-    def add(self, window: int, pilot: str) -> None:
+    def add(self, window: int, data_plane: str) -> None:
         """Add a unit to the present window."""
         if self.windows and self.windows[-1][0] == window:
             self.windows[-1] = window, self.windows[-1][1] + 1
@@ -75,19 +75,19 @@
             self.windows.append((window, 1))
         self.total += 1
         self.level = (self.level or 0.0) - 1.0
-        part = self.parts.setdefault(pilot, {})
+        part = self.parts.setdefault(data_plane, {})
         part[window] = part.get(window, 0) + 1
         if len(part) > 2 * WINDOWS_PER_SPAN:
             for old in [w for w in part if w < window - WINDOWS_PER_SPAN]:
                 del part[old]
 
-    def replace(self, window: int, pilot: str, told: Iterable[tuple[int, int]]) -> None:
+    def replace(self, window: int, data_plane: str, told: Iterable[tuple[int, int]]) -> None:
         """Put a pilot's own word, windows ago and units, in the place of what is held of it."""
         part: dict[int, int] = {}
         for ago, units in told:
             if 0 <= ago <= WINDOWS_PER_SPAN and 0 < units <= MOST_UNITS:
                 part[window - ago] = part.get(window - ago, 0) + units
-        self.parts[pilot] = part
+        self.parts[data_plane] = part
         self.sum_up(window)
 
     def sum_up(self, window: int) -> None:
@@ -125,9 +125,9 @@
 
     def _kept_back(self, now: float, count: TenantCount, rate: float, burst: float) -> float:
         """Return the units a window that silent pilots may be sending on."""
-        for pilot, (_, until) in list(count.away.items()):
+        for data_plane, (_, until) in list(count.away.items()):
             if now >= until:
-                del count.away[pilot]
+                del count.away[data_plane]
         share = sum(share for share, _ in count.away.values())
         return (
             ISOLATED_SHARE
@@ -136,23 +136,25 @@
             / WINDOWS_PER_SPAN
         )
 
-    def away(self, now: float, pilot: str) -> None:
+    def away(self, now: float, data_plane: str) -> None:
         """Note that a pilot has gone silent: it may go on alone."""
         window = int(now / self.window_ms)
         for count in self.counts.values():
             part = sum(
-                units for at, units in count.parts.get(pilot, {}).items() if at >= window - WINDOWS_PER_SPAN
+                units
+                for at, units in count.parts.get(data_plane, {}).items()
+                if at >= window - WINDOWS_PER_SPAN
             )
             if part and count.total:
-                count.away[pilot] = min(1.0, part / count.total), now + AWAY_MS
+                count.away[data_plane] = min(1.0, part / count.total), now + AWAY_MS
 
-    def back(self, pilot: str) -> None:
+    def back(self, data_plane: str) -> None:
         """Note that a pilot is heard again, or has surely ended."""
         for count in self.counts.values():
-            count.away.pop(pilot, None)
+            count.away.pop(data_plane, None)
 
     def add(
-        self, now: float, tenant: str, pilot: str, rate: float, burst: float, again: bool = False
+        self, now: float, tenant: str, data_plane: str, rate: float, burst: float, again: bool = False
     ) -> tuple[int, int, float]:
         """Add one unit; return the total in the span, the limit on it, and ms until the window's end.
 
@@ -165,18 +167,18 @@
         if count.total + 1 > limit:
             windows = max(1.0, (1.0 + kept - level) / max(brings, 1e-9))
             return count.total + 1, limit, (window + windows) * self.window_ms - now
-        count.add(window, pilot)
+        count.add(window, data_plane)
         return count.total, limit, (window + 1) * self.window_ms - now
 
-    def spent(self, now: float, tenant: str, pilot: str, rate: float, burst: float) -> None:
+    def spent(self, now: float, tenant: str, data_plane: str, rate: float, burst: float) -> None:
         """Count a unit that a pilot has sent on by itself while this machine gave nothing out."""
         window, _, count = self._count(now, tenant, rate, burst)
-        count.add(window, pilot)
+        count.add(window, data_plane)
 
-    def give_back(self, now: float, tenant: str, pilot: str) -> None:
+    def give_back(self, now: float, tenant: str, data_plane: str) -> None:
         """Take a unit off again that was not used: its request has not run and never will."""
         count = self.counts.get(tenant)
-        part = count.parts.get(pilot, {}) if count is not None else {}
+        part = count.parts.get(data_plane, {}) if count is not None else {}
         if count is None:
             return
         for index in range(len(count.windows) - 1, -1, -1):
@@ -188,10 +190,10 @@
                 count.level = None if count.level is None else count.level + 1.0
                 return
 
-    def past(self, now: float, tenant: str, pilot: str, told: Iterable[tuple[int, int]]) -> None:
+    def past(self, now: float, tenant: str, data_plane: str, told: Iterable[tuple[int, int]]) -> None:
         """Take a pilot's own word of what it has sent on of late."""
         count = self.counts.setdefault(tenant, TenantCount())
-        count.replace(int(now / self.window_ms), pilot, told)
+        count.replace(int(now / self.window_ms), data_plane, told)
 
     def much_used(self, now: float, bursts: Mapping[str, float]) -> dict[str, list[tuple[int, int]]]:
         """Return the last windows of tenants that have used up much, for who may follow as keeper."""
--- a/wickspring/controlplane/replication/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -79,7 +79,7 @@
         self.replica = replica or Replica()
         if not self.replica.config.epoch and view.epoch:
             self.replica = self.replica.begun(view.epoch)
-        self.decree = PaxosVoter()
+        self.paxos = PaxosVoter()
         self.random = Random(seed)
         self.reach: Mapping[str, PeerObservation] = {}
         self.leaving = self.hampered = False  # set by the host: about to end; its disk does not come back
@@ -123,7 +123,7 @@
     @property
     def frozen(self) -> bool:
         """Tell whether a promise for the next view holds up this one."""
-        return self.decree.promised[0] > self.view.epoch
+        return self.paxos.promised[0] > self.view.epoch
 
     @property
     def may_leave(self) -> bool:
@@ -138,14 +138,14 @@
 
     def durable(self) -> dict[str, Any]:
         """Return all that must outlive this process, beside the copy."""
-        return {"view": self.view.pack(), **self.decree.durable()}
+        return {"view": self.view.pack(), **self.paxos.durable()}
 
     def restore(self, told: Mapping[str, Any]) -> None:
         """Take up what an earlier life of this machine left."""
         self.view = View.unpack(told["view"])
-        self.decree.restore(told)
+        self.paxos.restore(told)
 
-    def _scene(self, there: frozenset[Member] = frozenset()) -> ClusterObservation:
+    def _observation(self, there: frozenset[Member] = frozenset()) -> ClusterObservation:
         return ClusterObservation(self.me, self.zone, self.leaving or self.hampered, self.reach, there)
 
     # Orders.
@@ -274,7 +274,7 @@
         unanswered = self.head == self.ip and not self.frozen and self._passing is not None
         if unanswered and now - self._passed_at >= RESEND_MS:
             self._pass(now)
-        proposal = self.decree.proposal
+        proposal = self.paxos.proposal
         if not self._wanted(now):
             self._want_since = math.inf
             if proposal is None:
@@ -284,8 +284,8 @@
         if proposal is not None:
             if now - proposal.begun < PROPOSE_MS * (1.0 + self._turn):
                 return
-            self.decree.proposal = None
-        scene = self._scene()
+            self.paxos.proposal = None
+        scene = self._observation()
         standing = [one for one in self.view.voters if one == self.me or scene.is_well(one)]
         if now - self._want_since >= STEADY_MS + TURN_MS * (standing.index(self.me) + self._turn):
             self._propose(now)
@@ -320,13 +320,13 @@
             return now - self._frozen_at >= FROZEN_MS
         if now - self._begun_at < GRACE_MS:
             return False  # the others are starting as well
-        return differs(self.view, next_view(self.view, self._scene(), self.tolerance))
+        return differs(self.view, next_view(self.view, self._observation(), self.tolerance))
 
     # Agreeing on the next view.
 
     def _propose(self, now: float) -> None:
         self._turn = self.random.random()
-        proposal = self.decree.propose(now, self.view.epoch + 1, self.ip)
+        proposal = self.paxos.propose(now, self.view.epoch + 1, self.ip)
         told = ["prepare", proposal.slot, list(proposal.ballot), self.replica.config.identity]
         for ip, _ in self.view.voters:
             self._say(now, ip, told)
@@ -345,7 +345,7 @@
 
     def _outbids(self, now: float, sender: str, slot: int, ballot: Ballot) -> bool:
         """Tell a proposer where a higher ballot has been promised."""
-        higher = self.decree.outbid(slot, ballot)
+        higher = self.paxos.outbid(slot, ballot)
         if higher is not None:
             self._say(now, sender, ["outbid", slot, list(higher)])
         return higher is not None
@@ -359,7 +359,7 @@
         if self._outbids(now, sender, slot, ballot):
             return
         self._freeze(now)
-        accepted = self.decree.promise(slot, ballot)
+        accepted = self.paxos.promise(slot, ballot)
         told = None if accepted is None else pack_value(*accepted)
         copy = self.replica.pack(known if sender != self.ip else b"")
         self._say(now, sender, ["promise", slot, list(ballot), told, copy, self.me[1]])
@@ -367,19 +367,19 @@
     def _take_promise(
         self, now: float, member: Member, slot: int, ballot: Ballot, told: Any, copy: Any
     ) -> None:
-        one = self.decree.mine(slot, ballot)
+        one = self.paxos.mine(slot, ballot)
         if one is None:
             return
         brought = Replica.unpack(copy)
         if not brought.fill(self.replica):
             return  # this machine's own copy has changed since it asked; it asks again
         accepted = None if told is None else unpack_value(told)
-        if not self.decree.promised_by(one, self.view, member, brought, accepted):
+        if not self.paxos.promised_by(one, self.view, member, brought, accepted):
             return
         if one.best is not None:
             one.value = one.best[1]
         else:
-            scene = self._scene(frozenset(one.promises))
+            scene = self._observation(frozenset(one.promises))
             one.value = next_view(self.view, scene, self.tolerance), one.state.begun(slot)
         view, state = one.value
         holds(view.epoch == slot == state.config.epoch, "a view and the state it begins with")
@@ -396,12 +396,12 @@
         if self._outbids(now, sender, slot, ballot) or not state.fill(self.replica):
             return
         self._freeze(now)
-        self.decree.accept(slot, ballot, (view, state))
+        self.paxos.accept(slot, ballot, (view, state))
         self._say(now, sender, ["accepted", slot, list(ballot), self.me[1]])
 
     def _take_accepted(self, now: float, member: Member, slot: int, ballot: Ballot) -> None:
-        one = self.decree.mine(slot, ballot)
-        if one is None or one.value is None or not self.decree.accepted_by(one, self.view, member):
+        one = self.paxos.mine(slot, ballot)
+        if one is None or one.value is None or not self.paxos.accepted_by(one, self.view, member):
             return
         view, state = one.value
         for other in dict.fromkeys((*self.view.voters, *view.voters)):
@@ -429,7 +429,7 @@
         begun = self.replica.config.epoch == view.epoch
         holds(self.me not in view.chain or begun, "no view without its state")
         self.view, self.dirty, self.mended = view, True, self.mended + 1
-        self.decree.over()
+        self.paxos.over()
         self._want_since = self._frozen_at = math.inf
         self._holds.clear()
         self.seq, self._passing = self.random.randrange(MOST_SEQ), None
@@ -479,9 +479,9 @@
             self._take_view(now, sender, View.unpack(told[0]), begun)
 
     def _take_outbid(self, now: float, slot: int, ballot: Ballot) -> None:
-        mine = self.decree.proposal
+        mine = self.paxos.proposal
         if mine is None or slot != mine.slot or ballot <= mine.ballot:
             return
-        if self.decree.promised[0] == slot and ballot > self.decree.promised[1]:
-            self.decree.promised, self.dirty = (slot, ballot), True  # so that the next number is above it
+        if self.paxos.promised[0] == slot and ballot > self.paxos.promised[1]:
+            self.paxos.promised, self.dirty = (slot, ballot), True  # so that the next number is above it
         mine.begun = now  # the other's proposal gets its time
--- a/wickspring/controlplane/replication/node.py
+++ b/wickspring/controlplane/replication/node.py
@@ -72,8 +72,8 @@
 
     def __init__(
         self,
-        boot: NodeSettings,
-        keeper: ReplicaStore,
+        settings: NodeSettings,
+        store: ReplicaStore,
         clock: Clock,
         nursery: trio.Nursery,
         random: Random,
@@ -81,14 +81,20 @@
         viewed: Callable[[], None],
         heard: Callable[[str, Message], None],
     ) -> None:
-        self.boot, self.keeper, self.clock, self.nursery, self.random = boot, keeper, clock, nursery, random
+        self.settings, self.store, self.clock, self.nursery, self.random = (
+            settings,
+            store,
+            clock,
+            nursery,
+            random,
+        )
         self._told, self._viewed, self._heard = told, viewed, heard
-        self.ip = boot.ip
+        self.ip = settings.ip
         self.callers: dict[str, ReconnectingClient] = {}
         self.states: dict[str, NodeStatus] = {}  # what the others said of themselves last,
         self.asked_at: dict[str, float] = {}  # and when they were asked for that
         self.leaving = False
-        self.seeds = SeedList(boot)
+        self.seeds = SeedList(settings)
         self.saving_since = 0.0
         self._tickets = 0
         self._waiting: dict[int, Callable[[CommitOutcome], None]] = {}
@@ -101,16 +107,16 @@
 
     def _begin(self) -> ReplicationChain:
         seed = self.random.getrandbits(32)
-        told = self.boot.tolerates
+        told = self.settings.tolerates
         tolerance = FaultTolerance(told.machines, told.zones, told.regions)
-        make = partial(ReplicationChain, tolerance=tolerance, zone=self.boot.zone)
-        found = self.keeper.load()
+        make = partial(ReplicationChain, tolerance=tolerance, zone=self.settings.zone)
+        found = self.store.load()
         if found is not None:
             durable, replica = found
             chain = make(self.ip, str(durable["disk"]), View(), seed, replica)
             chain.restore(durable)
-        elif self.boot.is_first_start:
-            members: tuple[Member, ...] = tuple((ip, FIRST_DISK_ID) for ip in self.boot.seed_ips())
+        elif self.settings.is_first_start:
+            members: tuple[Member, ...] = tuple((ip, FIRST_DISK_ID) for ip in self.settings.seed_ips())
             chain = make(self.ip, FIRST_DISK_ID, View(1, members, members), seed)
         else:  # a disk that was lost, or a machine that is new: no vote until a view takes it in
             chain = make(self.ip, secrets.token_hex(6), View(), seed)
@@ -124,7 +130,7 @@
         for ip in ips:
             if ip != self.ip and ip not in self.callers:
                 caller = ReconnectingClient(
-                    (ip, self.boot.talk_port),
+                    (ip, self.settings.talk_port),
                     self.clock,
                     self.nursery,
                     self.random,
@@ -140,9 +146,9 @@
         if ip in self.callers:
             self.callers[ip].hurry()
 
-    def _greet(self, ip: str, cable: PeerConnection) -> None:
-        cable.send("hello", "core", self.ip, {})
-        cable.send("tick", self.clock.now())
+    def _greet(self, ip: str, connection: PeerConnection) -> None:
+        connection.send("hello", "core", self.ip, {})
+        connection.send("tick", self.clock.now())
         self._queue(lambda: self.chain.reached(ip))
 
     def say(self, ip: str, *message: object) -> bool:
@@ -161,8 +167,12 @@
         if ip == self.ip:
             return True
         caller = self.callers.get(ip)
-        cable = caller.cable if caller is not None else None
-        return cable is not None and cable.live and self.clock.now() - cable.heard_at < REACHABLE_MS
+        connection = caller.connection if caller is not None else None
+        return (
+            connection is not None
+            and connection.live
+            and self.clock.now() - connection.heard_at < REACHABLE_MS
+        )
 
     def state(self) -> list[Any]:
         """Return what this machine tells of itself, in the order of `NodeStatus`."""
@@ -176,12 +186,12 @@
             safe.leaving_sum,
             chain.replica.config.identity,
             chain.hampered or chain.leaving,
-            self.boot.zone,
-            self.boot.bind.control_addr,
+            self.settings.zone,
+            self.settings.bind.control_addr,
             [ip for ip in self.callers if self.live(ip)],
         ]
 
-    def _take(self, cable: PeerConnection, message: Message) -> None:
+    def _take(self, connection: PeerConnection, message: Message) -> None:
         """Hear an answer on a cable that this machine called."""
         if message[0] == "tock":
             ip = str(message[1])
@@ -192,17 +202,17 @@
                 set(told.sees) - {self.ip} != set(self.callers) - {ip}
                 and self.random.random() < ASK_NODES_PROBABILITY
             ):
-                cable.send("cores")  # it reaches more of them, or fewer
+                connection.send("cores")  # it reaches more of them, or fewer
         elif message[0] == "cores":
             self.know([parse_ip(ip) for ip in message[1]])
 
-    def take(self, cable: PeerConnection, message: Message) -> bool:
+    def take(self, connection: PeerConnection, message: Message) -> bool:
         """Hear another core machine on a cable that it called; False where it says no such thing."""
-        name, ip = message[0], cable.name
+        name, ip = message[0], connection.name
         if name == "tick":
-            cable.send("tock", self.ip, self.state(), message[1], grants(self.chain))
+            connection.send("tock", self.ip, self.state(), message[1], grants(self.chain))
         elif name == "cores":
-            cable.send("cores", [ip for ip in self.callers if self.live(ip)])
+            connection.send("cores", [ip for ip in self.callers if self.live(ip)])
         elif name == "chain":
             self._queue(lambda: self.chain.receive(self.clock.now(), ip, message[1]))
         elif name == "enter":
@@ -340,7 +350,7 @@
         while True:
             try:
                 async with self._disk:
-                    await trio.to_thread.run_sync(self.keeper.save, durable, replica)
+                    await trio.to_thread.run_sync(self.store.save, durable, replica)
                 break
             except (sqlite3.Error, OSError) as error:
                 logs.log_event("save_failed", reason=error)
@@ -351,7 +361,7 @@
         """Save the servers that are known; where the disk refuses, the next change tries again."""
         try:
             async with self._disk:
-                await trio.to_thread.run_sync(self.keeper.save_servers, servers)
+                await trio.to_thread.run_sync(self.store.save_servers, servers)
         except (sqlite3.Error, OSError) as error:
             logs.log_event("save_failed", reason=error)
 
@@ -380,8 +390,8 @@
 
     def short(self) -> list[str]:
         """Say what of `tolerates` the present view does not bear; nothing where it bears all."""
-        zones = {ip: told.zone for ip, told in self.states.items()} | {self.ip: self.boot.zone}
-        return tolerance_shortfalls(self.chain.view, self.chain.tolerance, zones, self.boot.zones)
+        zones = {ip: told.zone for ip, told in self.states.items()} | {self.ip: self.settings.zone}
+        return tolerance_shortfalls(self.chain.view, self.chain.tolerance, zones, self.settings.zones)
 
     @property
     def in_contact(self) -> bool:
--- a/wickspring/dataplane/control_client.py
+++ b/wickspring/dataplane/control_client.py
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        boot: NodeSettings,
+        settings: NodeSettings,
         clock: Clock,
         nursery: trio.Nursery,
         random: Random,
@@ -62,11 +62,11 @@
         introduced: Callable[[list[str]], None],
         told: Callable[[], None],
     ) -> None:
-        self.boot, self.clock, self.nursery, self.random = boot, clock, nursery, random
+        self.settings, self.clock, self.nursery, self.random = settings, clock, nursery, random
         self.servers, self._past, self._digest, self._charted = servers, past, digest, charted
         self._passed_on, self._introduced, self._told = passed_on, introduced, told
         self.packed = b""  # the configuration, as it came
-        self.chart = RoutingTable()
+        self.routing_table = RoutingTable()
         self.adoption = ConfigAdoption(clock.now())
         self.epoch = -1
         self.members: list[str] = []
@@ -77,16 +77,16 @@
         self._berths: dict[int, EndpointAdvice] = {}
         self._number = 0
         self._fleets: dict[str, int] = {}  # pilots, as each lighthouse counts them
-        self._keepers: dict[str, str] = {}
-        self.seeds = SeedList(boot)
-        self.know(boot.seed_ips())
+        self._owners: dict[str, str] = {}
+        self.seeds = SeedList(settings)
+        self.know(settings.seed_ips())
 
     def know(self, ips: list[str]) -> None:
         """Keep a cable to each of these lighthouses."""
         for ip in ips:
             if ip not in self.callers:
                 caller = ReconnectingClient(
-                    (ip, self.boot.talk_port),
+                    (ip, self.settings.talk_port),
                     self.clock,
                     self.nursery,
                     self.random,
@@ -97,15 +97,19 @@
                 self.callers[ip] = caller
                 self.nursery.start_soon(caller.run)
 
-    def _greet(self, cable: PeerConnection) -> None:
-        about = {"version": self.chart.version, "digest": self.adoption.digest, "zone": self.boot.zone}
-        cable.send("hello", "pilot", self.boot.ip, about)
-        cable.about["told"] = self.chart.version, self.adoption.digest
-        self._tell_past(cable)
-
-    def _tell_past(self, cable: PeerConnection) -> None:
+    def _greet(self, connection: PeerConnection) -> None:
+        about = {
+            "version": self.routing_table.version,
+            "digest": self.adoption.digest,
+            "zone": self.settings.zone,
+        }
+        connection.send("hello", "pilot", self.settings.ip, about)
+        connection.about["told"] = self.routing_table.version, self.adoption.digest
+        self._tell_past(connection)
+
+    def _tell_past(self, connection: PeerConnection) -> None:
         for tenant, told in self._past():
-            cable.send("past", tenant, told)
+            connection.send("past", tenant, told)
 
     @property
     def live(self) -> list[str]:
@@ -115,9 +119,9 @@
     def _contact(self) -> QuorumContact:
         """Return how the lighthouse in reach that stands best stands with the core."""
         told = [
-            caller.cable.about.get("contact", QuorumContact.NONE)
+            caller.connection.about.get("contact", QuorumContact.NONE)
             for caller in self.callers.values()
-            if caller.live and caller.cable is not None
+            if caller.live and caller.connection is not None
         ]
         return max(told, default=QuorumContact.NONE)
 
@@ -135,12 +139,12 @@
     @property
     def informed(self) -> bool:
         """Tell whether enough has been told to serve by: a configuration, and servers by most lighthouses."""
-        known = len(self.members) or len(self.boot.seed_addrs)
-        return self.chart.version > 0 and len(self.whole_from & set(self.members)) > known // 2
+        known = len(self.members) or len(self.settings.seed_addrs)
+        return self.routing_table.version > 0 and len(self.whole_from & set(self.members)) > known // 2
 
     # What is told.
 
-    def take(self, cable: PeerConnection, message: Message, by_lighthouse: bool = True) -> None:
+    def take(self, connection: PeerConnection, message: Message, by_control_plane: bool = True) -> None:
         """Take in what a lighthouse, or another pilot, tells."""
         name, now = message[0], self.clock.now()
         if name == "sum":
@@ -173,29 +177,29 @@
             if fresh or self._contact() < QuorumContact.SETTLED:  # else there is somebody who knows better
                 for told in message[1]:
                     self.servers.heard(now, Endpoint.unpack(told, now), fresh)
-            self.whole_from.add(cable.name)
+            self.whole_from.add(connection.name)
             self._told()
         elif name == "chart":
             _, version, packed, digest, standing = message
             copy = ConfigCopy(int(version), bytes(digest), bytes(packed), ConfigStatus(standing))
-            self._told_chart(copy, self.adoption.told(now, copy, by_lighthouse))
+            self._told_chart(copy, self.adoption.told(now, copy, by_control_plane))
         elif name == "view":
-            cable.name = str(message[3][0])
+            connection.name = str(message[3][0])
             self.know([parse_ip(ip) for ip in message[3]])
             self.fleet = max(self.fleet, int(message[4]))
             self._take_view(int(message[1]), [parse_ip(ip) for ip in message[2]])
         elif name == "tock":
-            self._fleets[cable.name] = int(message[3])
+            self._fleets[connection.name] = int(message[3])
             self.fleet = max(self._fleets.values())
-            cable.about["digest"] = int(message[4])
-            contact = cable.about["contact"] = QuorumContact(message[6])
+            connection.about["digest"] = int(message[4])
+            contact = connection.about["contact"] = QuorumContact(message[6])
             if message[5]:  # else as last told on this cable
-                cable.about["safe"] = bytes(message[5])
+                connection.about["safe"] = bytes(message[5])
             if contact > QuorumContact.NONE:
-                safe = cable.about.get("safe", b"")
+                safe = connection.about.get("safe", b"")
                 confirmed = self.adoption.confirmed(now, int(message[2]), safe)
                 if confirmed is not None:
-                    self._take_chart(confirmed)
+                    self._take_routing_table(confirmed)
 
     def _told_chart(self, copy: ConfigCopy, advice: AdoptionAction) -> None:
         if advice in (AdoptionAction.PASS_OVER, AdoptionAction.WAIT):
@@ -204,14 +208,14 @@
             logs.log_event("config_gave_way", version=copy.version)
         elif advice is AdoptionAction.FENCE:
             logs.log_event("config_two_texts", version=copy.version, digest=copy.digest.hex())
-        self._take_chart(copy)
+        self._take_routing_table(copy)
 
-    def _take_chart(self, copy: ConfigCopy) -> None:
+    def _take_routing_table(self, copy: ConfigCopy) -> None:
         try:
             document = zlib.decompress(copy.packed)
             if digest_of(document) != copy.digest:
                 raise ValueError("not the text of its digest")
-            self.chart = build_routing_table(document)
+            self.routing_table = build_routing_table(document)
         except (zlib.error, msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
             logs.log_event("chart_unusable", version=copy.version, reason=repr(error))
             self.adoption.drop(copy)
@@ -219,7 +223,7 @@
         self.packed = copy.packed
         self.adoption.took(copy)
         logs.log_event("chart", version=copy.version, standing=copy.standing.name.lower())
-        self._charted(self.chart)
+        self._charted(self.routing_table)
         self._told()
 
     def _take_view(self, epoch: int, members: list[str]) -> None:
@@ -227,28 +231,28 @@
             return
         self.epoch, self.members = epoch, members
         self.know(members)  # whoever tells of them may not have reached them all itself yet
-        self._keepers.clear()
+        self._owners.clear()
         for ip in members:
             caller = self.callers.get(ip)
-            if caller is not None and caller.cable is not None:
-                self._tell_past(caller.cable)
+            if caller is not None and caller.connection is not None:
+                self._tell_past(caller.connection)
 
     # Counts.
 
-    def keeper(self, tenant: str) -> str:
+    def owner(self, tenant: str) -> str:
         """Return the lighthouse that keeps a tenant's count: the one whose hash with it is highest."""
-        keeper = self._keepers.get(tenant)
-        if keeper is None:
+        owner = self._owners.get(tenant)
+        if owner is None:
 
             def weight(ip: str) -> bytes:
                 return hashlib.blake2b(f"{tenant} {ip}".encode(), digest_size=8).digest()
 
-            keeper = self._keepers[tenant] = max(self.members, key=weight, default="")
-        return keeper
+            owner = self._owners[tenant] = max(self.members, key=weight, default="")
+        return owner
 
     def add(self, tenant: str, again: bool, answered: QuotaReply) -> int:
         """Add a unit to a tenant's count; a number to `give_up` by, or 0 where nobody can be asked."""
-        caller = self.callers.get(self.keeper(tenant))
+        caller = self.callers.get(self.owner(tenant))
         if caller is None or not caller.live:
             return 0
         self._number += 1
@@ -268,26 +272,26 @@
 
     def spent(self, tenant: str) -> None:
         """Tell a keeper of a unit that it has not counted, and that was sent on all the same."""
-        caller = self.callers.get(self.keeper(tenant))
+        caller = self.callers.get(self.owner(tenant))
         if caller is not None:
             caller.send("spent", tenant)
 
     def give_back(self, tenant: str) -> None:
         """Take back the unit of a request that has not run and never will."""
-        caller = self.callers.get(self.keeper(tenant))
+        caller = self.callers.get(self.owner(tenant))
         if caller is not None:
             caller.send("back", tenant)
 
     # Servers to take.
 
-    def berth(self, service: str, answered: EndpointAdvice) -> int:
+    def candidate(self, service: str, answered: EndpointAdvice) -> int:
         """Ask for the servers of a service best taken; a number to `drop` by, 0 where nobody can be asked."""
-        caller = self.callers.get(self.keeper(service))
+        caller = self.callers.get(self.owner(service))
         if caller is None or not caller.live:
             return 0
         self._number += 1
         self._berths[self._number] = answered
-        caller.send("berth", self._number, service, self.boot.zone)
+        caller.send("berth", self._number, service, self.settings.zone)
         return self._number
 
     def drop(self, number: int) -> None:
@@ -296,9 +300,9 @@
 
     def out(self, service: str, server: str) -> str:
         """Tell that a request goes to a server; return who was told, for `back_in`."""
-        keeper = self.keeper(service)
-        caller = self.callers.get(keeper)
-        return keeper if caller is not None and caller.send("out", server) else ""
+        owner = self.owner(service)
+        caller = self.callers.get(owner)
+        return owner if caller is not None and caller.send("out", server) else ""
 
     def back_in(self, told: str, server: str, ratio: float) -> None:
         """Tell that it is over, and how it went."""
@@ -325,10 +329,10 @@
 
     def _tick(self, caller: ReconnectingClient) -> None:
         """Say that this pilot is there; which configuration it goes by only where that is news."""
-        mine = self.chart.version, self.adoption.digest
-        cable = caller.cable
-        if cable is not None and cable.about.get("told") != mine and caller.send("tick", *mine):
-            cable.about["told"] = mine
+        mine = self.routing_table.version, self.adoption.digest
+        connection = caller.connection
+        if connection is not None and connection.about.get("told") != mine and caller.send("tick", *mine):
+            connection.about["told"] = mine
         else:
             caller.send("tick")
 
@@ -336,23 +340,23 @@
         """Go by the last known configuration where nobody in contact tells of any."""
         due = self.adoption.due(now)
         if due is not None:
-            self._take_chart(due)
+            self._take_routing_table(due)
 
     def _compare(self) -> None:
         mine, best = self._digest(), self._contact()
         live = [
-            one.cable
+            one.connection
             for one in self.callers.values()
             if one.live
-            and one.cable is not None
-            and one.cable.about.get("contact", QuorumContact.NONE) == best
+            and one.connection is not None
+            and one.connection.about.get("contact", QuorumContact.NONE) == best
         ]
-        differ = [cable for cable in live if cable.about.get("digest", mine) != mine]
+        differ = [connection for connection in live if connection.about.get("digest", mine) != mine]
         if differ:
             self.random.choice(differ).send("whole")
 
     def _forget(self, now: float) -> None:
-        keep = {*self.boot.seed_ips(), *self.members}
+        keep = {*self.settings.seed_ips(), *self.members}
         for ip, caller in list(self.callers.items()):
             if caller.live:
                 caller.tried_at = now
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -47,10 +47,10 @@
     def state(self) -> GossipDigest:
         """Return the state to compare."""
 
-    def tell_all(self, cable: PeerConnection, version: int, digest: bytes) -> None:
+    def tell_all(self, connection: PeerConnection, version: int, digest: bytes) -> None:
         """Tell all that is held; the configuration only where it is above a version, or another text."""
 
-    def take(self, cable: PeerConnection, message: Message) -> None:
+    def take(self, connection: PeerConnection, message: Message) -> None:
         """Take in what another pilot tells."""
 
     def alone(self) -> bool:
@@ -135,7 +135,7 @@
         while True:
             await trio.sleep(ROUND_S * self.random.uniform(0.8, 1.2))
             for name in self.members.tick(self.clock.now() / 1000.0):
-                logs.log_event("pilot_gone", pilot=name, left=self.members.size)
+                logs.log_event("pilot_gone", data_plane=name, left=self.members.size)
             self.members.write(MemberInfo(self.ip), beat=False)
             target = self.members.target()
             if target is not None:
@@ -229,26 +229,26 @@
                 sock = await connect((ip, self.port), DIAL_MS)
                 if sock is None:
                     return
-                cable = PeerConnection(Link(sock, self.nursery), self.clock)
+                connection = PeerConnection(Link(sock, self.nursery), self.clock)
                 try:
-                    cable.send("fetch", *self.holds.state()[:2])
-                    await cable.read(self.holds.take)
+                    connection.send("fetch", *self.holds.state()[:2])
+                    await connection.read(self.holds.take)
                 finally:
-                    cable.close()
+                    connection.close()
         finally:
             self._fetching = False
 
-    async def serve(self, cable: PeerConnection) -> None:
+    async def serve(self, connection: PeerConnection) -> None:
         """Tell all to a pilot that fetches."""
 
-        def take(cable: PeerConnection, message: Message) -> None:
+        def take(connection: PeerConnection, message: Message) -> None:
             if message[0] == "fetch":
-                self.holds.tell_all(cable, int(message[1]), bytes(message[2]))
-                cable.link.finish()
+                self.holds.tell_all(connection, int(message[1]), bytes(message[2]))
+                connection.link.finish()
 
         with trio.move_on_after(FETCH_S):
-            await cable.read(take)
-        cable.close()
+            await connection.read(take)
+        connection.close()
 
 
 class _Nowhere:
--- a/wickspring/dataplane/policy/config_adoption.py
+++ b/wickspring/dataplane/policy/config_adoption.py
@@ -47,14 +47,14 @@
         self.waiting: ConfigCopy | None = None
         self._current_at = now
 
-    def told(self, now: float, copy: ConfigCopy, by_lighthouse: bool = True) -> AdoptionAction:
+    def told(self, now: float, copy: ConfigCopy, by_control_plane: bool = True) -> AdoptionAction:
         """Say what to do with a copy; it counts as taken up only with `took`."""
         if copy.standing is ConfigStatus.CURRENT:
             self._current_at = now
         if copy.version < self.version or not copy.version:
             return AdoptionAction.PASS_OVER
         if copy.version == self.version:
-            return self._same_number(copy, by_lighthouse)
+            return self._same_number(copy, by_control_plane)
         if self.version:
             return AdoptionAction.TAKE if copy.standing >= ConfigStatus.SAFE else AdoptionAction.PASS_OVER
         if copy.standing is ConfigStatus.CURRENT:
@@ -64,13 +64,13 @@
             self.waiting = copy
         return AdoptionAction.WAIT
 
-    def _same_number(self, copy: ConfigCopy, by_lighthouse: bool) -> AdoptionAction:
+    def _same_number(self, copy: ConfigCopy, by_control_plane: bool) -> AdoptionAction:
         if copy.digest == self.digest:
             self.standing = max(self.standing, min(copy.standing, ConfigStatus.SAFE))
             return AdoptionAction.PASS_OVER
         if self.standing is ConfigStatus.HELD and copy.standing >= ConfigStatus.SAFE:
             return AdoptionAction.GIVE_WAY
-        if by_lighthouse and copy.standing is ConfigStatus.CURRENT:
+        if by_control_plane and copy.standing is ConfigStatus.CURRENT:
             return AdoptionAction.FENCE
         return AdoptionAction.PASS_OVER
 
--- a/wickspring/dataplane/policy/endpoint_selection.py
+++ b/wickspring/dataplane/policy/endpoint_selection.py
@@ -37,7 +37,7 @@
 
     def __init__(self, zone: str, seed: int, warm: Callable[[str], bool] = lambda _: True) -> None:
         self.zone, self.random, self.warm = zone, Random(seed), warm
-        self.berths: dict[str, EndpointState] = {}
+        self.candidates: dict[str, EndpointState] = {}
         self.services: dict[str, dict[str, EndpointState]] = {}  # those that take work
         self.leaving: dict[str, int] = {}
         self.usual: dict[str, float] = {}  # mean answer time of a route, ms
@@ -49,10 +49,10 @@
 
         What is not fresh, of a lighthouse that may not know who has ended, brings no lost one back.
         """
-        known = self.berths.get(server.id)
+        known = self.candidates.get(server.id)
         news = known is None or (known.lost and fresh) or server.state > known.server.state
         if known is None:
-            known = self.berths[server.id] = EndpointState(server, heard_at=now)
+            known = self.candidates[server.id] = EndpointState(server, heard_at=now)
         elif server.seq >= known.server.seq or server.state > known.server.state:
             state = max(server.state, known.server.state)
             if state != server.state:
@@ -79,51 +79,51 @@
         news = {id_: state for id_, state in leaving.items() if self.leaving.get(id_, READY) < state}
         for id_, state in news.items():
             self.leaving[id_] = max(state, self.leaving.get(id_, READY))
-            berth = self.berths.get(id_)
-            if berth is not None:
-                self._place(berth)
+            candidate = self.candidates.get(id_)
+            if candidate is not None:
+                self._place(candidate)
         return news
 
     def silent(self, ids: list[str]) -> None:
         """Take in whom the lighthouses no longer hear."""
         for id_ in ids:
-            berth = self.berths.get(id_)
-            if berth is not None:
-                berth.lost = True
+            candidate = self.candidates.get(id_)
+            if candidate is not None:
+                candidate.lost = True
 
-    def _place(self, berth: EndpointState) -> None:
-        server = berth.server
+    def _place(self, candidate: EndpointState) -> None:
+        server = candidate.server
         takes = max(server.state, self.leaving.get(server.id, READY)) == READY
         place = self.services.setdefault(server.service, {})
         if takes:
-            place[server.id] = berth
+            place[server.id] = candidate
         else:
             place.pop(server.id, None)
 
     def takes(self, id_: str) -> bool:
         """Tell whether new work may go to a server."""
-        berth = self.berths.get(id_)
-        return berth is not None and id_ in self.services.get(berth.server.service, ())
+        candidate = self.candidates.get(id_)
+        return candidate is not None and id_ in self.services.get(candidate.server.service, ())
 
     # Choosing.
 
-    def cost(self, now: float, berth: EndpointState, usual: float) -> float:
+    def cost(self, now: float, candidate: EndpointState, usual: float) -> float:
         """Return about how long an answer takes there, by the usual time."""
-        slots = max(1, berth.server.slots)
-        cost = berth.slow * (1.0 + len(berth.out) / slots)
-        if berth.server.cold_until > now:
+        slots = max(1, candidate.server.slots)
+        cost = candidate.slow * (1.0 + len(candidate.out) / slots)
+        if candidate.server.cold_until > now:
             cost *= COLD_COST
-        if berth.server.zone != self.zone:
+        if candidate.server.zone != self.zone:
             cost *= OTHER_ZONE_COST
-        if berth.lost:
+        if candidate.lost:
             cost *= LOST_COST
-        if not self.warm(berth.server.id):
+        if not self.warm(candidate.server.id):
             cost *= DIAL_COST
-        if berth.out and usual > 0:
-            quiet = (now - max(berth.heard_at, next(iter(berth.out.values())))) / usual
+        if candidate.out and usual > 0:
+            quiet = (now - max(candidate.heard_at, next(iter(candidate.out.values())))) / usual
             cost *= 1.0 + max(0.0, quiet - QUIET_TIMES)
-        if now < berth.shunned_until:
-            cost *= 10.0 + berth.failures
+        if now < candidate.shunned_until:
+            cost *= 10.0 + candidate.failures
         return cost
 
     def pick(
@@ -132,12 +132,12 @@
         """Choose a server of a service that has not been tried, if there is one of those offered."""
         best, least = None, float("inf")
         for id_, cost in offers:
-            berth = self.services.get(service, {}).get(id_)
-            if berth is None or id_ in tried or now < berth.shunned_until:
+            candidate = self.services.get(service, {}).get(id_)
+            if candidate is None or id_ in tried or now < candidate.shunned_until:
                 continue
             cost *= 1.0 if self.warm(id_) else DIAL_COST
             if cost < least:
-                best, least = berth, cost
+                best, least = candidate, cost
         if best is not None:
             return best
         takes = [one for id_, one in self.services.get(service, {}).items() if id_ not in tried]
@@ -153,14 +153,14 @@
 
     # What becomes of tries.
 
-    def sent(self, now: float, berth: EndpointState, number: int) -> None:
+    def sent(self, now: float, candidate: EndpointState, number: int) -> None:
         """Note a try as out."""
-        berth.out[number] = now
+        candidate.out[number] = now
 
     def ended(
         self,
         now: float,
-        berth: EndpointState,
+        candidate: EndpointState,
         number: int,
         route: str,
         good: bool | None,
@@ -170,27 +170,38 @@
 
         Return its time by what is usual, 0 where that says nothing of the server, below 0 where it failed.
         """
-        begun = berth.out.pop(number, now)
+        begun = candidate.out.pop(number, now)
         if good is None:
-            berth.heard_at = now
+            candidate.heard_at = now
             return 0.0
         if good:
-            berth.heard_at, berth.failures, berth.shunned_until, berth.lost = now, 0, 0.0, False
+            candidate.heard_at, candidate.failures, candidate.shunned_until, candidate.lost = (
+                now,
+                0,
+                0.0,
+                False,
+            )
             took = max(1.0, now - begun)
             usual = self.usual.get(route, 0.0)
             self.usual[route] = usual + (took - usual) / (4 * MEMORY) if usual else took
             slow = min(SLOW_MOST, max(SLOW_LEAST, took / max(1.0, self.usual[route])))
-            berth.slow += (slow - berth.slow) / MEMORY
+            candidate.slow += (slow - candidate.slow) / MEMORY
             return slow
-        if silent and berth.heard_at > begun:
+        if silent and candidate.heard_at > begun:
             return 0.0  # it has answered others since: it has too much to do, and shunning it would not help
-        berth.failures = min(SHUN_MOST, berth.failures + 1)
-        berth.shunned_until = now + SHUN_MS * 2.0 ** (berth.failures - 1) * self.random.uniform(0.7, 1.3)
+        candidate.failures = min(SHUN_MOST, candidate.failures + 1)
+        candidate.shunned_until = now + SHUN_MS * 2.0 ** (candidate.failures - 1) * self.random.uniform(
+            0.7, 1.3
+        )
         return -1.0
 
     def forget(self, now: float, after_ms: float) -> None:
         """Forget servers that have left or are long lost and owe no answer."""
-        for id_, berth in list(self.berths.items()):
-            if not berth.out and (not self.takes(id_) or berth.lost) and now - berth.heard_at > after_ms:
-                self.services.get(berth.server.service, {}).pop(id_, None)
-                del self.berths[id_]
+        for id_, candidate in list(self.candidates.items()):
+            if (
+                not candidate.out
+                and (not self.takes(id_) or candidate.lost)
+                and now - candidate.heard_at > after_ms
+            ):
+                self.services.get(candidate.server.service, {}).pop(id_, None)
+                del self.candidates[id_]
--- a/wickspring/dataplane/policy/quota.py
+++ b/wickspring/dataplane/policy/quota.py
@@ -81,11 +81,11 @@
             account.part = part if account.part < 0 else account.part + (part - account.part) / PART_MEMORY
         return QuotaDecision(True)
 
-    def alone(self, now: float, tenant: Tenant, pilots: int) -> QuotaDecision:
+    def alone(self, now: float, tenant: Tenant, data_planes: int) -> QuotaDecision:
         """Rule on a request whose add nobody has answered; its unit is noted already."""
         _, account = self._account(now, tenant.name)
         whole = quota_ceiling(tenant.rate, tenant.burst, self.span_s, self.excess, self.slack)
-        part = account.part if account.part >= 0 else PART_LEAST / max(1, pilots)
+        part = account.part if account.part >= 0 else PART_LEAST / max(1, data_planes)
         if account.own <= ISOLATED_SHARE * part * whole:
             return QuotaDecision(True)
         self.taken_back(now, tenant.name)
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -47,14 +47,14 @@
 class DataPlane(RequestHandler):
     """One pilot."""
 
-    def __init__(self, boot: NodeSettings, nursery: trio.Nursery, seed: int) -> None:
-        super().__init__(nursery, boot.limits.memory_mb)
-        self.boot, self.random = boot, Random(seed)
-        bounds = boot.guarantees
-        self.choice = EndpointSelector(boot.zone, self.random.getrandbits(32), self._warm)
+    def __init__(self, settings: NodeSettings, nursery: trio.Nursery, seed: int) -> None:
+        super().__init__(nursery, settings.limits.memory_mb)
+        self.settings, self.random = settings, Random(seed)
+        bounds = settings.guarantees
+        self.choice = EndpointSelector(settings.zone, self.random.getrandbits(32), self._warm)
         self.quota = QuotaPolicy(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack)
-        self.moorings = ControlClient(
-            boot,
+        self.control_client = ControlClient(
+            settings,
             self.clock,
             nursery,
             self.random,
@@ -66,8 +66,10 @@
             self._introduced,
             self._informed,
         )
-        self.wire = Udp(boot.ip, boot.talk_port)
-        self.flotilla = GossipNode(boot.ip, boot.talk_port, self.clock, nursery, self.random, self, self.wire)
+        self.wire = Udp(settings.ip, settings.talk_port)
+        self.gossip = GossipNode(
+            settings.ip, settings.talk_port, self.clock, nursery, self.random, self, self.wire
+        )
         self.entries: dict[str, tuple[bool, api.ServerEntry]] = {}
         self.addresses: dict[str, Address] = {}
         self.limits = ConnectionLimits(
@@ -95,52 +97,58 @@
     @property
     def sockets(self) -> int:
         """How many descriptors this process may have."""
-        return self.boot.limits.max_fds - 200
+        return self.settings.limits.max_fds - 200
 
     @property
     def fleet(self) -> int:
         """How many pilots there are, as many as anybody counts; 0 where nobody has said."""
-        others = self.flotilla.size
-        return max(self.moorings.fleet, others if others > 1 else 0)
+        others = self.gossip.size
+        return max(self.control_client.fleet, others if others > 1 else 0)
 
     # What is told.
 
     def _digest(self) -> int:
         return endpoints_digest(
-            [one.server for id_, one in self.choice.berths.items() if not one.lost and self.choice.takes(id_)]
+            [
+                one.server
+                for id_, one in self.choice.candidates.items()
+                if not one.lost and self.choice.takes(id_)
+            ]
         )
 
     def _pass_on(self, kind: str, told: object) -> None:
-        self.flotilla.pass_on(kind, told)
+        self.gossip.pass_on(kind, told)
 
     def _introduced(self, ips: list[str]) -> None:
-        self.flotilla.introduce(ips)
+        self.gossip.introduce(ips)
 
     def state(self) -> GossipDigest:
         """Return what the other pilots compare with theirs."""
-        mine = self.moorings.adoption
+        mine = self.control_client.adoption
         return mine.version, mine.digest, len(self.choice.leaving), self._digest()
 
-    def tell_all(self, cable: PeerConnection, version: int, endpoints_digest: bytes) -> None:
+    def tell_all(self, peer_connection: PeerConnection, version: int, digest: bytes) -> None:
         """Tell another pilot all that is held here."""
-        now, moorings = self.clock.now(), self.moorings
-        mine = moorings.adoption
-        if mine.version > version or (mine.version == version and mine.digest != endpoints_digest):
-            cable.send("chart", mine.version, moorings.packed, mine.digest, int(moorings.standing))
-        known = [one.server.pack(now) for one in self.choice.berths.values() if not one.lost]
-        cable.send("whole", known, self.choice.leaving, moorings.in_contact)
-
-    def take(self, cable: PeerConnection, message: Message) -> None:
+        now, control_client = self.clock.now(), self.control_client
+        mine = control_client.adoption
+        if mine.version > version or (mine.version == version and mine.digest != digest):
+            peer_connection.send(
+                "chart", mine.version, control_client.packed, mine.digest, int(control_client.standing)
+            )
+        known = [one.server.pack(now) for one in self.choice.candidates.values() if not one.lost]
+        peer_connection.send("whole", known, self.choice.leaving, control_client.in_contact)
+
+    def take(self, peer_connection: PeerConnection, message: Message) -> None:
         """Take in what another pilot tells."""
         if message[0] in ("chart", "whole", "servers", "leaving"):
-            self.moorings.take(cable, message, by_lighthouse=False)
+            self.control_client.take(peer_connection, message, by_control_plane=False)
 
     def alone(self) -> bool:
         """Tell whether no lighthouse is in reach."""
-        return not self.moorings.live
+        return not self.control_client.live
 
-    def _charted(self, chart: RoutingTable) -> None:
-        bounds = chart.bounds
+    def _charted(self, routing_table: RoutingTable) -> None:
+        bounds = routing_table.bounds
         self.patience = Patience(
             silent=1000.0 * bounds.idle_s,
             head=1000.0 * bounds.header_s,
@@ -148,7 +156,7 @@
             most_head=bounds.head,
             most_body=bounds.body,
         )
-        caps = [one.most_conns for one in chart.services.values() if one.most_conns > 0]
+        caps = [one.most_conns for one in routing_table.services.values() if one.most_conns > 0]
         part = CONN_SHARE * min(caps, default=CONNS_MOST) / max(1, self.fleet or 16)
         most = max(CONNS_LEAST, min(CONNS_MOST, int(part)))
         self.limits = msgspec.structs.replace(self.limits, most_per_server=most)
@@ -156,7 +164,7 @@
 
     def _entry(self, server: api.ServerId) -> api.ServerEntry | None:
         id_ = server.decode()
-        if id_ not in self.choice.berths:
+        if id_ not in self.choice.candidates:
             self.entries.pop(id_, None)
             return None
         takes = self.choice.takes(id_)
@@ -184,7 +192,7 @@
             "figures",
             owed=len(self.requests),
             connections=len(self.connections),
-            **self.tally,
+            **self.event_counts,
             **self.upstream.report(),
         )
 
@@ -194,21 +202,23 @@
         if self.draining:
             return False
         if not self.ready:
-            moorings = self.moorings
+            control_client = self.control_client
             late = self.clock.now() - self.begun_at > READY_WITHOUT_MS
-            some = bool(moorings.chart.version) and bool(moorings.whole_from)
-            self.ready = bool(self.choice.services) and (moorings.informed or (late and some))
+            some = bool(control_client.routing_table.version) and bool(control_client.whole_from)
+            self.ready = bool(self.choice.services) and (control_client.informed or (late and some))
             if self.ready:
-                logs.log_event("ready", version=moorings.chart.version, servers=len(self.choice.berths))
+                logs.log_event(
+                    "ready", version=control_client.routing_table.version, servers=len(self.choice.candidates)
+                )
         return self.ready
 
 
 class ReadinessProbe(Host):
     """What answers the platform's question whether this pilot is ready."""
 
-    def __init__(self, pilot: DataPlane) -> None:
-        super().__init__(pilot.nursery, pilot.memory_mb)
-        self.pilot = pilot
+    def __init__(self, data_plane: DataPlane) -> None:
+        super().__init__(data_plane.nursery, data_plane.memory_mb)
+        self.data_plane = data_plane
 
     @property
     def sockets(self) -> int:
@@ -230,15 +240,15 @@
         feed: Feed | None = None,
     ) -> None:
         """Answer 200 while clients are to come."""
-        client.answer(200 if self.pilot.is_ready and target.startswith("/readiness") else 503, "", b"")
+        client.answer(200 if self.data_plane.is_ready and target.startswith("/readiness") else 503, "", b"")
 
     def leave(self, number: int) -> None:
         """Nothing is owed here."""
 
 
-async def serve(link: Link, pilot: DataPlane) -> None:
+async def serve(link: Link, data_plane: DataPlane) -> None:
     """Serve one client's connection."""
-    await pilot.serve(Http1Connection(link, pilot, patience=pilot.patience), link)
+    await data_plane.serve(Http1Connection(link, data_plane, patience=data_plane.patience), link)
 
 
 async def serve_readiness(link: Link, watch: ReadinessProbe) -> None:
@@ -248,36 +258,38 @@
 
 async def run(started: Bootstrap, seed: int, ended: trio.Event) -> None:
     """Run a pilot until told to end."""
-    boot, front, ready = started.boot, started.front, started.ready
+    settings, front, ready = started.settings, started.front, started.ready
     if front is None or ready is None:
         raise GatewayError(
             ErrorDetail(ErrorKind.BAD_SETTINGS, "bind: a pilot needs front_http and ready_addr")
         )
     async with trio.open_nursery() as nursery:
-        pilot = DataPlane(boot, nursery, seed)
-        nursery.start_soon(pilot.timers.run)
-        nursery.start_soon(pilot.moorings.tick)
-        nursery.start_soon(pilot.flotilla.run)
-        nursery.start_soon(accept_connections, started.talk, pilot.clock, nursery, pilot.flotilla.serve)
-        pilot.tidy()
-        pilot.upkeep()
-        watch = ReadinessProbe(pilot)
+        data_plane = DataPlane(settings, nursery, seed)
+        nursery.start_soon(data_plane.timers.run)
+        nursery.start_soon(data_plane.control_client.tick)
+        nursery.start_soon(data_plane.gossip.run)
+        nursery.start_soon(
+            accept_connections, started.talk, data_plane.clock, nursery, data_plane.gossip.serve
+        )
+        data_plane.tidy()
+        data_plane.upkeep()
+        watch = ReadinessProbe(data_plane)
         nursery.start_soon(watch.timers.run)
         watch.tidy()
         nursery.start_soon(accept, ready, watch, serve_readiness)
-        nursery.start_soon(accept, front, pilot, serve)
-        logs.log_event("afloat", ip=boot.ip, zone=boot.zone)
+        nursery.start_soon(accept, front, data_plane, serve)
+        logs.log_event("afloat", ip=settings.ip, zone=settings.zone)
         await ended.wait()
-        pilot.draining = True
-        logs.log_event("draining", owed=len(pilot.requests))
-        with trio.move_on_after(0.93 * boot.guarantees.grace_s):
+        data_plane.draining = True
+        logs.log_event("draining", owed=len(data_plane.requests))
+        with trio.move_on_after(0.93 * settings.guarantees.grace_s):
             await trio.sleep(ACCEPT_ON_S)
-            take_rest(front, pilot, serve)
+            take_rest(front, data_plane, serve)
             close_listener(front)
-            while pilot.requests or any(not one.idle() for one in pilot.connections):
+            while data_plane.requests or any(not one.idle() for one in data_plane.connections):
                 await trio.sleep(0.02)
-            for connection in list(pilot.connections):
+            for connection in list(data_plane.connections):
                 connection.end_quiet()
             await trio.sleep(0.1)
-        logs.log_event("moored", owed=len(pilot.requests))
+        logs.log_event("moored", owed=len(data_plane.requests))
         nursery.cancel_scope.cancel()
--- a/wickspring/dataplane/request.py
+++ b/wickspring/dataplane/request.py
@@ -123,11 +123,11 @@
     """The requests of one pilot, and what is decided on each."""
 
     parts_run = True
-    boot: NodeSettings
+    settings: NodeSettings
     random: Random
     choice: EndpointSelector
     quota: QuotaPolicy
-    moorings: ControlClient
+    control_client: ControlClient
     upstream: Upstream
 
     def __init__(self, nursery: trio.Nursery, memory_mb: float) -> None:
@@ -137,7 +137,7 @@
         self.waiting: dict[int, tuple[Client, str, str, dict[str, str], bytes]] = {}  # for the first news
         self.ids: set[str] = set()  # of requests under way that may run once
         self.begun_at = self.clock.now()
-        self.tally: Counter[str] = Counter()
+        self.event_counts: Counter[str] = Counter()
         self.told_ms: dict[str, float] = {}  # the longest time that clients of a route have told
         self._last = 0
 
@@ -161,18 +161,18 @@
         feed: Feed | None = None,
     ) -> None:
         """Find a request's route and tenant, and have its unit counted."""
-        now, chart = self.clock.now(), self.moorings.chart
-        self.tally["asked"] += 1
-        if not chart.version or not self.choice.services:
+        now, routing_table = self.clock.now(), self.control_client.routing_table
+        self.event_counts["asked"] += 1
+        if not routing_table.version or not self.choice.services:
             self._await(client, method, target, headers, body, feed)
             return
         host = headers.get("host", "")
-        route = chart.route(host, target)
+        route = routing_table.route(host, target)
         if route is None:
             self._refuse(client, ErrorKind.NO_ROUTE)
             return
-        tenant = chart.keys.get(headers.get("x-key", ""))
-        if tenant is None and chart.guarded and not route.public:
+        tenant = routing_table.keys.get(headers.get("x-key", ""))
+        if tenant is None and routing_table.guarded and not route.public:
             self._refuse(client, ErrorKind.NO_KEY)
             return
         id_, left = headers.get(ID, ""), headers.get("x-deadline-ms", "")
@@ -233,7 +233,7 @@
 
     def _awaited(self, number: int, late: bool = False) -> None:
         waiting = self.waiting.get(number)
-        known = self.moorings.chart.version and self.choice.services
+        known = self.control_client.routing_table.version and self.choice.services
         if waiting is None or not (known or late):
             return
         del self.waiting[number]
@@ -266,20 +266,20 @@
                 ruled(self.quota.counted(self.clock.now(), tenant.name, total, limit, wait))
 
         def alone(told: bool = False) -> None:
-            self.tally["counted_alone"] += 1
+            self.event_counts["counted_alone"] += 1
             ruling = self.quota.alone(self.clock.now(), tenant, self.fleet or UNKNOWN_FLEET)
-            self.moorings.give_up(number, partial(settle, ruling.goes))
+            self.control_client.give_up(number, partial(settle, ruling.goes))
             if ruling.goes and told:
-                self.moorings.spent(tenant.name)
+                self.control_client.spent(tenant.name)
             ruled(ruling)
 
         def settle(goes: bool, total: int, limit: int, wait: float) -> None:
             """Put right what a late answer shows the keeper to have counted otherwise than was ruled here."""
             counted = 0 <= total <= limit
             if goes and not counted:
-                self.moorings.spent(tenant.name)
+                self.control_client.spent(tenant.name)
             elif counted and not goes:
-                self.moorings.give_back(tenant.name)
+                self.control_client.give_back(tenant.name)
 
         def ruled(ruling: QuotaDecision) -> None:
             if request.tries.ended:
@@ -291,7 +291,7 @@
                 self._end(request, ErrorKind.OVER_QUOTA, ruling.wait * self.random.uniform(1.0, 1.2))
 
         timer = self.timers.at(now + ADD_MS, alone)
-        number = self.moorings.add(tenant.name, request.again, answered)
+        number = self.control_client.add(tenant.name, request.again, answered)
         if not number:
             timer.cancel()
             alone()
@@ -306,12 +306,12 @@
             self._go(request)
 
         def late() -> None:
-            self.moorings.drop(number)
-            self.tally["chosen_alone"] += 1
+            self.control_client.drop(number)
+            self.event_counts["chosen_alone"] += 1
             request.offers = []
             self._go(request)
 
-        number = self.moorings.berth(request.tries.service, offered)
+        number = self.control_client.candidate(request.tries.service, offered)
         if not number:
             request.offers = []
             return
@@ -329,17 +329,17 @@
         if not tries.may_send(now):
             self._give_up(request)
             return
-        berth = self.choice.pick(
+        candidate = self.choice.pick(
             now, tries.service, tries.route.name, tries.tried, () if tries.sent else request.offers or ()
         )
-        if berth is None or not self._afford(tries, now):
+        if candidate is None or not self._afford(tries, now):
             self._give_up(request)
             return
-        server = berth.server
+        server = candidate.server
         tries.begin(server.id)
         number = 16 * request.number + tries.sent
-        self.choice.sent(now, berth, number)
-        told = self.moorings.out(tries.service, server.id)
+        self.choice.sent(now, candidate, number)
+        told = self.control_client.out(tries.service, server.id)
         until = tries.until
         left = max(1, int(until + END_MS - now))
         headers = [*request.headers, ("X-Deadline-Ms", str(left)), ("X-Target-Instance", server.id)]
@@ -355,7 +355,7 @@
             headers=headers,
             body=request.body,
             feed=request.feed,
-            done=partial(self._ended, request, berth, number, told),
+            done=partial(self._ended, request, candidate, number, told),
             heard=self._headers,
         )
         passage.flowing = partial(self._flows, request, number)
@@ -380,13 +380,13 @@
             return True
         if budget.take(now, self.fleet):
             return True
-        self.tally["no_budget"] += 1
+        self.event_counts["no_budget"] += 1
         return False
 
     def _budget(self, service: str) -> RetryBudget:
         budget = self.budgets.get(service)
         if budget is None:
-            bounds = self.boot.guarantees
+            bounds = self.settings.guarantees
             budget = self.budgets[service] = RetryBudget(
                 bounds.retry_ratio, bounds.retry_window_s, bounds.retry_slack
             )
@@ -400,7 +400,7 @@
         left = self._budget(tries.service).left(now, self.fleet)
         other = self.choice.pick(now, tries.service, tries.route.name, tries.tried)
         if left >= HEDGE_LEFT and other is not None:
-            self.tally["hedged"] += 1
+            self.event_counts["hedged"] += 1
             self._send(request)
 
     def _headers(self, headers: dict[str, str]) -> None:
@@ -426,7 +426,9 @@
         client.begin(length, code, end_to_end_headers(pairs))
         return ResponseStream(request, number, client)
 
-    def _ended(self, request: Request, berth: EndpointState, number: int, told: str, reply: Reply) -> None:
+    def _ended(
+        self, request: Request, candidate: EndpointState, number: int, told: str, reply: Reply
+    ) -> None:
         """Learn from a try's end, and go on from there."""
         now, tries = self.clock.now(), request.tries
         outcome = _STATUS.get(reply.status, AttemptOutcome.BROKEN)
@@ -435,10 +437,10 @@
         if outcome is AttemptOutcome.TURNED_AWAY:
             good = None
         silent = outcome is AttemptOutcome.SILENT
-        ratio = self.choice.ended(now, berth, number, tries.route.name, good, silent)
+        ratio = self.choice.ended(now, candidate, number, tries.route.name, good, silent)
         if told:
-            self.moorings.back_in(told, berth.server.id, ratio)
-        self.tally[f"tries[{outcome.value}]"] += 1
+            self.control_client.back_in(told, candidate.server.id, ratio)
+        self.event_counts[f"tries[{outcome.value}]"] += 1
         if tries.ended:
             return
         if request.passing and request.passing != number:
@@ -471,7 +473,7 @@
             return
         client = self._place(request)
         self._finish(request)
-        self.tally["answered"] += 1
+        self.event_counts["answered"] += 1
         sealed = any(name == SEAL and value for name, value in landing.pairs)
         holds(sealed or not 200 <= landing.code < 300, "a success bears its seal")
         if isinstance(client, Http1Connection):
@@ -489,7 +491,7 @@
         counted = tenant is not None and tenant.rate > 0 and not request.tries.route.public
         unused = kind is ErrorKind.NO_SERVER and counted
         if unused and tenant is not None and self.quota.taken_back(now, tenant.name):
-            self.moorings.give_back(tenant.name)
+            self.control_client.give_back(tenant.name)
         self._end(request, kind, self.random.uniform(*BACK_MS))
 
     def _due(self, request: Request) -> None:
@@ -522,7 +524,7 @@
             request.feed.close()
 
     def _refuse(self, client: Client, kind: ErrorKind, wait: float = 0.0) -> None:
-        self.tally[f"refused[{kind.value}]"] += 1
+        self.event_counts[f"refused[{kind.value}]"] += 1
         answer = ERROR_RESPONSES[kind]
         client.answer(answer.status, retry_after(wait) if answer.comes_back else "", b"")
 
--- a/wickspring/lab/emulation/local_gateway.py
+++ b/wickspring/lab/emulation/local_gateway.py
@@ -58,7 +58,7 @@
 
     ip: str
     service: str
-    lights: list[str]
+    control_planes: list[str]
     id: str
     work_s: float = 0.01
     slots: int = 4
@@ -93,8 +93,8 @@
             }
             state = self.state
             path = f"/servers/{self.id}/heartbeat"
-            light = self.lights[at % len(self.lights)]
-            status, _ = await call(light, CONTROL, "POST", path, json.dumps(told))
+            control_plane = self.control_planes[at % len(self.control_planes)]
+            status, _ = await call(control_plane, CONTROL, "POST", path, json.dumps(told))
             if status == 200:
                 if state == "draining" and not self.acknowledged:
                     self.acknowledged, self.acknowledged_at = True, trio.current_time()
@@ -221,31 +221,32 @@
 class LocalGateway:
     """The processes of one gateway."""
 
-    def __init__(self, folder: Path, lights: int = 3, pilots: int = 2, net: int = 1) -> None:
+    def __init__(self, folder: Path, control_planes: int = 3, data_planes: int = 2, net: int = 1) -> None:
         self.folder = folder
-        self.lights = [f"127.{net}.1.{n + 1}" for n in range(lights)]
-        self.pilots = [f"127.{net}.2.{n + 1}" for n in range(pilots)]
+        self.control_planes = [f"127.{net}.1.{n + 1}" for n in range(control_planes)]
+        self.data_planes = [f"127.{net}.2.{n + 1}" for n in range(data_planes)]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.net = net
         self.standins: list[StandInServer] = []
 
     def start(self, ip: str, first: bool = True) -> None:
         """Start the process of one machine."""
-        light = ip in self.lights
+        control_plane = ip in self.control_planes
         folder = self.folder / ip
         folder.mkdir(parents=True, exist_ok=True)
         bind = (
             f"bind.control_addr={ip}:{CONTROL}\ndata_dir={folder / 'data'}\n"
-            if light
+            if control_plane
             else f"bind.front_http={ip}:{FRONT}\nbind.ready_addr={ip}:{READY}\n"
         )
-        seeds = ",".join(f"{one}:{CONTROL}" for one in self.lights[:3])
+        role = "control" if control_plane else "data"
+        seeds = ",".join(f"{one}:{CONTROL}" for one in self.control_planes[:3])
         (folder / "node.conf").write_text(
-            f"node_name={'light' if light else 'pilot'}-{ip}\nip={ip}\nzone=a\nregion=r\n{bind}"
+            f"node_name={role}-{ip}\nip={ip}\nzone=a\nregion=r\n{bind}"
             f"port_range=7340,7355\nseed_addrs={seeds}\nis_first_start={str(first).lower()}\n"
             f"heartbeat_s={BEAT_S}\nlimits.memory_mb=300\nlimits.max_fds=1024\n"
         )
-        program = "wickspring.controlplane" if light else "wickspring.dataplane"
+        program = "wickspring.controlplane" if control_plane else "wickspring.dataplane"
         with (folder / "log").open("ab") as log:
             self.processes[ip] = subprocess.Popen(
                 [sys.executable, "-m", program],
@@ -272,13 +273,13 @@
         for at, service in enumerate(("looker", "doer")):
             for n in range(each):
                 ip = f"127.{self.net}.{3 + at}.{n + 1}"
-                made.append(StandInServer(ip, service, self.lights, f"i-{service}-{n}"))
+                made.append(StandInServer(ip, service, self.control_planes, f"i-{service}-{n}"))
         self.standins = made
         return made
 
     async def launch(self, nursery: trio.Nursery, body: bytes) -> int:
         """Start all, with a configuration, and wait until the pilots are ready; how it was answered."""
-        for ip in (*self.lights, *self.pilots):
+        for ip in (*self.control_planes, *self.data_planes):
             self.start(ip)
         for one in self.servers():
             nursery.start_soon(one.run)
@@ -289,7 +290,7 @@
     async def order(self, body: bytes) -> int:
         """Send a configuration to one lighthouse after another until one answers clearly."""
         status = 0
-        for ip in self.lights * 8:
+        for ip in self.control_planes * 8:
             status, _ = await call(ip, CONTROL, "POST", "/config/replace", body, timeout_s=1.0)
             if status and status < 500:
                 return status
@@ -298,7 +299,7 @@
 
     async def read(self) -> int:
         """Read the configuration back; its version, or -1."""
-        for ip in self.lights * 8:
+        for ip in self.control_planes * 8:
             status, body = await call(ip, CONTROL, "GET", "/config/read", timeout_s=1.0)
             if status == 200:
                 return int(json.loads(body)["generation"][1:])
@@ -308,7 +309,7 @@
     async def ready(self, within_s: float = 10.0) -> None:
         """Wait until all pilots say that they are ready."""
         with trio.fail_after(within_s):
-            for ip in self.pilots:
+            for ip in self.data_planes:
                 while (await call(ip, READY, "GET", "/readiness", timeout_s=0.5))[0] != 200:
                     await trio.sleep(0.05)
 
@@ -317,29 +318,29 @@
     ) -> tuple[int, bytes]:
         """Make a client's request at one pilot."""
         headers = {"X-Attempt-Id": id_, "X-Deadline-Ms": "2000", "X-Key": key}
-        return await call(self.pilots[at], FRONT, method, path, "", headers, 3.0)
+        return await call(self.data_planes[at], FRONT, method, path, "", headers, 3.0)
 
 
 async def _up(seconds: float, say: Callable[[str], None]) -> None:
     with tempfile.TemporaryDirectory() as folder:
-        harbour = LocalGateway(Path(folder), net=0)
+        gateway = LocalGateway(Path(folder), net=0)
         try:
             async with trio.open_nursery() as nursery:
-                say(f"configuration r1: {await harbour.launch(nursery, document(1, rate=20.0))}")
-                say(f"pilots: {', '.join(f'{ip}:{FRONT}' for ip in harbour.pilots)}")
-                say(f"lighthouses: {','.join(f'{ip}:{CONTROL}' for ip in harbour.lights)}")
-                say(f"try: curl -i http://{harbour.pilots[0]}:{FRONT}{PREFIX}1 -H 'Host: {HOST}' \\")
+                say(f"configuration r1: {await gateway.launch(nursery, document(1, rate=20.0))}")
+                say(f"pilots: {', '.join(f'{ip}:{FRONT}' for ip in gateway.data_planes)}")
+                say(f"lighthouses: {','.join(f'{ip}:{CONTROL}' for ip in gateway.control_planes)}")
+                say(f"try: curl -i http://{gateway.data_planes[0]}:{FRONT}{PREFIX}1 -H 'Host: {HOST}' \\")
                 say(f"  -H 'X-Key: {KEY}' -H 'X-Attempt-Id: 1' -H 'X-Deadline-Ms: 2000'")
                 random, number = Random(1), 0
                 with trio.move_on_after(seconds or float("inf")):
                     while True:
                         number += 1
                         path = random.choice((PREFIX, "/do/")) + "1"
-                        nursery.start_soon(harbour.ask, number % 2, path, f"toy-{number}")
+                        nursery.start_soon(gateway.ask, number % 2, path, f"toy-{number}")
                         await trio.sleep(random.uniform(0.0, 0.2))
                 nursery.cancel_scope.cancel()
         finally:
-            harbour.stop()
+            gateway.stop()
 
 
 def up(seconds: float) -> None:
--- a/wickspring/lab/experiments/capacity_steps.py
+++ b/wickspring/lab/experiments/capacity_steps.py
@@ -100,14 +100,14 @@
 def lookup(routes: int, hosts: int) -> float:
     """Return the time of finding a drawn request's route, us."""
     body = document(1, 1, routes, 4, hosts=hosts)
-    chart, random = build_routing_table(body), Random(1)
+    routing_table, random = build_routing_table(body), Random(1)
     sockets = json.loads(body)["sockets"]
     rules = [(one["host"], rule["pattern"]["path_prefix"]) for one in sockets for rule in one["policy"]]
     asked = [random.choice(rules) for _ in range(200)]
 
     def all_() -> None:
         for host, prefix in asked:
-            chart.route(host, prefix + "1")
+            routing_table.route(host, prefix + "1")
 
     return 1000.0 * took_ms(all_) / len(asked)
 
@@ -134,7 +134,7 @@
 def of_servers(count: int) -> dict[str, float]:
     """Return what so many servers cost a core machine and an ingress at each step that goes over them."""
     told = servers(count)
-    register, choice, berths = EndpointRegistry(1500.0), EndpointSelector("a", 1), LoadTracker(1)
+    register, choice, candidates = EndpointRegistry(1500.0), EndpointSelector("a", 1), LoadTracker(1)
     for one in told:
         register.beat(0.0, one)
         choice.heard(0.0, one)
@@ -153,11 +153,11 @@
 
     def advise() -> None:
         mine = [one for one in register.whole() if one.service == told[0].service and one.state == 0]
-        berths.offers(0.0, "a", mine)
+        candidates.offers(0.0, "a", mine)
 
     def pilot_digest() -> int:
         return endpoints_digest(
-            [one.server for id_, one in choice.berths.items() if not one.lost and choice.takes(id_)]
+            [one.server for id_, one in choice.candidates.items() if not one.lost and choice.takes(id_)]
         )
 
     return {
@@ -177,11 +177,11 @@
     span_s = 5.0
 
     def counted(each: int = 4) -> QuotaCounter:
-        tally, random = QuotaCounter(span_s, 0.1, 20.0), Random(1)
+        event_counts, random = QuotaCounter(span_s, 0.1, 20.0), Random(1)
         for n in range(tenants):
             for _ in range(each):
-                tally.add(1e9, f"t{n}ab1c", f"10.9.{random.randrange(ingresses) // 250}.1", 33.0, 33.0)
-        return tally
+                event_counts.add(1e9, f"t{n}ab1c", f"10.9.{random.randrange(ingresses) // 250}.1", 33.0, 33.0)
+        return event_counts
 
     def accounted() -> QuotaPolicy:
         quota = QuotaPolicy(span_s, 0.1, 20.0)
@@ -189,15 +189,16 @@
             quota.sent(1e9, f"t{n}ab1c")
         return quota
 
-    tally = counted()
+    event_counts = counted()
     bursts = {f"t{n}ab1c": 33.0 for n in range(tenants)}
     names = list(bursts)
     random = Random(2)
     return {
         "counts_mb": held_mb(counted),
         "ingress_accounts_mb": held_mb(accounted),
-        "much_used_ms": took_ms(lambda: tally.much_used(1e9, bursts)),
-        "add_us": 1000.0 * took_ms(lambda: tally.add(1e9, random.choice(names), "10.9.0.1", 33.0, 33.0), 500),
+        "much_used_ms": took_ms(lambda: event_counts.much_used(1e9, bursts)),
+        "add_us": 1000.0
+        * took_ms(lambda: event_counts.add(1e9, random.choice(names), "10.9.0.1", 33.0, 33.0), 500),
     }
 
 
@@ -237,14 +238,14 @@
 def profiles(count: int, tenants: int, routes: int, services: int) -> dict[str, dict[str, float]]:
     """Profile the three dearest paths: the number told with each tick, advice for a request, an order."""
     told = servers(count)
-    register, berths = EndpointRegistry(1500.0), LoadTracker(1)
+    register, candidates = EndpointRegistry(1500.0), LoadTracker(1)
     for one in told:
         register.beat(0.0, one)
     body = document(1, tenants, routes, services)
 
     def advise() -> None:
         mine = [one for one in register.whole() if one.service == told[0].service and one.state == 0]
-        berths.offers(0.0, "a", mine)
+        candidates.offers(0.0, "a", mine)
 
     return {
         "tick": profile(lambda: endpoints_digest(register.whole()), 50),
--- a/wickspring/lab/experiments/drill.py
+++ b/wickspring/lab/experiments/drill.py
@@ -82,7 +82,7 @@
     """One gateway under load."""
 
     def __init__(self, folder: Path, seed: int, net: int = 16, rate: float = 0.0) -> None:
-        self.harbour = LocalGateway(folder, net=net)
+        self.gateway = LocalGateway(folder, net=net)
         self.random, self.folder = Random(seed), folder
         self.ledger = Ledger(rate)
         self.version = 1
@@ -102,7 +102,7 @@
         ask = Ask(f"d{number}", once, trio.current_time())
         self.ledger.asked.append(ask)
         path, method = ("/do/1", "POST") if once else ("/look/1", "GET")
-        ask.status, ask.body = await self.harbour.ask(number % 2, path, ask.id, method=method)
+        ask.status, ask.body = await self.gateway.ask(number % 2, path, ask.id, method=method)
         ask.took = trio.current_time() - ask.sent
 
     # Faults.
@@ -114,67 +114,67 @@
         """Send new versions, one after another."""
         for _ in range(10):
             self.version += 1
-            await self.harbour.order(document(self.version, self.ledger.rate))
+            await self.gateway.order(document(self.version, self.ledger.rate))
             await trio.sleep(0.2)
 
     async def lights_one_by_one(self) -> None:
         """Kill each lighthouse, with its disk once, and start it again."""
-        for at, ip in enumerate(self.harbour.lights):
-            self.harbour.kill(ip)
-            await self.harbour.order(document(self.version + 1, self.ledger.rate))
+        for at, ip in enumerate(self.gateway.control_planes):
+            self.gateway.kill(ip)
+            await self.gateway.order(document(self.version + 1, self.ledger.rate))
             self.version += 1
             if at == 0:
                 shutil.rmtree(self.folder / ip / "data")
-            self.harbour.start(ip, first=False)
+            self.gateway.start(ip, first=False)
             await trio.sleep(2.0)
 
-    async def all_lights(self) -> None:
+    async def all_control_planes(self) -> None:
         """Kill all lighthouses at once, twice."""
         for _ in range(2):
-            for ip in self.harbour.lights:
-                self.harbour.kill(ip)
+            for ip in self.gateway.control_planes:
+                self.gateway.kill(ip)
             await trio.sleep(0.5)
-            for ip in self.harbour.lights:
-                self.harbour.start(ip, first=False)
+            for ip in self.gateway.control_planes:
+                self.gateway.start(ip, first=False)
             await trio.sleep(2.0)
 
-    async def pilots(self) -> None:
+    async def data_planes(self) -> None:
         """Kill one pilot after the other, and start it again."""
-        for ip in self.harbour.pilots * 2:
-            self.harbour.kill(ip)
-            self.harbour.start(ip, first=False)
+        for ip in self.gateway.data_planes * 2:
+            self.gateway.kill(ip)
+            self.gateway.start(ip, first=False)
             await trio.sleep(1.5)
 
     async def liars(self) -> None:
         """Have a fifth of all answers spoilt for a while."""
-        for one in self.harbour.standins:
+        for one in self.gateway.standins:
             one.lies = 0.2
         await trio.sleep(3.0)
-        for one in self.harbour.standins:
+        for one in self.gateway.standins:
             one.lies = 0.0
 
     async def drains(self) -> None:
         """Have one server of each service leave in order, while a lighthouse ends."""
-        self.harbour.kill(self.harbour.lights[0])
-        for one in (self.harbour.standins[0], self.harbour.standins[3]):
+        self.gateway.kill(self.gateway.control_planes[0])
+        for one in (self.gateway.standins[0], self.gateway.standins[3]):
             one.state = "draining"
         await trio.sleep(1.0)
-        self.harbour.start(self.harbour.lights[0], first=False)
+        self.gateway.start(self.gateway.control_planes[0], first=False)
         await trio.sleep(DRAIN_S + 1.0)
 
     async def play(self, fault: Callable[[Drill], Awaitable[None]], per_s: float, seconds: float) -> None:
         """Start all, load it, and let the fault come after a second."""
-        harbour = self.harbour
+        gateway = self.gateway
         try:
             async with trio.open_nursery() as nursery:
-                await harbour.launch(nursery, document(self.version, self.ledger.rate))
+                await gateway.launch(nursery, document(self.version, self.ledger.rate))
                 async with trio.open_nursery() as inner:
                     inner.start_soon(self.load, per_s, trio.current_time() + seconds)
                     await trio.sleep(1.0)
                     await fault(self)
                 nursery.cancel_scope.cancel()
         finally:
-            harbour.stop()
+            gateway.stop()
 
 
 # What happens, requests a second, and the tenant's rate (0: none).
@@ -182,9 +182,9 @@
     "calm": (Drill.calm, 60.0, 0.0),
     "orders": (Drill.orders, 60.0, 0.0),
     "lights-one-by-one": (Drill.lights_one_by_one, 60.0, 0.0),
-    "all-lights": (Drill.all_lights, 60.0, 0.0),
-    "all-lights-hot": (Drill.all_lights, 120.0, 20.0),
-    "pilots": (Drill.pilots, 60.0, 0.0),
+    "all-lights": (Drill.all_control_planes, 60.0, 0.0),
+    "all-lights-hot": (Drill.all_control_planes, 120.0, 20.0),
+    "pilots": (Drill.data_planes, 60.0, 0.0),
     "liars": (Drill.liars, 60.0, 0.0),
     "drains": (Drill.drains, 60.0, 0.0),
 }
@@ -196,6 +196,6 @@
     with tempfile.TemporaryDirectory() as folder:
         drill = Drill(Path(folder), seed, net, rate)
         trio.run(drill.play, fault, per_s, seconds)
-        judged = drill.ledger.judge(drill.harbour.standins)
+        judged = drill.ledger.judge(drill.gateway.standins)
     broken = sum(int(judged[rule]) for rule in RULES)
     return {"drill": name, "seed": seed, "seconds": seconds, **judged, "rules_broken": broken}
--- a/wickspring/lab/experiments/recovery_times.py
+++ b/wickspring/lab/experiments/recovery_times.py
@@ -22,56 +22,56 @@
 Times = dict[str, list[float]]
 
 
-async def _served(harbour: LocalGateway, pilot: int, path: str, name: str) -> None:
+async def _served(gateway: LocalGateway, data_plane: int, path: str, name: str) -> None:
     """Wait until a pilot serves a path; each ask has an id of its own."""
     with trio.fail_after(LATE_S):
         number = 0
-        while (await harbour.ask(pilot, path, f"{name}-{pilot}-{number}"))[0] != 200:
+        while (await gateway.ask(data_plane, path, f"{name}-{data_plane}-{number}"))[0] != 200:
             number += 1
             await trio.sleep(STEP_S)
 
 
-async def _all_serve(harbour: LocalGateway, path: str, name: str) -> None:
+async def _all_serve(gateway: LocalGateway, path: str, name: str) -> None:
     async with trio.open_nursery() as nursery:
-        for pilot in range(len(harbour.pilots)):
-            nursery.start_soon(_served, harbour, pilot, path, name)
+        for data_plane in range(len(gateway.data_planes)):
+            nursery.start_soon(_served, gateway, data_plane, path, name)
 
 
 async def _play(folder: Path, seed: int, net: int, times: Times) -> None:
-    random, harbour = Random(seed), LocalGateway(folder, net=net)
+    random, gateway = Random(seed), LocalGateway(folder, net=net)
 
     def took(name: str, begun: float) -> None:
         times.setdefault(name, []).append(1000.0 * (trio.current_time() - begun))
 
     try:
         async with trio.open_nursery() as nursery:
-            await harbour.launch(nursery, document(1))
+            await gateway.launch(nursery, document(1))
             for version in range(2, 2 + ORDERS):
-                await harbour.order(document(version, once=f"/do{version}/"))
+                await gateway.order(document(version, once=f"/do{version}/"))
                 begun = trio.current_time()
-                await _all_serve(harbour, f"/do{version}/1", f"v{version}")
+                await _all_serve(gateway, f"/do{version}/1", f"v{version}")
                 took("acknowledged to applied", begun)
                 await trio.sleep(random.uniform(0.0, 0.3))
-            lost = random.choice(harbour.lights)
+            lost = random.choice(gateway.control_planes)
             begun = trio.current_time()
-            harbour.kill(lost)
+            gateway.kill(lost)
             with trio.fail_after(LATE_S):
-                while await harbour.order(document(9)) != 200:
+                while await gateway.order(document(9)) != 200:
                     await trio.sleep(STEP_S)
             took("chain mended", begun)
-            harbour.start(lost, first=False)
+            gateway.start(lost, first=False)
             await trio.sleep(random.uniform(1.5, 2.0))
-            every = (*harbour.lights, *harbour.pilots)
+            every = (*gateway.control_planes, *gateway.data_planes)
             for ip in every:
-                harbour.kill(ip)
+                gateway.kill(ip)
             begun = trio.current_time()
             for ip in every:
-                harbour.start(ip, first=False)
-            await _all_serve(harbour, "/look/1", "back")
+                gateway.start(ip, first=False)
+            await _all_serve(gateway, "/look/1", "back")
             took("serving after all were killed", begun)
             nursery.cancel_scope.cancel()
     finally:
-        harbour.stop()
+        gateway.stop()
 
 
 def measure(seeds: int = 20, net: int = 17) -> dict[str, dict[str, float]]:
