--- a/wickspring/lab/simulation/gossip.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -69,7 +69,7 @@
         return await self._out.receive()
 
 
-class VirtualPilot:
+class VirtualDataPlane:
     """What one pilot holds: a version, and nothing more."""
 
     def __init__(self, fleet: Fleet, number: int, nursery: trio.Nursery) -> None:
@@ -83,10 +83,10 @@
         """Return the state to compare."""
         return self.version, bytes(DIGEST_SIZE) if self.version else b"", 0, 0
 
-    def tell_all(self, cable: PeerConnection, version: int, digest: bytes) -> None:
+    def tell_all(self, connection: PeerConnection, version: int, digest: bytes) -> None:
         """Nothing is told over cables here."""
 
-    def take(self, cable: PeerConnection, message: Message) -> None:
+    def take(self, connection: PeerConnection, message: Message) -> None:
         """Nothing comes over cables here."""
 
     def alone(self) -> bool:
@@ -100,7 +100,7 @@
     fleet: Fleet
 
     async def _fetch(self, ip: str) -> None:
-        mine, theirs = self.fleet.pilots[self.ip], self.fleet.pilots[ip]
+        mine, theirs = self.fleet.data_planes[self.ip], self.fleet.data_planes[ip]
         try:
             await trio.sleep(3 * HOP_S)
             if {self.ip, ip} & (self.fleet.net.dead | self.fleet.net.mute):
@@ -118,17 +118,17 @@
     def __init__(self, count: int, seed: int, nursery: trio.Nursery) -> None:
         self.random, self.clock = Random(seed), VirtualClock()
         self.net = Net(self.random)
-        self.pilots: dict[str, VirtualPilot] = {}
+        self.data_planes: dict[str, VirtualDataPlane] = {}
         for number in range(count):
-            pilot = VirtualPilot(self, number, nursery)
-            self.pilots[pilot.ip] = pilot
+            data_plane = VirtualDataPlane(self, number, nursery)
+            self.data_planes[data_plane.ip] = data_plane
 
     @property
-    def living(self) -> list[VirtualPilot]:
+    def living(self) -> list[VirtualDataPlane]:
         """Return those that have not been ended."""
-        return [one for ip, one in self.pilots.items() if ip not in self.net.dead]
+        return [one for ip, one in self.data_planes.items() if ip not in self.net.dead]
 
-    async def until(self, share: float, known: Callable[[VirtualPilot], bool]) -> float:
+    async def until(self, share: float, known: Callable[[VirtualDataPlane], bool]) -> float:
         """Wait until so large a share of the living know something; the seconds that it took, or -1."""
         begun = trio.current_time()
         while trio.current_time() - begun < MOST_S:
@@ -146,7 +146,7 @@
 async def _play(count: int, seed: int, result: dict[str, Any]) -> None:
     async with trio.open_nursery() as nursery:
         fleet = Fleet(count, seed, nursery)
-        random, all_ = fleet.random, list(fleet.pilots.values())
+        random, all_ = fleet.random, list(fleet.data_planes.values())
         for one in all_:
             nursery.start_soon(one.talk.run)
         for one in all_:
--- a/wickspring/lab/simulation/hollow_gateway.py
+++ b/wickspring/lab/simulation/hollow_gateway.py
@@ -30,8 +30,8 @@
 import trio.testing
 from trio._core import _run as scheduling
 
-from wickspring.common import connection as cables
-from wickspring.common import settings as boots
+from wickspring.common import connection as connections
+from wickspring.common import settings as settings_module
 from wickspring.common.connection import Message, PeerConnection
 from wickspring.common.lifecycle import GC_AFTER
 from wickspring.controlplane import process as controlplane_process
@@ -120,11 +120,11 @@
     ) -> Callable[[PeerConnection, Message], None]:
         """Return a handler of messages whose time is put down to the part of each."""
 
-        def metered(cable: PeerConnection, message: Message) -> None:
+        def metered(peer_connection: PeerConnection, message: Message) -> None:
             name = str(message[0])
             before = self._switch((role, PART_OF.get(name, name)))
             try:
-                take(cable, message)
+                take(peer_connection, message)
             finally:
                 self._switch(before)
 
@@ -293,8 +293,8 @@
     with ExitStack() as stack:
         for target, name, value in (
             (host, "Clock", VirtualClock),
-            (cables, "connect", net.connect),
-            (cables, "Link", lambda pipe, _: pipe),
+            (connections, "connect", net.connect),
+            (connections, "Link", lambda pipe, _: pipe),
             (gossip_module, "connect", net.connect),
             (gossip_module, "Link", lambda pipe, _: pipe),
             (dataplane_process, "Udp", partial(Wire, net)),
@@ -364,21 +364,21 @@
         self.net, self.meter, self.nursery, self.folder = net, net.meter, nursery, folder
         self.random, self.clock = Random(seed), VirtualClock()
         self.cores = [f"10.1.0.{n + 1}" for n in range(cores)]
-        self.lights: dict[str, controlplane_process.ControlPlane] = {}
-        self.pilots: dict[str, dataplane_process.DataPlane] = {}
+        self.control_planes: dict[str, controlplane_process.ControlPlane] = {}
+        self.data_planes: dict[str, dataplane_process.DataPlane] = {}
         self._scopes: dict[str, trio.CancelScope] = {}
         self.tree: dict[str, Any] = {}
         self.servers: dict[str, dict[str, Any]] = {}
         self._lives = 0
 
-    def _boot(self, ip: str, first: bool = True) -> boots.NodeSettings:
-        return boots.NodeSettings(
+    def _settings(self, ip: str, first: bool = True) -> settings_module.NodeSettings:
+        return settings_module.NodeSettings(
             f"n-{ip}",
             ip,
             "a",
             f"{PORT},{PORT + 15}",
             [f"{one}:8783" for one in self.cores[:3]],
-            bind=boots.Bind(control_addr=f"{ip}:8783"),
+            bind=settings_module.Bind(control_addr=f"{ip}:8783"),
             is_first_start=first,
             data_dir=f"{self.folder}/{ip}",
             region="r",
@@ -404,16 +404,16 @@
         """Start a core machine."""
 
         def run(nursery: trio.Nursery) -> Callable[[], None]:
-            light = self.lights[ip] = controlplane_process.ControlPlane(
-                self._boot(ip), nursery, self.random.getrandbits(32)
+            control_plane = self.control_planes[ip] = controlplane_process.ControlPlane(
+                self._settings(ip), nursery, self.random.getrandbits(32)
             )
-            self.net.listen(ip, CORE, nursery, self.clock, light.cable)
+            self.net.listen(ip, CORE, nursery, self.clock, control_plane.connection)
 
             def begin() -> None:
-                self._start(nursery, "rest", light.timers.run)
-                self._start(nursery, "chain", light.core.run)
-                self._start(nursery, "core ticks", light.core.tick)
-                self._start(nursery, "upkeep", light.upkeep)
+                self._start(nursery, "rest", control_plane.timers.run)
+                self._start(nursery, "chain", control_plane.core.run)
+                self._start(nursery, "core ticks", control_plane.core.tick)
+                self._start(nursery, "upkeep", control_plane.upkeep)
 
             return begin
 
@@ -423,16 +423,16 @@
         """Start an ingress."""
 
         def run(nursery: trio.Nursery) -> Callable[[], None]:
-            pilot = self.pilots[ip] = dataplane_process.DataPlane(
-                self._boot(ip), nursery, self.random.getrandbits(32)
+            data_plane = self.data_planes[ip] = dataplane_process.DataPlane(
+                self._settings(ip), nursery, self.random.getrandbits(32)
             )
-            self.net.listen(ip, INGRESS, nursery, self.clock, pilot.flotilla.serve)
+            self.net.listen(ip, INGRESS, nursery, self.clock, data_plane.gossip.serve)
 
             def begin() -> None:
-                self._start(nursery, "requests", pilot.timers.run)
-                self._start(nursery, "ticks", pilot.moorings.tick)
-                self._start(nursery, "gossip", pilot.flotilla.run)
-                pilot.upkeep()
+                self._start(nursery, "requests", data_plane.timers.run)
+                self._start(nursery, "ticks", data_plane.control_client.tick)
+                self._start(nursery, "gossip", data_plane.gossip.run)
+                data_plane.upkeep()
 
             return begin
 
@@ -442,7 +442,7 @@
         """End a machine at once."""
         self.net.listening.pop(ip, None)
         self.net.wires.pop(ip, None)
-        self.pilots.pop(ip, None)
+        self.data_planes.pop(ip, None)
         self._scopes.pop(ip).cancel()
 
     # Servers.
@@ -468,10 +468,10 @@
         """Have one server's beat come to a core machine, the same one each time."""
         told = self.servers[id_]
         told["condition"]["call_seq"] += 1
-        light = self.lights[self._home(id_)]
+        control_plane = self.control_planes[self._home(id_)]
         body = json.dumps(told).encode()
         with self.meter.inside(CORE, "beats"):
-            light.ask(Caller(), "POST", f"/servers/{id_}/heartbeat", {}, body)
+            control_plane.ask(Caller(), "POST", f"/servers/{id_}/heartbeat", {}, body)
 
     def _home(self, id_: str) -> str:
         return self.cores[int(id_[2:8]) % len(self.cores)]
@@ -480,7 +480,7 @@
         """Have a server say that it ends."""
         self.servers.pop(id_)
         with self.meter.inside(CORE, "beats"):
-            self.lights[self._home(id_)].ask(Caller(), "POST", f"/servers/{id_}/deregister", {}, b"")
+            self.control_planes[self._home(id_)].ask(Caller(), "POST", f"/servers/{id_}/deregister", {}, b"")
 
     async def beats(self, period_s: float) -> None:
         """Have all servers beat, evenly spread over the time."""
@@ -503,9 +503,9 @@
             status[0] = code
             ended.set()
 
-        light = self.lights[self.cores[0]]
+        control_plane = self.control_planes[self.cores[0]]
         with self.meter.inside(CORE, "configuration"):
-            light.ask(Caller(answered), "POST", "/config/replace", {}, body)
+            control_plane.ask(Caller(answered), "POST", "/config/replace", {}, body)
         await ended.wait()
         return status[0]
 
@@ -539,12 +539,12 @@
                 "x-deadline-ms": "2000",
             }
             with self.meter.inside(INGRESS, "requests"):
-                self.pilots[ip].ask(Caller(), "GET", f"{prefix}1", headers, b"")
+                self.data_planes[ip].ask(Caller(), "GET", f"{prefix}1", headers, b"")
 
     async def settle(self, ingresses: int) -> None:
         """Wait until all ingresses have configuration and servers."""
         with trio.fail_after(120.0):
-            while sum(one.is_ready for one in self.pilots.values()) < ingresses:
+            while sum(one.is_ready for one in self.data_planes.values()) < ingresses:
                 await trio.sleep(0.25)
 
 
--- a/wickspring/lab/simulation/request_path.py
+++ b/wickspring/lab/simulation/request_path.py
@@ -528,19 +528,23 @@
     async def _main(self) -> None:
         async with trio.open_nursery() as nursery:
             limits = Limits(memory_mb=256.0, max_fds=1024)
-            boot = NodeSettings("edge-a-1", "10.1.0.30", "a", "7340,7355", ["10.1.0.33:8783"], limits=limits)
-            self.pilot = pilot = DataPlane(boot, nursery, self.seed)
-            nursery.start_soon(pilot.timers.run)
-            pilot.tidy()
+            settings = NodeSettings(
+                "edge-a-1", "10.1.0.30", "a", "7340,7355", ["10.1.0.33:8783"], limits=limits
+            )
+            self.data_plane = data_plane = DataPlane(settings, nursery, self.seed)
+            nursery.start_soon(data_plane.timers.run)
+            data_plane.tidy()
             timeout = f'"timeout_s": {self.timeout_s}'.encode()
-            chart = build_routing_table(document(1, once=ONCE).replace(b'"timeout_s": 2.0', timeout))
-            pilot.moorings.chart, pilot.moorings.fleet = chart, 1
-            pilot._charted(chart)
+            routing_table = build_routing_table(document(1, once=ONCE).replace(b'"timeout_s": 2.0', timeout))
+            data_plane.control_client.routing_table, data_plane.control_client.fleet = routing_table, 1
+            data_plane._charted(routing_table)
             for number, name in enumerate(self.peers):
                 service = ("looker", "doer")[number % 2]
-                pilot.choice.heard(pilot.clock.now(), Endpoint(name, service, f"10.0.0.{number}:80", "a", 2))
+                data_plane.choice.heard(
+                    data_plane.clock.now(), Endpoint(name, service, f"10.0.0.{number}:80", "a", 2)
+                )
             self.nursery = nursery
-            cast(Any, pilot.upstream).connect = self._connect
+            cast(Any, data_plane.upstream).connect = self._connect
             if self.drains:
                 nursery.start_soon(self._drain)
             with trio.move_on_after(MOST_S) as limit:
@@ -550,27 +554,27 @@
             if limit.cancelled_caught:
                 self.books.wrong("a client waits without end")
             await trio.sleep(4.0)  # whoever runs late has run by then
-            if pilot.requests or pilot.ids:
-                self.books.wrong("still owed", list(pilot.requests))
+            if data_plane.requests or data_plane.ids:
+                self.books.wrong("still owed", list(data_plane.requests))
             nursery.cancel_scope.cancel()
 
     async def _drain(self) -> None:
         """Do as `pilot.run` does when it is told to end."""
-        pilot = self.pilot
+        data_plane = self.data_plane
         await trio.sleep(self.random.uniform(0.0, 1.5))
-        pilot.draining = True
+        data_plane.draining = True
         await trio.sleep(programs.ACCEPT_ON_S)
         self.asks = 0
-        while pilot.requests or any(not one.idle() for one in pilot.connections):
+        while data_plane.requests or any(not one.idle() for one in data_plane.connections):
             await trio.sleep(0.02)
-        for connection in list(pilot.connections):
+        for connection in list(data_plane.connections):
             connection.end_quiet()
 
     async def _connect(self, conn: Any) -> Link | None:
         random = self.random
         await trio.sleep(random.choice((0.0, 0.001, 0.01)))
         if random.random() < 0.05 * self.odd:
-            self.pilot.upstream.dial_failed(conn)
+            self.data_plane.upstream.dial_failed(conn)
             return None
         if conn.state.value == "closed":
             return None
@@ -588,8 +592,8 @@
         """Open a client's connection."""
         near = ClientEnd(self.random, math.inf)
         link = cast(Link, near)
-        front = Http1Connection(link, self.pilot, patience=self.pilot.patience)
-        self.nursery.start_soon(self.pilot.serve, front, link)
+        front = Http1Connection(link, self.data_plane, patience=self.data_plane.patience)
+        self.nursery.start_soon(self.data_plane.serve, front, link)
         return near.far
 
     def _request(self, number: int) -> tuple[str, bytes, float, int]:
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -58,8 +58,8 @@
         """Return what tells this state from others."""
         parts = []
         for ip, chain in sorted(self.chains.items()):
-            decree, passing = chain.decree, chain._passing
-            mine, accepted = decree.proposal, decree.accepted
+            paxos, passing = chain.paxos, chain._passing
+            mine, accepted = paxos.proposal, paxos.accepted
             told: Any = None
             if mine is not None:
                 best = None if mine.best is None else (mine.best[0], mine.best[1][1].config)
@@ -74,7 +74,7 @@
                     ip,
                     chain.me,
                     chain.view,
-                    decree.promised,
+                    paxos.promised,
                     held,
                     chain.replica.config,
                     chain.safe.config,
@@ -97,10 +97,10 @@
             one.replica, one.safe = chain.replica.copy(), chain.safe.copy()
             one._waiting = {ticket: replace(entry) for ticket, entry in chain._waiting.items()}
             one._holds, one._copied = dict(chain._holds), dict(chain._copied)
-            one.decree = copy.copy(chain.decree)
-            mine = chain.decree.proposal
+            one.paxos = copy.copy(chain.paxos)
+            mine = chain.paxos.proposal
             if mine is not None:
-                one.decree.proposal = replace(
+                one.paxos.proposal = replace(
                     mine, promises=dict(mine.promises), accepts=set(mine.accepts), state=mine.state.copy()
                 )
         return replace(
