--- /dev/null
+++ b/tests/controlplane/test_quota_takeover.py
@@ -0,0 +1,228 @@
+"""The ceiling of a quota while the owner of the count is lost and gateways are cut off, in any order."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from random import Random
+
+import pytest
+import trio
+
+from tests.dataplane.test_policy import EXCESS, SLACK, SPAN_S, most_in_a_span
+from tests.support.virtual_system import CONTROL_PLANES, DATA_PLANES, Site, play
+from wickspring.common.connection import SILENCE_TIMEOUT_MS
+from wickspring.common.quota_rule import quota_ceiling
+from wickspring.common.routing_table import Tenant
+from wickspring.controlplane.process import SWEEP_MS
+from wickspring.controlplane.quota_counter import QuotaCounter
+from wickspring.dataplane.policy.quota import QuotaPolicy
+
+GATEWAYS, OWNERS = 11, 3
+LASTS_MS = 22_000.0
+SEEDS_A_TEST = 50
+TAKE_OVER_MS = 900.0, 1900.0  # from an owner's end until the next one counts
+VIEW_MS = 500.0  # of those, from the view that names it
+
+
+@dataclass
+class Machine:
+    """A machine with a steady clock of its own."""
+
+    clock_ms: float
+    cut_at: float | None = None
+
+    def heard(self, now: float) -> bool:
+        """Tell whether the others have not yet noticed that it is cut off."""
+        return self.cut_at is None or now - self.cut_at < SILENCE_TIMEOUT_MS
+
+
+@dataclass
+class Gateway(Machine):
+    """A gateway's side of the quota."""
+
+    quota: QuotaPolicy = field(default_factory=lambda: QuotaPolicy(SPAN_S, EXCESS, SLACK))
+
+
+@dataclass
+class Owner(Machine):
+    """A core machine: it may own the count."""
+
+    quota_counter: QuotaCounter = field(default_factory=lambda: QuotaCounter(SPAN_S, EXCESS, SLACK))
+    noticed: set[str] = field(default_factory=set)
+
+
+class Scene:
+    """One day of a hot tenant."""
+
+    def __init__(self, seed: int) -> None:
+        self.random = Random(seed)
+        rate = self.random.choice((12.0, 30.0, 71.0))
+        self.tenant = Tenant("t", 0, rate, rate * self.random.choice((0.5, 1.0)))
+        self.gateways = {f"g{n}": Gateway(self.random.uniform(0.0, 1e6)) for n in range(GATEWAYS)}
+        self.weights = [self.random.choice((1.0, 1.0, 2.0)) for _ in self.gateways]
+        self.owners = [Owner(self.random.uniform(0.0, 1e6)) for _ in range(OWNERS)]
+        self.owner: Owner | None = self.owners[0]
+        self.next_owner: Owner | None = None
+        self.sent: list[float] = []
+        self.swept_at = 0.0
+        between = self.random.uniform
+        self.hot_at, self.cut_at = between(11e3, 13e3), between(11e3, 14e3)
+        self.end_at = between(12e3, 15.5e3)
+        self.heal_at = self.cut_at + between(3000, 7000)
+        self.again_at = self.end_at + between(2500, 5000) if self.random.random() < 0.5 else LASTS_MS
+        self.view_at = self.counts_at = LASTS_MS
+
+    def play(self) -> None:
+        """Play it, event by event."""
+        now, random = 0.0, self.random
+        while now < LASTS_MS:
+            load = 6.0 if now > self.hot_at else 0.62
+            now += 1000.0 * random.expovariate(self.tenant.rate * load)
+            self._turns(now)
+            if now - self.swept_at >= SWEEP_MS:
+                self.swept_at = now
+                self._sweep(now)
+            name = random.choices(list(self.gateways), self.weights)[0]
+            if self._request(now, name):
+                self.sent.append(now)
+
+    def _turns(self, now: float) -> None:
+        """Have happen what is due."""
+        if now >= self.cut_at:
+            self.cut_at = LASTS_MS
+            for gateway in self.random.sample(list(self.gateways.values()), self.random.choice((1, 2, 3))):
+                gateway.cut_at = now
+        if now >= self.end_at:
+            self.end_at, self.again_at = self.again_at, LASTS_MS
+            self._end_owner(now)
+        if now >= self.view_at:
+            self.view_at = LASTS_MS
+            self._view(now)
+        if now >= self.counts_at:
+            self.counts_at, self.owner, self.next_owner = LASTS_MS, self.next_owner, None
+        if now >= self.heal_at:
+            self.heal_at = LASTS_MS
+            for name, gateway in self.gateways.items():
+                if gateway.cut_at is not None:
+                    gateway.cut_at = None
+                    self._hello(now, name)
+
+    def _end_owner(self, now: float) -> None:
+        """End the owner; it starts again with nothing, and the gateways in reach say hello to it."""
+        ended = self.owner
+        if ended is None:
+            return
+        self.owner = None
+        self.next_owner = self.random.choice([one for one in self.owners if one is not ended])
+        ended.quota_counter, ended.noticed = QuotaCounter(SPAN_S, EXCESS, SLACK), set(self.gateways)
+        for name, gateway in self.gateways.items():
+            if gateway.cut_at is None:
+                self._hello(now, name, ended)
+        self.counts_at = now + self.random.uniform(*TAKE_OVER_MS)
+        self.view_at = self.counts_at - VIEW_MS
+
+    def _hello(self, now: float, name: str, *owners: Owner) -> None:
+        for owner in owners or self.owners:
+            owner.quota_counter.back(name)
+            owner.noticed.discard(name)
+            self._past(now, name, owner)
+
+    def _past(self, now: float, name: str, owner: Owner) -> None:
+        gateway = self.gateways[name]
+        for tenant, told in gateway.quota.past(now + gateway.clock_ms):
+            owner.quota_counter.past(now + owner.clock_ms, tenant, name, told)
+
+    def _view(self, now: float) -> None:
+        """Name the next owner; the gateways in reach tell all core machines what they have sent."""
+        for owner in self.owners:
+            owner.quota_counter.begin(now + owner.clock_ms)
+            for name, gateway in self.gateways.items():
+                if gateway.cut_at is None:
+                    self._past(now, name, owner)
+
+    def _sweep(self, now: float) -> None:
+        """Have the core machines notice who is silent, and the owner tell the others of its count."""
+        for owner in self.owners:
+            for name, gateway in self.gateways.items():
+                if not gateway.heard(now) and name not in owner.noticed:
+                    owner.noticed.add(name)
+                    owner.quota_counter.went_silent(now + owner.clock_ms, name)
+        if self.owner is not None:
+            self._tell(now, self.owner)
+
+    def _tell(self, now: float, teller: Owner) -> None:
+        told_at = now + teller.clock_ms
+        much_used = teller.quota_counter.much_used(told_at, {"t": self.tenant.burst})
+        if not much_used:
+            return
+        silent, shares = (
+            teller.quota_counter.silent_for(told_at),
+            teller.quota_counter.shares(told_at, much_used),
+        )
+        for other in self.owners:
+            if other is teller:
+                continue
+            other.quota_counter.shadowed(now + other.clock_ms, "t", much_used["t"])
+            other.quota_counter.take_shares("t", shares["t"])
+            for name in set(silent) & other.noticed:
+                other.quota_counter.went_silent(now + other.clock_ms, name, silent[name])
+
+    def _request(self, now: float, name: str) -> bool:
+        """Have a gateway rule on a request."""
+        gateway, tenant = self.gateways[name], self.tenant
+        own, rate, burst = now + gateway.clock_ms, tenant.rate, tenant.burst
+        gateway.quota.sent(own, "t")
+        if gateway.cut_at is None and self.owner is not None:
+            total, limit, wait = self.owner.quota_counter.add(
+                now + self.owner.clock_ms, "t", name, rate, burst
+            )
+            return gateway.quota.counted(own, "t", total, limit, wait).goes
+        goes = gateway.quota.alone(own, tenant, GATEWAYS).goes
+        named = self.next_owner if self.view_at == LASTS_MS else None
+        if goes and named is not None and gateway.cut_at is None:
+            named.quota_counter.spent(now + named.clock_ms, "t", name, rate, burst)
+        return goes
+
+
+def excess(seed: int) -> float:
+    """Return by how many requests the fullest span of a day passes the ceiling; below 0: it does not."""
+    scene = Scene(seed)
+    scene.play()
+    most = quota_ceiling(scene.tenant.rate, scene.tenant.burst, SPAN_S, EXCESS, SLACK)
+    return most_in_a_span(scene.sent, 1000.0 * SPAN_S) - most
+
+
+@pytest.mark.parametrize("first", range(0, 4 * SEEDS_A_TEST, SEEDS_A_TEST))
+def test_ceiling_holds_with_gateways_cut_off_and_their_owner_lost(first: int) -> None:
+    over = {seed: excess(seed) for seed in range(first, first + SEEDS_A_TEST)}
+    assert not {seed: units for seed, units in over.items() if units > 0.0}
+
+
+def test_other_core_machines_hear_of_a_cut_off_gateway_and_its_share(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test(site: Site) -> None:
+        for ip in DATA_PLANES:
+            await site.start_pilot(ip)
+        owner, *others = (site.control_planes[ip] for ip in CONTROL_PLANES[:3])
+        assert (await site.until_safe(CONTROL_PLANES[0], 1)).status == 200
+        name, tenant = next(
+            (name, one) for name, one in owner.offers.routing_table.tenants.items() if one.rate > 0
+        )
+        await site.until(lambda: all(one.fleet == len(DATA_PLANES) for one in site.control_planes.values()))
+        for step in range(200):
+            now, pilot = owner.clock.now(), DATA_PLANES[step % 4 == 0]
+            owner.quota_counter.spent(now, name, pilot, tenant.rate, tenant.burst)
+        site.cut(DATA_PLANES[1])
+        await trio.sleep(0.5)
+        for one in others:
+            assert one.quota_counter.counts[name].shares == {DATA_PLANES[0]: 0.75, DATA_PLANES[1]: 0.25}
+            assert not one.quota_counter.silent
+        await site.until(lambda: all(list(one.quota_counter.silent) == [DATA_PLANES[1]] for one in others))
+        site.kill(CONTROL_PLANES[2])
+        begun_anew = await site.start_light(
+            CONTROL_PLANES[2]
+        )  # it has never heard the gateway that is cut off
+        await site.until(lambda: list(begun_anew.quota_counter.silent) == [DATA_PLANES[1]])
+        site.heal()
+        await site.until(lambda: not any(one.quota_counter.silent for one in site.control_planes.values()))
+
+    play(monkeypatch, test)
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -56,7 +56,7 @@
                 owner.back(f"p{number}")
             cut = set(random.sample(range(8), random.choice((0, 1, 2))))
             for number in cut:
-                owner.away(now, f"p{number}")
+                owner.went_silent(now, f"p{number}")
         number = random.choices(range(8), weights)[0]
         data_plane = data_planes[number]
         data_plane.sent(now, "t")
@@ -193,7 +193,7 @@
             cut = True
             for number in range(4):
                 if told:
-                    owner.away(now, f"p{number}")
+                    owner.went_silent(now, f"p{number}")
         number = random.randrange(8)
         data_plane = data_planes[number]
         data_plane.sent(now, "t")
--- a/wickspring/controlplane/process.py
+++ b/wickspring/controlplane/process.py
@@ -353,6 +353,8 @@
         elif message[0] == "shadow":
             for name, told in message[1].items():
                 self.quota_counter.shadowed(now, str(name), [(int(ago), int(units)) for ago, units in told])
+        elif message[0] == "shares":
+            self._take_shares(now, message[1], message[2])
         elif message[0] == "alive":
             back = self.registry.alive(now, [(str(id_), int(seq)) for id_, seq in message[1]])
             if back:
@@ -364,6 +366,16 @@
             asked = [self.registry.servers.get(str(id_)) for id_ in message[1]]
             self.core.say(ip, "servers", [one.pack(now) for one in asked if one is not None])
 
+    def _take_shares(self, now: float, silent: dict[str, float], shares: dict[str, dict[str, float]]) -> None:
+        """Hear which pilots a keeper of counts does not hear, and what they all have of its counts."""
+        for name, told in shares.items():
+            self.quota_counter.take_shares(
+                str(name), {str(data_plane): float(share) for data_plane, share in told.items()}
+            )
+        for data_plane, lasts_ms in silent.items():
+            if data_plane not in self.data_planes.values():
+                self.quota_counter.went_silent(now, str(data_plane), float(lasts_ms))
+
     # Upkeep.
 
     def _tell_short(self, now: float) -> None:
@@ -397,11 +409,14 @@
             much_used = self.quota_counter.much_used(now, bursts)
             if much_used and self.core.steady:
                 self.core.say_all("shadow", much_used)
+            silent = self.quota_counter.silent_for(now)
+            if (much_used or silent) and self.core.steady:
+                self.core.say_all("shares", silent, self.quota_counter.shares(now, much_used))
             for connection, name in list(self.data_planes.items()):
                 if not connection.live:  # silent, and no reset: it may be cut off, and go on alone
                     del self.data_planes[connection]
                     if name not in self.data_planes.values():
-                        self.quota_counter.away(now, name)
+                        self.quota_counter.went_silent(now, name)
                     connection.close()
             known = [one for one in self.registry.whole() if one.state == READY]
             if now - saved_at >= SAVE_MS and self._saved != {one.id for one in known}:
--- a/wickspring/controlplane/quota_counter.py
+++ b/wickspring/controlplane/quota_counter.py
@@ -10,10 +10,12 @@
 again, and who was refused once is refused twice.
 
 A pilot that has gone silent may be cut off, and then goes on alone within its part (`pilot.policy.quota`). So
-what it may send on is kept back for a while; one whose cable was reset has ended, and sends on nothing.
+what it may send on in a span is reserved for a while: units given out and units reserved stay together under
+the rule's ceiling. One whose cable was reset has ended, and sends on nothing.
 
 The machines that do not keep a count are told, while it runs low, how it went of late: so what pilots have
-sent on that ended together with the keeper is not forgotten.
+sent on that ended together with the keeper is not forgotten. They are told each pilot's share too: so the
+next keeper reserves for the pilots that are silent when it begins, whoever noticed it.
 
 Each pilot's part is kept apart, and its own word replaces it when it comes to a keeper anew: so a count moves
 to another machine, or to one that has forgotten everything, with what the pilots know of it.
@@ -30,21 +32,34 @@
 SHADOW_WINDOWS = 8  # that are told to the other machines, of tenants that have used up much
 MUCH = 0.5  # of what may be left, below which a tenant has used up much
 MOST_UNITS = 1_000_000  # of one tenant in one window that anybody's word is taken for
-AWAY_MS = 30_000.0  # for which the part of a silent pilot is kept back
-LEFT_LEAST = 0.15  # of what a window brings that is given out whatever is kept back
+SHARE_MARGIN = 1.3  # times the share that is known here, which a silent pilot may hold to be its own
+UNKNOWN_SHARE = 2.0  # times an even share, for a silent pilot of which none is known
+SILENT_PILOT_MS = 30_000.0  # for which units are reserved for a silent pilot
 AGAIN_SHARE, AGAIN_LEAST = 0.2, 4.0  # of the burst that is kept for those who come for the first time
 
 
 class TenantCount:
     """One tenant's windows of late."""
 
-    __slots__ = ("away", "level", "level_at", "parts", "shadow", "total", "windows")
+    __slots__ = (
+        "level",
+        "level_at",
+        "parts",
+        "reserved",
+        "reserved_at",
+        "shadow",
+        "shares",
+        "total",
+        "windows",
+    )
 
     def __init__(self) -> None:
         self.windows: deque[tuple[int, int]] = deque()  # number and units over all pilots, oldest first
         self.parts: dict[str, dict[int, int]] = {}  # by pilot
         self.shadow: dict[int, int] = {}  # units by window, as another machine counted them
-        self.away: dict[str, tuple[float, float]] = {}  # silent pilots: share of the count, until when
+        self.shares: dict[str, float] = {}  # of the count by pilot, as last told or when it went silent
+        self.reserved = 0.0  # units that silent pilots may send on
+        self.reserved_at = -1  # the window in which that was worked out
         self.total = 0
         self.level: float | None = None  # units that the window may still give; None: it is to be worked out
         self.level_at = 0  # the window that it is of
@@ -90,6 +105,25 @@
         self.parts[data_plane] = part
         self.sum_up(window)
 
+    def spent_by(self, window: int, data_plane: str) -> int:
+        """Return the units of a pilot that are known in the span."""
+        return sum(
+            units for at, units in self.parts.get(data_plane, {}).items() if at >= window - WINDOWS_PER_SPAN
+        )
+
+    def share(self, window: int, data_plane: str) -> float:
+        """Return a pilot's share of the span's units up to its last one; 0 where none is known."""
+        part = {
+            at: units
+            for at, units in self.parts.get(data_plane, {}).items()
+            if at >= window - WINDOWS_PER_SPAN
+        }
+        if not part:
+            return 0.0
+        last = max(part)
+        whole = sum(units for at, units in self.windows if window - WINDOWS_PER_SPAN <= at <= last)
+        return min(1.0, sum(part.values()) / max(1, whole))
+
     def sum_up(self, window: int) -> None:
         """Add up all parts; of what pilots that have ended sent on, the keeper before has told."""
         sums: dict[int, int] = {}
@@ -111,6 +145,7 @@
         self.span_s, self.excess, self.slack = span_s, excess, slack
         self.window_ms = 1000.0 * span_s / WINDOWS_PER_SPAN
         self.counts: dict[str, TenantCount] = {}
+        self.silent: dict[str, float] = {}  # pilots that may send on alone, and until when that counts
 
     def _count(self, now: float, tenant: str, rate: float, burst: float) -> tuple[int, float, TenantCount]:
         window = int(now / self.window_ms)
@@ -118,40 +153,69 @@
         if count is None:
             count = self.counts[tenant] = TenantCount()
         brings = rate * self.window_ms / 1000.0
-        if count.away:
-            brings = max(LEFT_LEAST * brings, brings - self._kept_back(now, count, rate, burst))
         count.advance(window, brings, brings + burst + BURST_MORE)
         return window, brings, count
 
-    def _kept_back(self, now: float, count: TenantCount, rate: float, burst: float) -> float:
-        """Return the units a window that silent pilots may be sending on."""
-        for data_plane, (_, until) in list(count.away.items()):
-            if now >= until:
-                del count.away[data_plane]
-        share = sum(share for share, _ in count.away.values())
-        return (
-            ISOLATED_SHARE
-            * share
-            * quota_ceiling(rate, burst, self.span_s, self.excess, self.slack)
-            / WINDOWS_PER_SPAN
-        )
+    def _room(self, window: int, now: float, count: TenantCount, brings: float, whole: float) -> float:
+        """Return the units that the span has left under the ceiling and beside what is reserved.
 
-    def away(self, now: float, data_plane: str) -> None:
+        Less a window's: what pilots tell may be out of step by one.
+        """
+        if count.reserved_at != window:
+            count.reserved_at, count.reserved = window, self._reserved(window, now, count, whole)
+        return whole - count.reserved - count.total - brings
+
+    def _reserved(self, window: int, now: float, count: TenantCount, whole: float) -> float:
+        """Return the units that silent pilots may send on in a span beside those that are known."""
+        silent, reserved = self._silent_pilots(now), 0.0
+        unknown = UNKNOWN_SHARE / max(1, len(count.parts.keys() | set(silent)))
+        for data_plane in silent:
+            alone = ISOLATED_SHARE * SHARE_MARGIN * count.shares.get(data_plane, unknown) * whole
+            reserved += max(0.0, alone - count.spent_by(window, data_plane))
+        return reserved
+
+    def _silent_pilots(self, now: float) -> list[str]:
+        """Return the pilots that may be sending on alone."""
+        for data_plane in [data_plane for data_plane, until in self.silent.items() if now >= until]:
+            del self.silent[data_plane]
+        return list(self.silent)
+
+    def went_silent(self, now: float, data_plane: str, lasts_ms: float = SILENT_PILOT_MS) -> None:
         """Note that a pilot has gone silent: it may go on alone."""
+        self.silent[data_plane] = now + min(lasts_ms, SILENT_PILOT_MS)
         window = int(now / self.window_ms)
         for count in self.counts.values():
-            part = sum(
-                units
-                for at, units in count.parts.get(data_plane, {}).items()
-                if at >= window - WINDOWS_PER_SPAN
-            )
-            if part and count.total:
-                count.away[data_plane] = min(1.0, part / count.total), now + AWAY_MS
+            share = max(count.shares.get(data_plane, 0.0), count.share(window, data_plane))
+            if share > 0.0:
+                count.shares[data_plane] = share
 
     def back(self, data_plane: str) -> None:
         """Note that a pilot is heard again, or has surely ended."""
-        for count in self.counts.values():
-            count.away.pop(data_plane, None)
+        self.silent.pop(data_plane, None)
+
+    def silent_for(self, now: float) -> dict[str, float]:
+        """Return the silent pilots, and for how many ms more that is reckoned with."""
+        return {data_plane: self.silent[data_plane] - now for data_plane in self._silent_pilots(now)}
+
+    def shares(self, now: float, tenants: Iterable[str]) -> dict[str, dict[str, float]]:
+        """Return the pilots' shares of these tenants' counts, for who may follow as keeper."""
+        window, told = int(now / self.window_ms), {}
+        for tenant in tenants:
+            count = self.counts[tenant]
+            shares = {data_plane: round(count.share(window, data_plane), 3) for data_plane in count.parts}
+            shares |= {
+                data_plane: count.shares[data_plane]
+                for data_plane in self.silent
+                if data_plane in count.shares
+            }
+            told[tenant] = {data_plane: share for data_plane, share in shares.items() if share > 0.0}
+        return told
+
+    def take_shares(self, tenant: str, told: Mapping[str, float]) -> None:
+        """Take in the pilots' shares of a count that another machine keeps."""
+        shares = self.counts.setdefault(tenant, TenantCount()).shares
+        shares.clear()
+        shares.update({data_plane: min(1.0, max(0.0, share)) for data_plane, share in told.items()})
 
     def add(
         self, now: float, tenant: str, data_plane: str, rate: float, burst: float, again: bool = False
@@ -162,10 +226,11 @@
         """
         window, brings, count = self._count(now, tenant, rate, burst)
         kept = max(AGAIN_LEAST, AGAIN_SHARE * burst) if again else 0.0
-        level = count.level or 0.0
-        limit = count.total + max(0, int(level - kept))
+        whole = quota_ceiling(rate, burst, self.span_s, self.excess, self.slack)
+        left = min((count.level or 0.0) - kept, self._room(window, now, count, brings, whole))
+        limit = count.total + max(0, int(left))
         if count.total + 1 > limit:
-            windows = max(1.0, (1.0 + kept - level) / max(brings, 1e-9))
+            windows = max(1.0, (1.0 - left) / max(brings, 1e-9))
             return count.total + 1, limit, (window + windows) * self.window_ms - now
         count.add(window, data_plane)
         return count.total, limit, (window + 1) * self.window_ms - now
