--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -17,6 +17,7 @@
 from wickspring.agent.store import Store
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
 from wickspring.common.settings import parse_settings
+from wickspring.controlplane.data_plane_sessions import PeerSession
 from wickspring.controlplane.replication import snapshot
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.view import View
@@ -178,6 +179,7 @@
     """Return what takes such a message today."""
     connection = PeerConnection(link, VirtualClock())
     connection.name, kind = one["sender"], one["kind"]
+    session = PeerSession(connection)
     control_plane, data_plane = site.control_planes[CONTROL_PLANES[0]], site.data_planes[DATA_PLANES[0]]
     if one["to"] == CONTROL:
         if kind == "chain":
@@ -185,10 +187,10 @@
             chain = ReplicationChain("10.1.0.1", "first", View(1, members, members), 1)
             return lambda message: chain.receive(0.0, connection.name, message[1])
         if kind == "tock" or (kind == "cores" and len(one["message"]) > 1):
-            return lambda message: control_plane.core._take(connection, message)
+            return lambda message: control_plane.replication._take(connection, message)
         if one["from"] == CONTROL and kind != "hello":
-            connection.about["core"] = True
-        return lambda message: control_plane._take(connection, message)
+            session.is_control_plane_node = True
+        return lambda message: control_plane.peer_server.receive(session, message)
     if one["from"] == CONTROL:
         return lambda message: data_plane.control_client.take(connection, message)
     if one["transport"] == "udp":
--- a/tests/common/test_decoding.py
+++ b/tests/common/test_decoding.py
@@ -217,18 +217,18 @@
 
 def test_the_register_tells_news_once_and_late_calls_nothing() -> None:
     registry = EndpointRegistry(1500.0)
-    assert registry.beat(0.0, beat(1)) is not None
-    assert registry.beat(1500.0, beat(2)) is None
-    left = registry.beat(2000.0, beat(4, DRAINING))
+    assert registry.record_heartbeat(0.0, beat(1)) is not None
+    assert registry.record_heartbeat(1500.0, beat(2)) is None
+    left = registry.record_heartbeat(2000.0, beat(4, DRAINING))
     assert left is not None and left.state == DRAINING
-    assert registry.beat(2100.0, beat(3)) is None  # late
-    assert registry.beat(3500.0, beat(5)) is None and registry.servers["i1"].state == DRAINING
-    assert registry.leave({"i1": GONE})[0].state == GONE
-    registry.beat(4000.0, beat(1, id_="i2"))
-    registry.alive(7000.0, [("i2", 3)])
-    assert registry.sweep(8100.0) == ["i1"] and registry.sweep(8100.0) == []
-    assert registry.sweep(12_000.0) == ["i2"]
-    assert registry.beat(12_100.0, beat(9, id_="i2")) is not None  # it is back
+    assert registry.record_heartbeat(2100.0, beat(3)) is None  # late
+    assert registry.record_heartbeat(3500.0, beat(5)) is None and registry.endpoints["i1"].state == DRAINING
+    assert registry.apply_departures({"i1": GONE})[0].state == GONE
+    registry.record_heartbeat(4000.0, beat(1, id_="i2"))
+    registry.record_liveness(7000.0, [("i2", 3)])
+    assert registry.expire(8100.0) == ["i1"] and registry.expire(8100.0) == []
+    assert registry.expire(12_000.0) == ["i2"]
+    assert registry.record_heartbeat(12_100.0, beat(9, id_="i2")) is not None  # it is back
 
 
 def test_seeds_are_read_again_while_nobody_is_in_reach(
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -18,7 +18,8 @@
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
 from wickspring.common.settings_file import parse_address
 from wickspring.controlplane.api.calls import ApiRequest
-from wickspring.controlplane.api.resources import Heartbeat
+from wickspring.controlplane.api.heartbeat import Heartbeat
+from wickspring.controlplane.data_plane_sessions import PeerSession
 from wickspring.controlplane.process import ControlPlane
 from wickspring.controlplane.replication.replica import Config, Replica, Update, digest_of
 from wickspring.controlplane.replication.view import View
@@ -128,8 +129,8 @@
         said = await Heartbeat(control_plane).call(
             ApiRequest("POST", "", json.dumps(beat).encode(), {"id": "i2"})
         )
-        assert said.status == 400 and "i2" not in control_plane.registry.servers
-        for one in control_plane.registry.whole():
+        assert said.status == 400 and "i2" not in control_plane.components.registry.endpoints
+        for one in control_plane.components.registry.present():
             parse_address(one.address)
 
     in_light(tmp_path, play)
@@ -142,9 +143,9 @@
     async def run() -> None:
         async with trio.open_nursery() as nursery:
             control_plane = ControlPlane(settings_module.parse_settings(settings), nursery, 1)
-            control_plane.core.lease.take_up(0.0, control_plane.core.chain.view)
-            control_plane.core.chain.safe.take(Update(7, json.dumps(document()).encode()), 1)
-            control_plane._safe(control_plane.core.chain.safe)
+            control_plane.replication.lease.take_up(0.0, control_plane.replication.chain.view)
+            control_plane.replication.chain.safe.take(Update(7, json.dumps(document()).encode()), 1)
+            control_plane.on_committed(control_plane.replication.chain.safe)
             await play(control_plane)
             nursery.cancel_scope.cancel()
 
@@ -184,23 +185,24 @@
         refused = 0
         for _ in range(4000):
             core = random.random() < 0.5
-            connection = cast(PeerConnection, Heard(**({"core": True} if core else {})))
+            session = PeerSession(cast(PeerConnection, Heard()), is_control_plane_node=core)
             if not core:
-                control_plane.data_planes[connection] = "p"
+                control_plane.data_planes.add(session)
             message = spoil(random, random.choice(of_core if core else of_pilots))
             try:
                 if isinstance(message, list) and message and isinstance(message[0], str):
-                    control_plane._take(connection, message)
+                    control_plane.peer_server.receive(session, message)
             except DECODE_ERRORS:
                 refused += 1
-            control_plane.data_planes.pop(connection, None)
+            control_plane.data_planes.remove(session)
         assert refused > 300
         heard = Heard()
-        control_plane.data_planes[cast(PeerConnection, heard)] = "p"
-        while control_plane.clock.now() - control_plane.core.lease.since < 500.0:
+        session = PeerSession(cast(PeerConnection, heard))
+        control_plane.data_planes.add(session)
+        while control_plane.clock.now() - control_plane.replication.lease.since < 500.0:
             await trio.lowlevel.checkpoint()
-        control_plane._take(
-            cast(PeerConnection, heard), ["add", 9, "n", False, control_plane.core.lease.epoch]
+        control_plane.peer_server.receive(
+            session, ["add", 9, "n", False, control_plane.replication.lease.epoch]
         )
         assert heard.said[-1][:2] == ("sum", 9)
         control_plane.status()
--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -13,7 +13,8 @@
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import PeerConnection
 from wickspring.common.endpoints import DRAINING, Endpoint
-from wickspring.controlplane.load_tracker import OFFERS, LoadTracker
+from wickspring.controlplane.data_plane_sessions import PeerSession
+from wickspring.controlplane.load_tracker import MAX_ADVISED, LoadTracker
 from wickspring.controlplane.process import ControlPlane
 from wickspring.controlplane.replication.view import View
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
@@ -40,10 +41,10 @@
             ratio = data_planes[whose].ended(
                 at, data_planes[whose].candidates[id_], round(at * 1e6), "r", True
             )
-            load_tracker.ended(at, f"p{whose}", id_, ratio)
+            load_tracker.request_ended(at, f"p{whose}", id_, ratio)
         number = random.randrange(8)
         data_plane = data_planes[number]
-        offers = load_tracker.offers(now, "a", lot) if told else ()
+        offers = load_tracker.advise(now, "a", lot) if told else ()
         berth = data_plane.pick(now, "s", "r", set(), offers)
         assert berth is not None
         slots = free[berth.server.id]
@@ -52,7 +53,7 @@
         slots[slots.index(min(slots))] = begins + took
         waited.append(begins - now)
         data_plane.sent(now, berth, round((begins + took) * 1e6))
-        load_tracker.sent(f"p{number}", berth.server.id)
+        load_tracker.request_sent(f"p{number}", berth.server.id)
         heapq.heappush(ends, (begins + took, number, berth.server.id))
     return sum(waited) / len(waited)
 
@@ -66,16 +67,16 @@
     load_tracker, lot = LoadTracker(1), servers(6)
     del lot[0]
     for _ in range(6):
-        load_tracker.sent("p", "i1")  # and never answers
-    load_tracker.ended(0.0, "p", "i2", -1.0)
+        load_tracker.request_sent("p", "i1")  # and never answers
+    load_tracker.request_ended(0.0, "p", "i2", -1.0)
     for _ in range(30):
-        load_tracker.ended(0.0, "q", "i3", 3.0)
-    first = [load_tracker.offers(1.0, "a", lot)[0][0] for _ in range(50)]
+        load_tracker.request_ended(0.0, "q", "i3", 3.0)
+    first = [load_tracker.advise(1.0, "a", lot)[0][0] for _ in range(50)]
     assert set(first) == {"i4", "i5"}
-    offers = dict(load_tracker.offers(1.0, "a", lot))
-    assert len(offers) == OFFERS and "i0" not in offers
-    load_tracker.gone("p")  # what a pilot that ended had out is forgotten
-    assert "i1" in {load_tracker.offers(1.0, "a", lot)[0][0] for _ in range(50)}
+    offers = dict(load_tracker.advise(1.0, "a", lot))
+    assert len(offers) == MAX_ADVISED and "i0" not in offers
+    load_tracker.forget_data_plane("p")  # what a pilot that ended had out is forgotten
+    assert "i1" in {load_tracker.advise(1.0, "a", lot)[0][0] for _ in range(50)}
 
 
 def test_a_pilot_leaves_out_what_it_knows_better() -> None:
@@ -120,16 +121,19 @@
         async with trio.open_nursery() as nursery:
             control_plane = ControlPlane(settings_module.parse_settings(settings), nursery, 1)
             for one in servers(2):
-                control_plane.registry.beat(control_plane.clock.now(), one)
+                control_plane.components.registry.record_heartbeat(control_plane.clock.now(), one)
             heard = Heard()
+            session = PeerSession(cast(PeerConnection, heard))
             ask = ["berth", 1, "s", "a"]
-            control_plane._take(cast(PeerConnection, heard), ask)  # of two seeds it reaches only itself
+            control_plane.peer_server.receive(session, ask)  # of two seeds it reaches only itself
             assert heard.said.pop() == ("berths", 1, [], 2)
-            control_plane.core.chain.view = View(
-                2, (control_plane.core.chain.me,), (control_plane.core.chain.me,)
+            control_plane.replication.chain.view = View(
+                2, (control_plane.replication.chain.me,), (control_plane.replication.chain.me,)
             )
-            control_plane.core.lease.take_up(control_plane.clock.now(), control_plane.core.chain.view)
-            control_plane._take(cast(PeerConnection, heard), ask)
+            control_plane.replication.lease.take_up(
+                control_plane.clock.now(), control_plane.replication.chain.view
+            )
+            control_plane.peer_server.receive(session, ask)
             _, _, offers, known = heard.said.pop()
             assert len(cast(list[object], offers)) == known == 2
             nursery.cancel_scope.cancel()
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -33,10 +33,16 @@
 from wickspring.common.endpoints import GONE, READY
 from wickspring.common.errors import GatewayError
 from wickspring.controlplane.api.calls import ApiRequest, ApiResponse
-from wickspring.controlplane.api.resources import BringSnapshot, ConfigReplace, TakeSnapshot
+from wickspring.controlplane.api.config import ConfigReplace
+from wickspring.controlplane.api.snapshot import SnapshotDownload, SnapshotRestore
+from wickspring.controlplane.data_plane_sessions import PeerSession
 from wickspring.controlplane.endpoint_registry import EndpointRegistry
-from wickspring.controlplane.process import LEAVE_SHARE, ControlPlane, drain
-from wickspring.controlplane.quorum_contact import ALONE_MS, GAP_MS, QuorumContactMonitor
+from wickspring.controlplane.process import DRAIN_SHARE, ControlPlane, drain
+from wickspring.controlplane.quorum_contact import (
+    CONTACT_TIMEOUT_MS,
+    ISOLATION_MS,
+    QuorumContactMonitor,
+)
 from wickspring.controlplane.replication import snapshot
 from wickspring.controlplane.replication.node import ReplicationNode, UpdateResult
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
@@ -65,8 +71,8 @@
         "draining": await beat(control_plane, "i1", 50, "draining"),
         "ready": await beat(control_plane, "i2", 50),
         "ended": await deregister(control_plane, "i3"),
-        "snapshot taken": await TakeSnapshot(control_plane).call(ApiRequest("GET", "", b"")),
-        "snapshot brought": await BringSnapshot(control_plane).call(
+        "snapshot taken": await SnapshotDownload(control_plane).call(ApiRequest("GET", "", b"")),
+        "snapshot brought": await SnapshotRestore(control_plane).call(
             ApiRequest("POST", "", snapshot_of(version))
         ),
     }
@@ -98,9 +104,14 @@
             site.kill(victim)
             await site.start_light(victim)
         control_plane = site.control_planes[victim]
-        await trio.sleep(2.0 * GAP_MS / 1000.0)
-        assert control_plane.status()["chain"]["contact"] == "none"
-        await site.until(lambda: others[0].core.in_contact and others[0].offers.routing_table.version == 2)
+        await trio.sleep(2.0 * CONTACT_TIMEOUT_MS / 1000.0)
+        assert control_plane.status().replication.contact == "none"
+        await site.until(
+            lambda: (
+                others[0].replication.in_contact
+                and others[0].components.config_distributor.routing_table.version == 2
+            )
+        )
         version = 3
         while trio.current_time() - begun < CUT_S:
             asked = trio.current_time()
@@ -120,8 +131,13 @@
             version += 1
             await trio.sleep(2.5)
         site.heal()
-        assert await site.until(lambda: control_plane.look() is not QuorumContact.NONE) < 4.0
-        await site.until(lambda: control_plane.offers.routing_table.version == version - 1, 2.0)
+        assert (
+            await site.until(lambda: control_plane.components.contact.observe() is not QuorumContact.NONE)
+            < 4.0
+        )
+        await site.until(
+            lambda: control_plane.components.config_distributor.routing_table.version == version - 1, 2.0
+        )
         tried = trio.current_time()  # the chain takes it in again meanwhile
         assert (await site.until_safe(victim, version)).status == 200 and trio.current_time() - tried < 3.0
         assert (await replace(control_plane, version)).status == 200  # however often
@@ -165,7 +181,7 @@
         begun = trio.current_time()
         data_plane = await site.start_pilot(DATA_PLANES[0])
         took = await site.until(lambda: data_plane.control_client.routing_table.version == 1, 6.0)
-        assert took >= ALONE_MS / 1000.0 and trio.current_time() - begun < 6.0
+        assert took >= ISOLATION_MS / 1000.0 and trio.current_time() - begun < 6.0
         assert data_plane.control_client.standing is (ConfigStatus.HELD if restarted else ConfigStatus.SAFE)
         assert not data_plane.control_client.in_contact
         site.heal()
@@ -190,8 +206,10 @@
         assert (await site.until_safe(other.settings.ip, 2)).status == 200
         await trio.sleep(CUT_S)
         site.heal()
-        while control_plane.offers.routing_table.version != 2:
-            assert not control_plane.core.in_contact or control_plane.epoch >= other.epoch
+        while control_plane.components.config_distributor.routing_table.version != 2:
+            assert (
+                not control_plane.replication.in_contact or control_plane.updates.epoch >= other.updates.epoch
+            )
             await trio.sleep(0.0005)
 
     play(monkeypatch, cut_off, seed=seed)
@@ -244,13 +262,13 @@
 
 
 def test_the_scenario_sees_what_is_handed_out_before_contact(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin = ControlPlane._begin
+    begin = ControlPlane.restore
 
     def hasty(control_plane: ControlPlane) -> None:
         begin(control_plane)
-        control_plane._safe(control_plane.core.chain.replica)
+        control_plane.on_committed(control_plane.replication.chain.replica)
 
-    monkeypatch.setattr(ControlPlane, "_begin", hasty)
+    monkeypatch.setattr(ControlPlane, "restore", hasty)
     monkeypatch.setattr(config_adoption, "ALONE_MS", 0.0)  # and a pilot that takes what comes first
     assert plays_first_news(monkeypatch, True) == [1, 2]
 
@@ -281,22 +299,24 @@
         site.cut(victim)
         site.kill(victim)
         if defect:
-            begin = ControlPlane._begin
+            begin = ControlPlane.restore
 
             def hasty(control_plane: ControlPlane) -> None:
                 begin(control_plane)
-                control_plane._safe(control_plane.core.chain.replica)
+                control_plane.on_committed(control_plane.replication.chain.replica)
 
-            monkeypatch.setattr(ControlPlane, "_begin", hasty)
+            monkeypatch.setattr(ControlPlane, "restore", hasty)
         control_plane, begun, heard = await site.start_light(victim), trio.current_time(), Heard()
-        connection = cast(PeerConnection, heard)
-        control_plane._take(connection, ["hello", "pilot", DATA_PLANES[0], {"version": 0, "digest": b""}])
+        session = PeerSession(cast(PeerConnection, heard))
+        control_plane.peer_server.receive(
+            session, ["hello", "pilot", DATA_PLANES[0], {"version": 0, "digest": b""}]
+        )
         for _ in range(20):
             await trio.sleep(0.2)
-            control_plane._take(connection, ["tick", 0, b""])
+            control_plane.peer_server.receive(session, ["tick", 0, b""])
         (at, standing), *more = heard.routing_tables
         assert not more
-        seen = at - begun < ALONE_MS / 1000.0 or standing is not ConfigStatus.HELD
+        seen = at - begun < ISOLATION_MS / 1000.0 or standing is not ConfigStatus.HELD
         assert seen == defect
 
     play(monkeypatch, restarted)
@@ -333,7 +353,7 @@
         assert (await replace(control_plane, 3)).status == usual
         contact[0] = False
         if defect:
-            monkeypatch.setattr(QuorumContactMonitor, "look", lambda *_: QuorumContact.SETTLED)
+            monkeypatch.setattr(QuorumContactMonitor, "observe", lambda *_: QuorumContact.SETTLED)
         begun = trio.current_time()
         said = await replace(control_plane, 3)
         assert said.status == (usual if defect else 503)
@@ -372,15 +392,17 @@
     async def cut_off(site: Site) -> None:
         control_plane = site.control_planes[CONTROL_PLANES[0]]
         monkeypatch.setattr(
-            control_plane, "boot", settings_module.parse_settings(SETTINGS.replace("zone=a", "zone=b"))
+            control_plane.endpoints,
+            "_settings",
+            settings_module.parse_settings(SETTINGS.replace("zone=a", "zone=b")),
         )
-        target = control_plane.beat_target("a")
+        target = control_plane.endpoints.heartbeat_target("a")
         assert target.encode() in (await beat(control_plane, "i1", 1)).body
         lost = target.partition(":")[0]
         assert lost in CONTROL_PLANES[1:3]
         site.cut(lost)
-        await site.until(lambda: not control_plane.core.live(lost))
-        await site.until(lambda: control_plane.core.in_contact)
+        await site.until(lambda: not control_plane.replication.live(lost))
+        await site.until(lambda: control_plane.replication.in_contact)
         said = await beat(control_plane, "i1", 2)
         assert said.status == 200 and target.encode() not in said.body
 
@@ -402,14 +424,14 @@
         assert (await beat(control_plane, "ended", 41, "draining")).status == 200
         assert (await deregister(control_plane, "ended")).status == 200
         heard: list[tuple[Any, ...]] = []
-        for connection in victim.data_planes:
-            send = connection.send
+        for session in victim.data_planes:
+            send = session.connection.send
 
             def noted(*message: object, send: Callable[..., None] = send) -> None:
                 heard.append(message)
                 send(*message)
 
-            monkeypatch.setattr(connection, "send", noted)
+            monkeypatch.setattr(session.connection, "send", noted)
         seq = 41
         while not data_plane.choice.candidates["silent"].lost:
             seq += 1
@@ -417,8 +439,8 @@
             assert (await beat(control_plane, "well", seq)).status == 200
             await trio.sleep(1.0)
         for _ in range(8):  # the one cut off still lists them
-            for connection in victim.data_planes:
-                victim._whole(connection)
+            for session in victim.data_planes:
+                victim.endpoints.send_snapshot(session)
             seq += 1
             await beat(control_plane, "well", seq)
             await trio.sleep(1.0)
@@ -426,11 +448,11 @@
         assert not data_plane.choice.candidates["well"].lost
         assert any(m[0] == "whole" for m in heard) and not any(m[0] in ("lost", "sum") for m in heard)
         site.heal()
-        await site.until(lambda: victim.look() is QuorumContact.SETTLED)
+        await site.until(lambda: victim.components.contact.observe() is QuorumContact.SETTLED)
         assert not data_plane.choice.candidates["well"].lost and not data_plane.choice.takes("ended")
         assert data_plane.choice.candidates["silent"].lost
         assert (await beat(victim, "well", seq + 1)).status == 200
-        assert [one.id for one in victim.registry.whole() if one.state == READY] == ["well"]
+        assert [one.id for one in victim.components.registry.present() if one.state == READY] == ["well"]
 
     play(monkeypatch, cut_off)
 
@@ -449,10 +471,10 @@
 
 def test_a_beat_that_came_elsewhere_brings_a_server_back() -> None:
     registry = EndpointRegistry(1500.0)
-    registry.beat(0.0, server("i1"))
-    assert registry.sweep(5000.0) == ["i1"] and not registry.whole()
-    assert [one.id for one in registry.alive(5100.0, [("i1", 2), ("i9", 1)])] == ["i1"]
-    assert [one.id for one in registry.whole()] == ["i1"] and registry.sweep(5200.0) == []
+    registry.record_heartbeat(0.0, server("i1"))
+    assert registry.expire(5000.0) == ["i1"] and not registry.present()
+    assert [one.id for one in registry.record_liveness(5100.0, [("i1", 2), ("i9", 1)])] == ["i1"]
+    assert [one.id for one in registry.present()] == ["i1"] and registry.expire(5200.0) == []
 
 
 # The rules of what a pilot goes by.
@@ -511,7 +533,7 @@
         await site.until(lambda: data_plane.control_client.routing_table.version == 1)
         good = data_plane.control_client.packed
         other = zlib.compress(text(1, "other"))
-        connection = next(iter(control_plane.data_planes))
+        connection = next(iter(control_plane.data_planes)).connection
         for standing, by_control_plane in ((ConfigStatus.SAFE, True), (ConfigStatus.CURRENT, False)):
             told = ["chart", 1, other, digest_of(text(1, "other")), int(standing)]
             data_plane.control_client.take(connection, told, by_control_plane)
@@ -537,15 +559,17 @@
 
 def test_contact_by_the_clock() -> None:
     monitor = QuorumContactMonitor(0.0, 1500.0)
-    assert monitor.look(100.0, False) is QuorumContact.NONE and not monitor.gone(100.0)
-    assert monitor.look(GAP_MS + 1.0, False) is QuorumContact.NONE and monitor.gone(GAP_MS + 1.0)
-    assert not monitor.alone(GAP_MS + 1.0) and monitor.alone(ALONE_MS + 1.0)
-    assert monitor.look(2000.0, True) is QuorumContact.FRESH and not monitor.gone(9000.0)
+    assert monitor.observe(100.0, False) is QuorumContact.NONE and not monitor.timed_out(100.0)
+    assert monitor.observe(CONTACT_TIMEOUT_MS + 1.0, False) is QuorumContact.NONE and monitor.timed_out(
+        CONTACT_TIMEOUT_MS + 1.0
+    )
+    assert not monitor.isolated(CONTACT_TIMEOUT_MS + 1.0) and monitor.isolated(ISOLATION_MS + 1.0)
+    assert monitor.observe(2000.0, True) is QuorumContact.FRESH and not monitor.timed_out(9000.0)
     for now in range(2500, 4250, 250):
-        monitor.look(float(now), now % 1000 != 0)  # gaps of a moment do not count
-    assert monitor.look(4300.0, True) is QuorumContact.SETTLED
+        monitor.observe(float(now), now % 1000 != 0)  # gaps of a moment do not count
+    assert monitor.observe(4300.0, True) is QuorumContact.SETTLED
     assert (
-        monitor.look(5400.0, True) is QuorumContact.FRESH
+        monitor.observe(5400.0, True) is QuorumContact.FRESH
     )  # a second in which nobody looked: it was stopped
 
 
@@ -564,8 +588,8 @@
         free = property(lambda core: trio.current_time() - begun >= free_after_s)
         monkeypatch.setattr(ReplicationNode, "may_leave", free)
         await drain(control_plane)
-        most = LEAVE_SHARE * control_plane.settings.guarantees.grace_s
-        assert control_plane.core.leaving and control_plane.draining
+        most = DRAIN_SHARE * control_plane.settings.guarantees.grace_s
+        assert control_plane.replication.leaving and control_plane.api_server.draining
         assert min(free_after_s, most) <= trio.current_time() - begun <= min(free_after_s, most) + 0.06
 
     in_light(monkeypatch, leave)
--- /dev/null
+++ b/tests/controlplane/test_status.py
@@ -0,0 +1,69 @@
+"""The names in the JSON of `GET /status`: operators and `wickspring.ctl` read them."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+
+from tests.support.virtual_system import CONTROL_PLANES, DATA_PLANES, Site, beat, play, replace
+from wickspring.controlplane.api.calls import ApiRequest
+from wickspring.controlplane.api.status import Status
+
+TOP_NAMES = ["node", "chain", "core", "pilots", "servers", "counts"]
+CHAIN_NAMES = [
+    "epoch",
+    "members",
+    "voters",
+    "member",
+    "contact",
+    "frozen",
+    "steady",
+    "held",
+    "safe",
+    "disk",
+    "short",
+]
+NODE_NAMES = [
+    "live",
+    "behind",
+    "disk",
+    "epoch",
+    "safe_epoch",
+    "version",
+    "leaving",
+    "leaving_sum",
+    "identity",
+    "ill",
+    "zone",
+    "control",
+    "sees",
+]
+SERVER_NAMES = ["id", "service", "address", "zone", "state", "slots", "silent_s"]
+
+
+def test_status_keeps_its_names(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def read_status(site: Site) -> None:
+        control_plane = site.control_planes[CONTROL_PLANES[0]]
+        assert (await replace(control_plane, 3)).status == 200
+        assert (await beat(control_plane, "i1", 1)).status == 200
+        data_plane = await site.start_pilot(DATA_PLANES[0])
+        await site.until(lambda: data_plane.control_client.routing_table.version == 3)
+        control_plane.components.quota_counter.add(control_plane.clock.now(), "t", "p", 5.0, 5.0)
+        control_plane.replication.states.pop(CONTROL_PLANES[2])  # as before its first report
+        response = await Status(control_plane).call(ApiRequest("GET", "/status", b""))
+        assert response.status == 200
+        status = json.loads(response.body)
+        assert list(status) == TOP_NAMES
+        assert list(status["chain"]) == CHAIN_NAMES
+        assert status["chain"]["held"] == status["chain"]["safe"] == 3
+        assert status["chain"]["contact"] == "settled" and status["chain"]["member"] is True
+        assert list(status["core"]) == list(CONTROL_PLANES[1:3])
+        assert list(status["core"][CONTROL_PLANES[1]]) == NODE_NAMES
+        assert list(status["core"][CONTROL_PLANES[2]]) == ["live", "behind"]
+        assert status["pilots"] == [DATA_PLANES[0]]
+        assert [list(server) for server in status["servers"]] == [SERVER_NAMES]
+        assert status["servers"][0]["state"] == "ready"
+        assert list(status["counts"]["t"]) == ["in_span", "left"] and status["counts"]["t"]["in_span"] == 1
+
+    play(monkeypatch, read_status)
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -19,7 +19,9 @@
 from wickspring.common.endpoints import Endpoint
 from wickspring.controlplane import process as controlplane_process
 from wickspring.controlplane.api.calls import ApiRequest, ApiResponse
-from wickspring.controlplane.api.resources import ConfigRead, ConfigReplace, Deregister, Heartbeat
+from wickspring.controlplane.api.config import ConfigRead, ConfigReplace
+from wickspring.controlplane.api.deregister import Deregister
+from wickspring.controlplane.api.heartbeat import Heartbeat
 from wickspring.controlplane.process import ControlPlane
 from wickspring.controlplane.replication.replica import Replica
 from wickspring.dataplane import gossip
@@ -137,7 +139,7 @@
             _WHO.set(theirs)
             end = PeerConnection(MemoryLink(there, self.nursery), clock)  # type: ignore[arg-type]
             if theirs in self.control_planes:
-                await self.control_planes[theirs].connection(end)
+                await self.control_planes[theirs].peer_server.serve(end)
             else:
                 await self.data_planes[theirs].gossip.serve(end)
 
@@ -197,7 +199,11 @@
         control_plane = self.control_planes[told.ip] = ControlPlane(
             told, nursery, self.random.getrandbits(32)
         )
-        for task in (control_plane.core.run, control_plane.core.tick, control_plane.upkeep):
+        for task in (
+            control_plane.replication.run,
+            control_plane.replication.tick,
+            control_plane.maintenance.run,
+        ):
             nursery.start_soon(task)
 
     def _pilot(self, told: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
@@ -222,12 +228,18 @@
     @property
     def chain(self) -> list[str]:
         """Return the chain of the newest view that anybody knows."""
-        best = max((one.core.chain.view for one in self.control_planes.values()), key=lambda view: view.epoch)
+        best = max(
+            (one.replication.chain.view for one in self.control_planes.values()), key=lambda view: view.epoch
+        )
         return [ip for ip, _ in best.chain]
 
     async def settled(self) -> None:
         """Wait until all lighthouses are in contact, and have been for long enough."""
-        await self.until(lambda: all(one.look().name == "SETTLED" for one in self.control_planes.values()))
+        await self.until(
+            lambda: all(
+                one.components.contact.observe().name == "SETTLED" for one in self.control_planes.values()
+            )
+        )
 
     async def until_safe(self, ip: str, version: int) -> ApiResponse:
         """Send a configuration again until it is acknowledged, as an operator does."""
--- a/wickspring/controlplane/api/calls.py
+++ b/wickspring/controlplane/api/calls.py
@@ -1,70 +1,124 @@
-"""What a call of a server or an operator is, what is answered, and what its handlers ask of a lighthouse."""
+"""Requests and responses of the control plane's HTTP API, and what its handlers need of a node.
+
+A handler answers one method of one resource. Handlers depend on `ControlPlaneApi` alone, so tests can run
+them without sockets.
+"""
 
 from __future__ import annotations
 
+import re
+from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import Protocol
 
 import msgspec
 
 from wickspring.common.endpoints import Endpoint
-from wickspring.common.errors import ERROR_RESPONSES, ErrorDetail
+from wickspring.common.errors import ERROR_RESPONSES, ErrorDetail, ErrorKind
 from wickspring.controlplane.replication.node import UpdateResult
-from wickspring.controlplane.replication.replica import Update
+from wickspring.controlplane.replication.replica import Replica, Update
+from wickspring.controlplane.status import ControlPlaneStatus
 from wickspring.net.clock import Clock
 
-BACK_S = 0.25  # after which a call that could not be made safe may come again
+RETRY_AFTER_S = 0.25  # told to callers whose update could not be committed in time
+NO_QUORUM = ErrorDetail(ErrorKind.NOT_SAFE_YET, "no majority of the core answers")
 
 
 @dataclass(slots=True)
 class ApiRequest:
-    """One call."""
+    """One call of the API."""
 
     method: str
     path: str
     body: bytes
-    parts: dict[str, str] = field(default_factory=dict)  # of the path, by name
+    parts: dict[str, str] = field(default_factory=dict)  # the named parts of the path
 
 
 @dataclass(slots=True)
 class ApiResponse:
-    """What is answered."""
+    """The answer to a call; `retry_after` is in decimal seconds, empty for none."""
 
     status: int
     body: bytes = b"{}"
     retry_after: str = ""
 
 
-def error_response(what: ErrorDetail) -> ApiResponse:
-    """Answer a fault by its kind."""
-    said = msgspec.json.encode({"kind": what.kind.value, "reason": what.reason})
-    return ApiResponse(what.status, said, f"{BACK_S}" if ERROR_RESPONSES[what.kind].comes_back else "")
+def error_response(error: ErrorDetail) -> ApiResponse:
+    """Return the response for an error, with a time to come back where its kind is worth a retry."""
+    body = msgspec.json.encode({"kind": error.kind.value, "reason": error.reason})
+    retry_after = f"{RETRY_AFTER_S}" if ERROR_RESPONSES[error.kind].comes_back else ""
+    return ApiResponse(error.status, body, retry_after)
+
+
+class UpdateCommitter(Protocol):
+    """Commits updates to the replicated state."""
+
+    @property
+    def out_of_contact(self) -> bool:
+        """Tell whether a quorum has been out of reach for so long that callers are better off elsewhere."""
+
+    @property
+    def epoch(self) -> int:
+        """Return the epoch of the view that this node knows."""
+
+    async def commit(self, update: Update, read: bool = False) -> UpdateResult:
+        """Have an update committed; with `read`, the result brings the state at the head of the chain."""
+
+    async def read(self) -> Replica | None:
+        """Return the committed state as of now; None where it cannot be read in time."""
+
+
+class EndpointDirectory(Protocol):
+    """Takes in what servers report of themselves."""
+
+    def receive_heartbeat(self, endpoint: Endpoint) -> None:
+        """Register an endpoint, or note that it is still there."""
+
+    async def commit_departure(self, endpoint_id: str, state: int) -> bool:
+        """Have the departure of an endpoint committed; False where that took too long."""
+
+    def heartbeat_target(self, zone: str) -> str:
+        """Return the address that an endpoint in this zone best sends its heartbeats to."""
 
 
 class ControlPlaneApi(Protocol):
-    """The lighthouse, as its handlers know it."""
+    """One control-plane node, as the handlers of its API know it."""
 
-    clock: Clock
+    @property
+    def clock(self) -> Clock:
+        """Return the clock of the process."""
 
     @property
-    def cut_off(self) -> bool:
-        """Tell whether it has been out of contact for so long that callers are better off elsewhere."""
+    def updates(self) -> UpdateCommitter:
+        """Return what commits updates."""
 
     @property
-    def epoch(self) -> int:
-        """Return the epoch of the view that it knows."""
+    def endpoints(self) -> EndpointDirectory:
+        """Return what keeps the endpoints."""
 
-    async def order(self, order: Update, read: bool = False) -> UpdateResult:
-        """Have an order made safe."""
+    def status(self) -> ControlPlaneStatus:
+        """Return the state of this node, for operators."""
 
-    async def leaves(self, server: str, state: int) -> bool:
-        """Have it made safe that a server leaves."""
 
-    def beat(self, server: Endpoint) -> None:
-        """Take a beat."""
+class ApiHandler(Protocol):
+    """Answers one method of one resource."""
+
+    @property
+    def method(self) -> str:
+        """Return the HTTP method."""
+
+    @property
+    def path(self) -> re.Pattern[str]:
+        """Return the pattern that the whole path matches."""
+
+    async def call(self, request: ApiRequest) -> ApiResponse:
+        """Answer one call."""
 
-    def beat_target(self, zone: str) -> str:
-        """Name where a server's beats are best sent."""
 
-    def status(self) -> dict[str, Any]:
-        """Return what is known here."""
+def find_handler(handlers: Iterable[ApiHandler], method: str, path: str) -> tuple[ApiHandler, dict[str, str]]:
+    """Return the handler of a call and the named parts of its path; raises `LookupError` where none fits."""
+    for handler in handlers:
+        match = handler.path.match(path)
+        if match is not None and handler.method == method:
+            return handler, match.groupdict()
+    raise LookupError(path)
--- /dev/null
+++ b/wickspring/controlplane/api/deregister.py
@@ -0,0 +1,25 @@
+"""`POST /servers/ID/deregister`: a server reports that it ends."""
+
+from __future__ import annotations
+
+import re
+
+from wickspring.common.endpoints import GONE
+from wickspring.common.errors import ErrorDetail, ErrorKind
+from wickspring.controlplane.api.calls import ApiRequest, ApiResponse, ControlPlaneApi, error_response
+
+
+class Deregister:
+    """Handles `POST /servers/ID/deregister`."""
+
+    method = "POST"
+    path = re.compile(r"/servers/(?P<id>[^/]{1,200})/deregister\Z")
+
+    def __init__(self, control_plane: ControlPlaneApi) -> None:
+        self._control_plane = control_plane
+
+    async def call(self, request: ApiRequest) -> ApiResponse:
+        """Acknowledge the end of a server once it is committed; its id never comes back."""
+        if await self._control_plane.endpoints.commit_departure(request.parts["id"], GONE):
+            return ApiResponse(200)
+        return error_response(ErrorDetail(ErrorKind.NOT_SAFE_YET, "deregister"))
--- /dev/null
+++ b/wickspring/controlplane/api/snapshot.py
@@ -0,0 +1,61 @@
+"""`GET /snapshot` and `POST /snapshot`: the replicated state, saved and restored by operators."""
+
+from __future__ import annotations
+
+import re
+
+import msgspec
+
+from wickspring.common import logs
+from wickspring.controlplane.api.calls import (
+    NO_QUORUM,
+    ApiRequest,
+    ApiResponse,
+    ControlPlaneApi,
+    error_response,
+)
+from wickspring.controlplane.api.update_errors import not_committed_response
+from wickspring.controlplane.replication import snapshot
+from wickspring.controlplane.replication.replica import CommitOutcome
+
+
+class SnapshotDownload:
+    """Handles `GET /snapshot`."""
+
+    method = "GET"
+    path = re.compile(r"/snapshot\Z")
+
+    def __init__(self, control_plane: ControlPlaneApi) -> None:
+        self._control_plane = control_plane
+
+    async def call(self, request: ApiRequest) -> ApiResponse:
+        """Return a snapshot of the committed state."""
+        updates = self._control_plane.updates
+        replica = await updates.read()
+        if replica is None:
+            return error_response(NO_QUORUM)
+        return ApiResponse(200, snapshot.pack(replica, updates.epoch))
+
+
+class SnapshotRestore:
+    """Handles `POST /snapshot`."""
+
+    method = "POST"
+    path = re.compile(r"/snapshot\Z")
+
+    def __init__(self, control_plane: ControlPlaneApi) -> None:
+        self._control_plane = control_plane
+
+    async def call(self, request: ApiRequest) -> ApiResponse:
+        """Merge a snapshot into the replicated state; acknowledged once that is committed."""
+        unpacked = snapshot.unpack(request.body)
+        if unpacked.is_error():
+            return error_response(unpacked.error)
+        update = unpacked.ok
+        result = await self._control_plane.updates.commit(update, read=True)
+        if result.verdict is not CommitOutcome.SAFE or result.replica is None:
+            return not_committed_response(result.verdict, "snapshot", update.version)
+        version = result.replica.config.version
+        leaving = len(result.replica.leaving)
+        logs.log_event("snapshot_brought", version=update.version, held=version, leaving=leaving)
+        return ApiResponse(200, msgspec.json.encode({"generation": f"r{version}", "leaving": leaving}))
--- a/wickspring/controlplane/config_distribution.py
+++ b/wickspring/controlplane/config_distribution.py
@@ -1,77 +1,92 @@
-"""Which configuration a lighthouse hands to pilots, and how far it may be relied on (`harbour.standing`)."""
+"""Sends the committed configuration to data planes, with how far it may be relied on (`ConfigStatus`)."""
 
 from __future__ import annotations
 
 import zlib
 from dataclasses import dataclass
-from typing import Any
 
 from wickspring.common import logs
 from wickspring.common.config_status import ConfigStatus, QuorumContact
-from wickspring.common.connection import PeerConnection
 from wickspring.common.routing_table import RoutingTable, build_routing_table
+from wickspring.controlplane.data_plane_sessions import ConfigOffer, PeerSession
 from wickspring.controlplane.replication.replica import Config
 
+COMPRESSION_LEVEL = 6
+
 
 @dataclass(slots=True, frozen=True)
-class _PackedConfig:
-    """A configuration as pilots get it: packed, with the digest of its text."""
+class PackedConfig:
+    """A configuration as data planes receive it: compressed, with the digest of its text."""
 
     version: int = 0
     digest: bytes = b""
     packed: bytes = b""
 
-    @staticmethod
-    def of(config: Config) -> _PackedConfig:
-        """Pack a configuration."""
-        return _PackedConfig(config.version, config.digest, zlib.compress(config.document, 6))
+    @classmethod
+    def from_config(cls, config: Config) -> PackedConfig:
+        """Compress a configuration."""
+        return cls(config.version, config.digest, zlib.compress(config.document, COMPRESSION_LEVEL))
+
+    def is_copy_of(self, config: Config) -> bool:
+        """Tell whether this is the same version and text."""
+        return self.version == config.version and self.digest == config.digest
 
 
 class ConfigDistributor:
-    """What is safe, as pilots get it, and what each of them was handed."""
+    """Keeps the committed configuration as data planes receive it, and sends it where it is missing."""
 
     def __init__(self) -> None:
         self.routing_table = RoutingTable()
-        self.copy = _PackedConfig()
-        self._last_known = _PackedConfig()
+        self.committed = PackedConfig()
+        self._stored = PackedConfig()  # from the disk: it may never have been committed
 
-    def safe(self, config: Config) -> bool:
-        """Take in what has become safe; True where that is news."""
-        known = self.routing_table.version
-        if config.version < known or (config.version == known and config.digest == self.copy.digest):
+    def publish(self, config: Config) -> bool:
+        """Take over a committed configuration; True where it is newer than the one before."""
+        known_version = self.routing_table.version
+        if config.version < known_version or self._is_published(config):
             return False
-        if config.version == known:
-            logs.log_event("config_two_texts", version=known, digest=config.digest.hex())
+        if config.version == known_version:
+            logs.log_event("config_two_texts", version=known_version, digest=config.digest.hex())
         try:
-            self.routing_table, self.copy = build_routing_table(config.document), _PackedConfig.of(config)
+            routing_table = build_routing_table(config.document)
         except (KeyError, TypeError, ValueError) as error:
             logs.log_event("chart_unusable", version=config.version, reason=repr(error))
             return False
+        self.routing_table = routing_table
+        self.committed = PackedConfig.from_config(config)
         logs.log_event("chart", version=config.version)
         return True
 
-    def holds(self, connection: PeerConnection, version: Any, digest: Any) -> None:
-        """Hear which configuration a pilot goes by."""
-        connection.about["holds"] = int(version), bytes(digest)
+    def _is_published(self, config: Config) -> bool:
+        return config.version == self.routing_table.version and config.digest == self.committed.digest
 
-    def offer(self, connection: PeerConnection, contact: QuorumContact, last_known: Config | None) -> None:
-        """Hand a pilot the configuration, where it has said that it has an older one or none.
+    def offer(self, session: PeerSession, contact: QuorumContact, stored: Config | None) -> None:
+        """Send the configuration to a data plane that has reported an older one or none.
 
-        The last known, which may never have become safe, goes only to one that has none.
+        Args:
+            session: the session of the data plane.
+            contact: the present contact of this node with a quorum.
+            stored: the configuration on this node's disk, which may never have been committed. It goes only
+                to a data plane that has none, while no committed one is known here; None to withhold it.
         """
-        version, digest = connection.about.get("holds", (0, b""))
-        copy, standing = (
-            self.copy,
-            ConfigStatus.SAFE if contact is QuorumContact.NONE else ConfigStatus.CURRENT,
-        )
-        if not copy.version:
-            if version or last_known is None:
-                return
-            if (self._last_known.version, self._last_known.digest) != (last_known.version, last_known.digest):
-                self._last_known = _PackedConfig.of(last_known)
-            copy, standing = self._last_known, ConfigStatus.HELD
-        other = copy.version == version and copy.digest != digest and standing is ConfigStatus.CURRENT
-        offer = copy.version, copy.digest, standing, version, digest  # it may wait with what it was handed
-        if (copy.version > version or other) and connection.about.get("offered") != offer:
-            connection.about["offered"] = offer
-            connection.send("chart", copy.version, copy.packed, copy.digest, int(standing))
+        reported = session.reported_config
+        if self.committed.version:
+            config = self.committed
+            status = ConfigStatus.SAFE if contact is QuorumContact.NONE else ConfigStatus.CURRENT
+        elif reported.version or stored is None:
+            return
+        else:
+            config = self._packed_from_disk(stored)
+            status = ConfigStatus.HELD
+        differs = config.version == reported.version and config.digest != reported.digest
+        needed = config.version > reported.version or (differs and status is ConfigStatus.CURRENT)
+        # The data plane may wait with what it was sent: the same offer goes out once on a connection.
+        offer = ConfigOffer(config.version, config.digest, status, reported)
+        if needed and session.last_offer != offer:
+            session.last_offer = offer
+            session.send("chart", config.version, config.packed, config.digest, int(status))
+
+    def _packed_from_disk(self, stored: Config) -> PackedConfig:
+        if not self._stored.is_copy_of(stored):
+            self._stored = PackedConfig.from_config(stored)
+        return self._stored
--- /dev/null
+++ b/wickspring/controlplane/data_plane_sessions.py
@@ -0,0 +1,98 @@
+"""The data planes that are connected to this control-plane node."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+
+from wickspring.common.config_status import ConfigStatus
+from wickspring.common.connection import PeerConnection
+
+
+@dataclass(slots=True, frozen=True)
+class ReportedConfig:
+    """The configuration that a data plane uses, as it reported it last; version 0 is none."""
+
+    version: int = 0
+    digest: bytes = b""
+
+
+@dataclass(slots=True, frozen=True)
+class ConfigOffer:
+    """A configuration that was sent to a data plane, and what it had reported before."""
+
+    version: int
+    digest: bytes
+    status: ConfigStatus
+    reported: ReportedConfig
+
+
+@dataclass(slots=True, eq=False)
+class PeerSession:
+    """One connection that another process has opened, and what was said on it.
+
+    The peer's first message says whether it is a data plane or another control-plane node.
+    """
+
+    connection: PeerConnection
+    is_control_plane_node: bool = False
+    reported_config: ReportedConfig = ReportedConfig()
+    last_offer: ConfigOffer | None = None
+    announced_digest: bytes = b""  # of the configuration, as last sent with an answer to a tick
+
+    @property
+    def name(self) -> str:
+        """Return the address of the peer; empty until it has introduced itself."""
+        return self.connection.name
+
+    def send(self, *message: object) -> None:
+        """Send one message; it is lost where the connection is broken."""
+        self.connection.send(*message)
+
+
+class DataPlaneSessions:
+    """The sessions of data planes; one data plane may have several while it reconnects."""
+
+    def __init__(self) -> None:
+        self._names: dict[PeerSession, str] = {}
+
+    def __iter__(self) -> Iterator[PeerSession]:
+        """Iterate over the sessions as of now; they may be removed meanwhile."""
+        return iter(list(self._names))
+
+    def add(self, session: PeerSession) -> None:
+        """Add the session of a data plane that has introduced itself."""
+        self._names[session] = session.name
+
+    def remove(self, session: PeerSession) -> bool:
+        """Remove a session; True where it was the last one of its data plane."""
+        name = self._names.pop(session, None)
+        return name is not None and name not in self._names.values()
+
+    def names(self) -> set[str]:
+        """Return the names of the data planes that have a session."""
+        return set(self._names.values())
+
+    def live_names(self) -> set[str]:
+        """Return the names of the data planes that are in reach."""
+        return {name for session, name in self._names.items() if session.connection.live}
+
+    @property
+    def live_count(self) -> int:
+        """Return how many data planes are in reach."""
+        return len(self.live_names())
+
+    def broadcast(self, *message: object) -> None:
+        """Send one message to all data planes."""
+        for session in self._names:
+            session.send(*message)
+
+    def close_timed_out(self) -> list[str]:
+        """Close the sessions that have timed out; return the data planes that have none left by that."""
+        disconnected = []
+        for session, name in list(self._names.items()):
+            if not session.connection.live:
+                if self.remove(session):
+                    disconnected.append(name)
+                session.connection.close()
+        return disconnected
--- a/wickspring/controlplane/endpoint_registry.py
+++ b/wickspring/controlplane/endpoint_registry.py
@@ -1,90 +1,118 @@
-"""Which servers there are, by their beats, as one core machine has heard them. No I/O; times are ms.
+"""The endpoints that are known to one control-plane node, by their heartbeats. No I/O; times are ms.
 
-Beats go to one core machine each; what is new in them is told to the other machines and to the pilots. A beat
-that says the same as the last is told to nobody but the core, and there only that it came.
+An endpoint sends its heartbeats to one node. What changes by them is replicated to the other nodes and sent
+to data planes. Of a heartbeat that changes nothing the other nodes are told only that it came.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
 from wickspring.common.endpoints import GONE, READY, Endpoint
 
-SILENT_BEATS = 2.7  # beats after which a server that has not called is taken for lost
-FORGET_MS = 60_000.0  # after which a lost or gone one is forgotten; its id does not come back
-COLD_STEP_MS = 400.0  # by which the end of being slow must move to be news
+MISSED_HEARTBEATS = 2.7  # heartbeat intervals without any, after which an endpoint counts as lost
+FORGET_AFTER_MS = 60_000.0  # without a heartbeat; the id of a lost or gone endpoint does not come back
+WARM_UP_CHANGE_MS = 400.0  # by which the end of warming up must move to count as a change
 
 
 class EndpointRegistry:
-    """The servers."""
-
-    def __init__(self, beat_ms: float) -> None:
-        self.beat_ms = beat_ms
-        self.servers: dict[str, Endpoint] = {}
-        self.heard_at: dict[str, float] = {}
-        self.lost: set[str] = set()  # silent for too long
-        self.leaving: dict[str, int] = {}  # as the chain holds them; the last word
-
-    def _state(self, server: Endpoint) -> Endpoint:
-        state = max(server.state, self.leaving.get(server.id, READY))
-        return server if state == server.state else replace(server, state=state)
-
-    def beat(self, now: float, told: Endpoint) -> Endpoint | None:
-        """Take a beat, or news of one; return the server where that is news for pilots."""
-        known = self.servers.get(told.id)
-        told = self._state(told)
-        if known is not None:
-            if told.seq < known.seq:
-                return None  # a late call
-            told = replace(told, state=max(told.state, known.state))
-        if told.state != GONE:
-            self.heard_at[told.id] = now
-        back = told.id in self.lost
-        self.lost.discard(told.id)
-        self.servers[told.id] = told
-        if known is None or back:
-            return told
-        moved = abs(told.cold_until - known.cold_until) > COLD_STEP_MS and told.cold_until > now
-        same = replace(told, seq=known.seq, cold_until=known.cold_until) == known
-        return None if same and not moved else told
-
-    def alive(self, now: float, told: Iterable[tuple[str, int]]) -> list[Endpoint]:
-        """Note that beats have come to another core machine; return the servers that are back by them."""
-        back = []
-        for server, seq in told:
-            known = self.servers.get(server)
-            if known is not None and seq >= known.seq:
-                self.heard_at[server] = now
-                if server in self.lost:
-                    self.lost.discard(server)
-                    back.append(known)
-        return back
-
-    def leave(self, leaving: dict[str, int]) -> list[Endpoint]:
-        """Take in who leaves, by the chain; return the servers for which that is news."""
-        self.leaving.update(leaving)
-        news = []
-        for id_, state in leaving.items():
-            known = self.servers.get(id_)
+    """Endpoints by id, with the times of their last heartbeats."""
+
+    def __init__(self, heartbeat_ms: float) -> None:
+        self.heartbeat_ms = heartbeat_ms
+        self.endpoints: dict[str, Endpoint] = {}
+        self.last_heartbeat_at: dict[str, float] = {}
+        self.lost: set[str] = set()  # ids without a heartbeat for too long
+        self.departures: dict[str, int] = {}  # committed states of endpoints that drain or have ended
+
+    def record_heartbeat(self, now: float, received: Endpoint) -> Endpoint | None:
+        """Record a heartbeat, sent here or to another node; return the endpoint where data planes need it."""
+        known = self.endpoints.get(received.id)
+        if known is not None and received.seq < known.seq:
+            return None  # overtaken by a later one
+        endpoint = self._with_final_state(received, known)
+        if endpoint.state != GONE:
+            self.last_heartbeat_at[endpoint.id] = now
+        recovered = endpoint.id in self.lost
+        self.lost.discard(endpoint.id)
+        self.endpoints[endpoint.id] = endpoint
+        if known is None or recovered or _has_changed(now, known, endpoint):
+            return endpoint
+        return None
+
+    def _with_final_state(self, endpoint: Endpoint, known: Endpoint | None) -> Endpoint:
+        """Return an endpoint in the latest of its states: none is ever taken back."""
+        departure = self.departures.get(endpoint.id, READY)
+        state = max(endpoint.state, departure, known.state if known is not None else READY)
+        return endpoint if state == endpoint.state else replace(endpoint, state=state)
+
+    def record_liveness(self, now: float, sequences: Iterable[tuple[str, int]]) -> list[Endpoint]:
+        """Record heartbeats that came to another node, by id and sequence number.
+
+        Returns the endpoints that are no longer lost.
+        """
+        recovered = []
+        for endpoint_id, sequence in sequences:
+            known = self.endpoints.get(endpoint_id)
+            if known is None or sequence < known.seq:
+                continue
+            self.last_heartbeat_at[endpoint_id] = now
+            if endpoint_id in self.lost:
+                self.lost.discard(endpoint_id)
+                recovered.append(known)
+        return recovered
+
+    def new_departures(self, departures: Mapping[str, int]) -> dict[str, int]:
+        """Return those of the committed departures that go further than what is known here."""
+        return {
+            endpoint_id: state
+            for endpoint_id, state in departures.items()
+            if self.departures.get(endpoint_id, READY) < state
+        }
+
+    def apply_departures(self, departures: Mapping[str, int]) -> list[Endpoint]:
+        """Apply committed departures, states by id; return the endpoints that changed."""
+        self.departures.update(departures)
+        changed = []
+        for endpoint_id, state in departures.items():
+            known = self.endpoints.get(endpoint_id)
             if known is not None and known.state < state:
-                self.servers[id_] = replace(known, state=state)
-                news.append(self.servers[id_])
-        return news
-
-    def sweep(self, now: float) -> list[str]:
-        """Return the servers that have just been taken for lost, and forget old ones."""
-        news = []
-        for id_, heard in list(self.heard_at.items()):
-            if now - heard > SILENT_BEATS * self.beat_ms and id_ not in self.lost:
-                self.lost.add(id_)
-                news.append(id_)
-            elif now - heard > FORGET_MS:
-                del self.heard_at[id_]
-                self.servers.pop(id_, None)
-                self.lost.discard(id_)
-        return news
-
-    def whole(self) -> list[Endpoint]:
-        """Return all servers that are not taken for lost."""
-        return [one for one in self.servers.values() if one.id not in self.lost]
+                endpoint = replace(known, state=state)
+                self.endpoints[endpoint_id] = endpoint
+                changed.append(endpoint)
+        return changed
+
+    def expire(self, now: float) -> list[str]:
+        """Return the ids of endpoints that have just been lost, and forget those lost long ago."""
+        lost = []
+        timeout_ms = MISSED_HEARTBEATS * self.heartbeat_ms
+        for endpoint_id, heartbeat_at in list(self.last_heartbeat_at.items()):
+            silence_ms = now - heartbeat_at
+            if silence_ms > timeout_ms and endpoint_id not in self.lost:
+                self.lost.add(endpoint_id)
+                lost.append(endpoint_id)
+            elif silence_ms > FORGET_AFTER_MS:
+                self._forget(endpoint_id)
+        return lost
+
+    def _forget(self, endpoint_id: str) -> None:
+        del self.last_heartbeat_at[endpoint_id]
+        self.endpoints.pop(endpoint_id, None)
+        self.lost.discard(endpoint_id)
+
+    def present(self) -> list[Endpoint]:
+        """Return the endpoints that are not lost, in any state."""
+        return [endpoint for endpoint in self.endpoints.values() if endpoint.id not in self.lost]
+
+    def ready(self) -> list[Endpoint]:
+        """Return the endpoints that are not lost and take requests."""
+        return [endpoint for endpoint in self.present() if endpoint.state == READY]
+
+
+def _has_changed(now: float, known: Endpoint, endpoint: Endpoint) -> bool:
+    """Tell whether a heartbeat changes an endpoint for data planes."""
+    warm_up_moved = abs(endpoint.cold_until - known.cold_until) > WARM_UP_CHANGE_MS
+    if warm_up_moved and endpoint.cold_until > now:
+        return True
+    return replace(endpoint, seq=known.seq, cold_until=known.cold_until) != known
--- a/wickspring/controlplane/load_tracker.py
+++ b/wickspring/controlplane/load_tracker.py
@@ -1,9 +1,9 @@
-"""How much every server of a service has to do, as one lighthouse hears it of all pilots. No I/O; ms.
+"""The load of every endpoint, as one control-plane node learns it from all data planes. No I/O; times are ms.
 
-A pilot sees its own requests alone: one of eight, or of eighty. So each asks the lighthouse that watches
-over a service for the servers best taken now, says where it sends, and when that is over. What it is told is
-advice: it leaves out whom it knows to drain or to fail, and without an answer in time it chooses by itself. A
-server that answers nobody keeps what was sent there, and so is passed over by all.
+A data plane sees its own requests alone, one of eight or of eighty. So it asks the node that owns a service
+for the endpoints that are best taken now, and reports each request that it sends and its end. The answer is
+advice: a data plane leaves out endpoints that it knows to drain or to fail, and without an answer in time it
+chooses by itself. An endpoint that answers nobody keeps its requests in flight, and so is avoided by all.
 """
 
 from __future__ import annotations
@@ -14,63 +14,79 @@
 
 from wickspring.common.endpoints import Endpoint
 
-OFFERS = 4  # servers named in one answer
-MEMORY = 12.0  # answers in the mean of a server's speed
-SLOW_LEAST, SLOW_MOST = 0.4, 4.0
-OTHER_ZONE_COST, COLD_COST = 1.4, 2.0  # times as much one costs
-SHUN_MS, SHUN_COST = 700.0, 6.0  # after a failure
-EVEN = 0.03  # share by which costs are mixed, so that pilots that ask at once are not all told the same
+MAX_ADVISED = 4  # endpoints in one answer
+LATENCY_MEMORY = 12.0  # requests that the running mean of an endpoint's latency goes over
+MIN_LATENCY_RATIO = 0.4
+MAX_LATENCY_RATIO = 4.0
+OTHER_ZONE_FACTOR = 1.4  # factors on the cost of an endpoint
+WARMING_UP_FACTOR = 2.0
+EJECTED_FACTOR = 6.0
+EJECTION_MS = 700.0  # after a failure
+JITTER = 0.03  # share by which costs vary, so that data planes asking at once get different answers
+COST_DIGITS = 2
 
 
 class LoadTracker:
-    """What is out at each server."""
+    """Requests in flight, latencies and failures of endpoints."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
-        self.out: Counter[str] = Counter()
-        self.by_data_plane: dict[str, Counter[str]] = {}
-        self.slow: dict[str, float] = {}  # answer times, by those usual for the request
-        self.shunned: dict[str, float] = {}  # until when
+        self.in_flight: Counter[str] = Counter()
+        self.in_flight_by_data_plane: dict[str, Counter[str]] = {}
+        self.latency_ratio: dict[
+            str, float
+        ] = {}  # running mean of latency over what is typical of the request
+        self.ejected_until: dict[str, float] = {}
 
-    def sent(self, data_plane: str, server: str) -> None:
-        """Note that a pilot has sent a request to a server."""
-        self.out[server] += 1
-        self.by_data_plane.setdefault(data_plane, Counter())[server] += 1
+    def request_sent(self, data_plane: str, endpoint_id: str) -> None:
+        """Record that a data plane has sent a request to an endpoint."""
+        self.in_flight[endpoint_id] += 1
+        self.in_flight_by_data_plane.setdefault(data_plane, Counter())[endpoint_id] += 1
 
-    def ended(self, now: float, data_plane: str, server: str, ratio: float) -> None:
-        """Note its end: its time by what is usual, 0 where it was turned away, below 0 where it failed."""
-        mine = self.by_data_plane.get(data_plane)
-        if mine is not None and mine[server] > 0:
-            mine[server] -= 1
-            self.out[server] -= 1
+    def request_ended(self, now: float, data_plane: str, endpoint_id: str, ratio: float) -> None:
+        """Record the end of a request.
+
+        Args:
+            now: the present time, ms.
+            data_plane: the data plane that had sent it.
+            endpoint_id: the endpoint that it was sent to.
+            ratio: its latency over the typical one; 0 where it was rejected, below 0 where it failed.
+        """
+        sent = self.in_flight_by_data_plane.get(data_plane)
+        if sent is not None and sent[endpoint_id] > 0:
+            sent[endpoint_id] -= 1
+            self.in_flight[endpoint_id] -= 1
         if ratio > 0:
-            slow = self.slow.get(server, 1.0)
-            self.slow[server] = slow + (min(SLOW_MOST, max(SLOW_LEAST, ratio)) - slow) / MEMORY
+            mean = self.latency_ratio.get(endpoint_id, 1.0)
+            bounded = min(MAX_LATENCY_RATIO, max(MIN_LATENCY_RATIO, ratio))
+            self.latency_ratio[endpoint_id] = mean + (bounded - mean) / LATENCY_MEMORY
         elif ratio < 0:
-            self.shunned[server] = now + SHUN_MS
+            self.ejected_until[endpoint_id] = now + EJECTION_MS
 
-    def gone(self, data_plane: str) -> None:
-        """Forget what a pilot has out: it has ended, or tells anew."""
-        for server, units in self.by_data_plane.pop(data_plane, Counter()).items():
-            self.out[server] -= units
+    def forget_data_plane(self, data_plane: str) -> None:
+        """Forget the requests of a data plane that has ended, or reports anew."""
+        for endpoint_id, count in self.in_flight_by_data_plane.pop(data_plane, Counter()).items():
+            self.in_flight[endpoint_id] -= count
 
-    def forget(self, server: str) -> None:
-        """Forget a server."""
-        for book in (self.out, self.slow, self.shunned):
-            book.pop(server, None)
+    def forget_endpoint(self, endpoint_id: str) -> None:
+        """Forget an endpoint."""
+        self.in_flight.pop(endpoint_id, None)
+        self.latency_ratio.pop(endpoint_id, None)
+        self.ejected_until.pop(endpoint_id, None)
 
-    def cost(self, now: float, server: Endpoint, zone: str) -> float:
-        """Return about how long an answer takes there, by the usual time."""
-        cost = self.slow.get(server.id, 1.0) * (1.0 + self.out[server.id] / max(1, server.slots))
-        if server.zone != zone:
-            cost *= OTHER_ZONE_COST
-        if server.cold_until > now:
-            cost *= COLD_COST
-        if self.shunned.get(server.id, 0.0) > now:
-            cost *= SHUN_COST
-        return cost * (1.0 + EVEN * self.random.random())
+    def cost(self, now: float, endpoint: Endpoint, zone: str) -> float:
+        """Return the expected latency of a further request from a zone, in typical latencies."""
+        occupancy = self.in_flight[endpoint.id] / max(1, endpoint.slots)
+        cost = self.latency_ratio.get(endpoint.id, 1.0) * (1.0 + occupancy)
+        if endpoint.zone != zone:
+            cost *= OTHER_ZONE_FACTOR
+        if endpoint.cold_until > now:
+            cost *= WARMING_UP_FACTOR
+        if self.ejected_until.get(endpoint.id, 0.0) > now:
+            cost *= EJECTED_FACTOR
+        return cost * (1.0 + JITTER * self.random.random())
 
-    def offers(self, now: float, zone: str, servers: Iterable[Endpoint]) -> list[tuple[str, float]]:
-        """Return those of a service's servers that are best taken now, with their costs."""
-        costs = [(self.cost(now, one, zone), one.id) for one in servers]
-        return [(id_, round(cost, 2)) for cost, id_ in sorted(costs)[:OFFERS]]
+    def advise(self, now: float, zone: str, endpoints: Iterable[Endpoint]) -> list[tuple[str, float]]:
+        """Return the ids of the endpoints that are best taken now with their costs, the cheapest first."""
+        costs = sorted((self.cost(now, endpoint, zone), endpoint.id) for endpoint in endpoints)
+        return [(endpoint_id, round(cost, COST_DIGITS)) for cost, endpoint_id in costs[:MAX_ADVISED]]
--- a/wickspring/controlplane/quorum_contact.py
+++ b/wickspring/controlplane/quorum_contact.py
@@ -1,45 +1,91 @@
-"""Since when this lighthouse is in contact with a majority of the core, or is not. No I/O; times are ms.
+"""Whether this control-plane node is in contact with a quorum, and since when. Times are ms.
 
-Contact comes and goes for moments at every start and change of view, so callers are only sent on where it has
-been away for `GAP_MS`. What is known of servers counts as complete once contact has lasted `settle_ms`, in
-which every server that lives has beaten somewhere and this machine has been told.
+Contact is lost for moments at every start and change of view, so callers are sent elsewhere only after
+`CONTACT_TIMEOUT_MS` without it. What is known of endpoints counts as complete once contact has lasted for
+`settle_ms`: by then every endpoint that lives has sent a heartbeat, and this node was told of it.
 """
 
 from __future__ import annotations
 
+from typing import Protocol
+
 from wickspring.common.config_status import QuorumContact
+from wickspring.net.clock import Clock
 
-GAP_MS = 1000.0  # without contact, beyond which callers are sent on at once
-ALONE_MS = 1500.0  # without contact, after which pilots that have nothing may have what the disk holds
-SETTLE_BEATS = 1.5  # between two beats of servers at most, and for them to be told on
+CONTACT_TIMEOUT_MS = 1000.0  # without contact, after which callers are sent elsewhere at once
+ISOLATION_MS = (
+    1500.0  # without contact, after which data planes that have nothing may have what the disk holds
+)
+SETTLE_HEARTBEATS = 1.5  # heartbeat intervals: one until the next heartbeat, the rest for its replication
 
 
 class QuorumContactMonitor:
-    """What the looks so far have shown; a start counts as the end of a contact."""
+    """Derives the level of contact from single observations; a start counts as the loss of a contact.
+
+    No I/O and no clock: every call names the present time.
+    """
 
-    def __init__(self, now: float, beat_ms: float) -> None:
-        self.settle_ms = SETTLE_BEATS * beat_ms
-        self.last = now
-        self.since: float | None = None  # passing over short gaps
+    def __init__(self, now: float, heartbeat_ms: float) -> None:
+        self.settle_ms = SETTLE_HEARTBEATS * heartbeat_ms
+        self.last_contact_at = now
+        self.contact_since: float | None = None  # short gaps do not interrupt it
         self.level = QuorumContact.NONE
 
-    def look(self, now: float, in_contact: bool) -> QuorumContact:
-        """Note whether there is contact at this moment; return how far it goes."""
-        if now - self.last > GAP_MS:
-            self.since = None
+    def observe(self, now: float, in_contact: bool) -> QuorumContact:
+        """Record whether there is contact at this moment; return the level that follows."""
+        if now - self.last_contact_at > CONTACT_TIMEOUT_MS:
+            self.contact_since = None
         if not in_contact:
             self.level = QuorumContact.NONE
             return self.level
-        if self.since is None:
-            self.since = now
-        self.last = now
-        self.level = QuorumContact.SETTLED if now - self.since >= self.settle_ms else QuorumContact.FRESH
+        if self.contact_since is None:
+            self.contact_since = now
+        self.last_contact_at = now
+        settled = now - self.contact_since >= self.settle_ms
+        self.level = QuorumContact.SETTLED if settled else QuorumContact.FRESH
         return self.level
 
-    def gone(self, now: float) -> bool:
-        """Tell whether there has been none for so long that callers are better off elsewhere."""
-        return self.level is QuorumContact.NONE and now - self.last > GAP_MS
+    def timed_out(self, now: float) -> bool:
+        """Tell whether contact has been lost for so long that callers are better off elsewhere."""
+        return self._lost_for(now) > CONTACT_TIMEOUT_MS
+
+    def isolated(self, now: float) -> bool:
+        """Tell whether contact has been lost for so long that the last known state is better than none."""
+        return self._lost_for(now) > ISOLATION_MS
+
+    def _lost_for(self, now: float) -> float:
+        """Return the ms since contact was lost; 0 while there is contact."""
+        return now - self.last_contact_at if self.level is QuorumContact.NONE else 0.0
+
+
+class QuorumMember(Protocol):
+    """A node that knows whether it reaches a quorum now."""
+
+    @property
+    def in_contact(self) -> bool:
+        """Tell whether a majority of the voters has answered lately."""
+
+
+class QuorumContactObserver:
+    """Observes the contact of a node by the clock of its process."""
+
+    def __init__(self, clock: Clock, node: QuorumMember, heartbeat_ms: float) -> None:
+        self._clock = clock
+        self._node = node
+        self._monitor = QuorumContactMonitor(clock.now(), heartbeat_ms)
+
+    def observe(self) -> QuorumContact:
+        """Return the present level of contact."""
+        return self._monitor.observe(self._clock.now(), self._node.in_contact)
+
+    @property
+    def timed_out(self) -> bool:
+        """Tell whether contact has been lost for so long that callers are better off elsewhere."""
+        self.observe()
+        return self._monitor.timed_out(self._clock.now())
 
-    def alone(self, now: float) -> bool:
-        """Tell whether there has been none for so long that the last known is better than nothing."""
-        return self.level is QuorumContact.NONE and now - self.last > ALONE_MS
+    @property
+    def isolated(self) -> bool:
+        """Tell whether contact has been lost for so long that the last known state is better than none."""
+        self.observe()
+        return self._monitor.isolated(self._clock.now())
--- /dev/null
+++ b/wickspring/controlplane/status.py
@@ -0,0 +1,190 @@
+"""The state of one control-plane node for operators, as `GET /status` answers it.
+
+The names in JSON belong to the interface of operators. Where a field has another name in this program, the
+`rename` of its class keeps the name in JSON.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from wickspring.common.endpoints import Endpoint
+from wickspring.controlplane.components import Components
+from wickspring.controlplane.data_plane_sessions import DataPlaneSessions
+from wickspring.controlplane.quota_counter import QuotaCounter
+from wickspring.controlplane.replication.node import NodeStatus, ReplicationNode
+
+_ENDPOINT_STATES = ("ready", "draining", "gone")
+_DIGITS = 1
+
+
+class ReplicationStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "is_member": "member",
+        "stored_version": "held",
+        "committed_version": "safe",
+        "disk_id": "disk",
+        "tolerance_shortfalls": "short",
+    },
+):
+    """The replication chain as this node knows it."""
+
+    epoch: int
+    members: list[str]  # of the chain, its head first
+    voters: list[str]
+    is_member: bool
+    contact: str
+    frozen: bool
+    steady: bool
+    stored_version: int
+    committed_version: int
+    disk_id: str
+    tolerance_shortfalls: list[str]  # faults named in the settings that the view would not survive
+
+
+class UnknownNodeStatus(msgspec.Struct, frozen=True, rename={"is_live": "live"}):
+    """Another control-plane node that has reported nothing yet."""
+
+    is_live: bool
+    behind: list[str]  # in what its copy is older than this node's, and why
+
+
+class PeerNodeStatus(
+    UnknownNodeStatus, frozen=True, rename={"is_live": "live", "unhealthy": "ill", "reachable": "sees"}
+):
+    """Another control-plane node, with what it reported last of itself."""
+
+    disk: str
+    epoch: int
+    safe_epoch: int
+    version: int
+    leaving: int
+    leaving_sum: int
+    identity: bytes
+    unhealthy: bool
+    zone: str
+    control: str
+    reachable: list[str]
+
+
+class EndpointStatus(msgspec.Struct, frozen=True):
+    """One endpoint; `silent_s` is the time since its last heartbeat."""
+
+    id: str
+    service: str
+    address: str
+    zone: str
+    state: str
+    slots: int
+    silent_s: float
+
+
+class QuotaCountStatus(msgspec.Struct, frozen=True, rename={"remaining": "left"}):
+    """The count of one tenant: units in the span, and those that the present window still has."""
+
+    in_span: int
+    remaining: float
+
+
+class ControlPlaneStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "replication": "chain",
+        "peer_nodes": "core",
+        "data_planes": "pilots",
+        "endpoints": "servers",
+        "quota_counts": "counts",
+    },
+):
+    """The state of one control-plane node."""
+
+    node: str
+    replication: ReplicationStatus
+    peer_nodes: dict[str, UnknownNodeStatus]  # by address
+    data_planes: list[str]
+    endpoints: list[EndpointStatus]
+    quota_counts: dict[str, QuotaCountStatus]  # by tenant
+
+
+def collect_status(components: Components, data_planes: DataPlaneSessions) -> ControlPlaneStatus:
+    """Return the present state of a node."""
+    replication = components.replication
+    return ControlPlaneStatus(
+        node=components.settings.node_name,
+        replication=_replication_status(replication, components.contact.observe().name.lower()),
+        peer_nodes={ip: _peer_status(replication, ip) for ip in replication.callers},
+        data_planes=sorted(data_planes.live_names()),
+        endpoints=_endpoint_statuses(components),
+        quota_counts=_quota_statuses(components.quota_counter),
+    )
+
+
+def _replication_status(replication: ReplicationNode, contact: str) -> ReplicationStatus:
+    chain = replication.chain
+    return ReplicationStatus(
+        epoch=chain.view.epoch,
+        members=[ip for ip, _ in chain.view.chain],
+        voters=[ip for ip, _ in chain.view.voters],
+        is_member=chain.member,
+        contact=contact,
+        frozen=chain.frozen,
+        steady=replication.steady,
+        stored_version=chain.replica.config.version,
+        committed_version=chain.safe.config.version,
+        disk_id=chain.me[1],
+        tolerance_shortfalls=replication.short(),
+    )
+
+
+def _peer_status(replication: ReplicationNode, ip: str) -> UnknownNodeStatus:
+    is_live = replication.live(ip)
+    behind = replication.behind(ip)
+    reported: NodeStatus | None = replication.states.get(ip)
+    if reported is None:
+        return UnknownNodeStatus(is_live, behind)
+    return PeerNodeStatus(
+        is_live=is_live,
+        behind=behind,
+        disk=reported.disk,
+        epoch=reported.epoch,
+        safe_epoch=reported.safe_epoch,
+        version=reported.version,
+        leaving=reported.leaving,
+        leaving_sum=reported.leaving_sum,
+        identity=reported.identity,
+        unhealthy=reported.ill,
+        zone=reported.zone,
+        control=reported.control,
+        reachable=reported.sees,
+    )
+
+
+def _endpoint_statuses(components: Components) -> list[EndpointStatus]:
+    now = components.clock.now()
+    last_heartbeat_at = components.registry.last_heartbeat_at
+    return [
+        _endpoint_status(endpoint, now - last_heartbeat_at.get(endpoint.id, now))
+        for endpoint in components.registry.endpoints.values()
+    ]
+
+
+def _endpoint_status(endpoint: Endpoint, silent_ms: float) -> EndpointStatus:
+    return EndpointStatus(
+        id=endpoint.id,
+        service=endpoint.service,
+        address=endpoint.address,
+        zone=endpoint.zone,
+        state=_ENDPOINT_STATES[endpoint.state],
+        slots=endpoint.slots,
+        silent_s=round(silent_ms / 1000.0, _DIGITS),
+    )
+
+
+def _quota_statuses(counter: QuotaCounter) -> dict[str, QuotaCountStatus]:
+    return {
+        tenant: QuotaCountStatus(count.total, round(max(0.0, count.level or 0.0), _DIGITS))
+        for tenant, count in counter.counts.items()
+    }
--- /dev/null
+++ b/wickspring/controlplane/view_announcements.py
@@ -0,0 +1,33 @@
+"""Announces to data planes which control-plane nodes there are."""
+
+from __future__ import annotations
+
+from wickspring.controlplane.components import Components
+from wickspring.controlplane.data_plane_sessions import DataPlaneSessions, PeerSession
+
+
+class ViewAnnouncer:
+    """Sends the present view, the nodes in reach and the number of data planes."""
+
+    def __init__(self, components: Components, data_planes: DataPlaneSessions) -> None:
+        self._own_ip = components.settings.ip
+        self._replication = components.replication
+        self._data_planes = data_planes
+
+    def reachable_nodes(self) -> list[str]:
+        """Return this node and the other ones that it reaches."""
+        others = [ip for ip in self._replication.callers if self._replication.live(ip)]
+        return [self._own_ip, *others]
+
+    def _message(self) -> tuple[object, ...]:
+        view = self._replication.chain.view
+        members = [ip for ip, _ in view.chain]
+        return "view", view.epoch, members, self.reachable_nodes(), self._data_planes.live_count
+
+    def send(self, session: PeerSession) -> None:
+        """Announce the view to one data plane."""
+        session.send(*self._message())
+
+    def broadcast(self) -> None:
+        """Announce the view to all data planes."""
+        self._data_planes.broadcast(*self._message())
--- a/wickspring/lab/experiments/capacity_steps.py
+++ b/wickspring/lab/experiments/capacity_steps.py
@@ -136,7 +136,7 @@
     told = servers(count)
     register, choice, candidates = EndpointRegistry(1500.0), EndpointSelector("a", 1), LoadTracker(1)
     for one in told:
-        register.beat(0.0, one)
+        register.record_heartbeat(0.0, one)
         choice.heard(0.0, one)
 
     def known() -> EndpointSelector:
@@ -148,12 +148,12 @@
     def registered() -> EndpointRegistry:
         made = EndpointRegistry(1500.0)
         for one in servers(count):
-            made.beat(0.0, one)
+            made.record_heartbeat(0.0, one)
         return made
 
     def advise() -> None:
-        mine = [one for one in register.whole() if one.service == told[0].service and one.state == 0]
-        candidates.offers(0.0, "a", mine)
+        mine = [one for one in register.present() if one.service == told[0].service and one.state == 0]
+        candidates.advise(0.0, "a", mine)
 
     def pilot_digest() -> int:
         return endpoints_digest(
@@ -162,10 +162,10 @@
 
     return {
         "whole_bytes": float(len(msgpack.packb(["whole", [one.pack(0.0) for one in told], {}]))),
-        "core_digest_ms": took_ms(lambda: endpoints_digest(register.whole())),
+        "core_digest_ms": took_ms(lambda: endpoints_digest(register.present())),
         "ingress_digest_ms": took_ms(pilot_digest),
         "advice_ms": took_ms(advise),
-        "sweep_ms": took_ms(lambda: register.sweep(1.0)),
+        "sweep_ms": took_ms(lambda: register.expire(1.0)),
         "ingress_mb": held_mb(known),
         "core_mb": held_mb(registered),
         "pick_us": 1000.0 * took_ms(lambda: choice.pick(0.0, told[0].service, "r", set()), 50),
@@ -240,15 +240,15 @@
     told = servers(count)
     register, candidates = EndpointRegistry(1500.0), LoadTracker(1)
     for one in told:
-        register.beat(0.0, one)
+        register.record_heartbeat(0.0, one)
     body = document(1, tenants, routes, services)
 
     def advise() -> None:
-        mine = [one for one in register.whole() if one.service == told[0].service and one.state == 0]
-        candidates.offers(0.0, "a", mine)
+        mine = [one for one in register.present() if one.service == told[0].service and one.state == 0]
+        candidates.advise(0.0, "a", mine)
 
     return {
-        "tick": profile(lambda: endpoints_digest(register.whole()), 50),
+        "tick": profile(lambda: endpoints_digest(register.present()), 50),
         "advice": profile(advise, 50),
         "order": profile(lambda: validate_config(body), 1),
     }
--- a/wickspring/lab/simulation/hollow_gateway.py
+++ b/wickspring/lab/simulation/hollow_gateway.py
@@ -407,13 +407,13 @@
             control_plane = self.control_planes[ip] = controlplane_process.ControlPlane(
                 self._settings(ip), nursery, self.random.getrandbits(32)
             )
-            self.net.listen(ip, CORE, nursery, self.clock, control_plane.connection)
+            self.net.listen(ip, CORE, nursery, self.clock, control_plane.peer_server.serve)
 
             def begin() -> None:
-                self._start(nursery, "rest", control_plane.timers.run)
-                self._start(nursery, "chain", control_plane.core.run)
-                self._start(nursery, "core ticks", control_plane.core.tick)
-                self._start(nursery, "upkeep", control_plane.upkeep)
+                self._start(nursery, "rest", control_plane.api_server.timers.run)
+                self._start(nursery, "chain", control_plane.replication.run)
+                self._start(nursery, "core ticks", control_plane.replication.tick)
+                self._start(nursery, "upkeep", control_plane.maintenance.run)
 
             return begin
 
@@ -471,7 +471,7 @@
         control_plane = self.control_planes[self._home(id_)]
         body = json.dumps(told).encode()
         with self.meter.inside(CORE, "beats"):
-            control_plane.ask(Caller(), "POST", f"/servers/{id_}/heartbeat", {}, body)
+            control_plane.api_server.ask(Caller(), "POST", f"/servers/{id_}/heartbeat", {}, body)
 
     def _home(self, id_: str) -> str:
         return self.cores[int(id_[2:8]) % len(self.cores)]
@@ -480,7 +480,9 @@
         """Have a server say that it ends."""
         self.servers.pop(id_)
         with self.meter.inside(CORE, "beats"):
-            self.control_planes[self._home(id_)].ask(Caller(), "POST", f"/servers/{id_}/deregister", {}, b"")
+            self.control_planes[self._home(id_)].api_server.ask(
+                Caller(), "POST", f"/servers/{id_}/deregister", {}, b""
+            )
 
     async def beats(self, period_s: float) -> None:
         """Have all servers beat, evenly spread over the time."""
@@ -505,7 +507,7 @@
 
         control_plane = self.control_planes[self.cores[0]]
         with self.meter.inside(CORE, "configuration"):
-            control_plane.ask(Caller(answered), "POST", "/config/replace", {}, body)
+            control_plane.api_server.ask(Caller(answered), "POST", "/config/replace", {}, body)
         await ended.wait()
         return status[0]
 
