--- a/wickspring/controlplane/api/config_validation.py
+++ b/wickspring/controlplane/api/config_validation.py
@@ -1,8 +1,12 @@
-"""Checks an operator's configuration whole, before anything is kept; faults are named by their place."""
+"""Validates an operator's configuration as a whole, before any of it is stored.
+
+Errors name the place in the document. Fields that are not known here are allowed: the document is passed on
+as it came, and data planes of a later version may know them.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Hashable, Iterable, Iterator, Mapping, Sequence
 from typing import Any
 
 import msgspec
@@ -12,57 +16,60 @@
 from wickspring.common.errors import ErrorDetail, ErrorKind
 from wickspring.common.routing_table import parse_version
 
-TARGET_PAST_TIMEOUT_S = 60.0  # a target so much above its route's timeout is a slip of the pen
-MOST_REASONS = 300  # characters of what is answered
-MOST_VERSION = 2**62
-MOST_FIGURE = 1e9  # of seconds, weights, rates and bursts: sums of them stay numbers
+TARGET_MARGIN_S = 60.0  # a target latency that far above its route's timeout is a mistake
+MAX_REASON_CHARACTERS = 300
+MAX_VERSION = 2**62
+MAX_NUMBER = 1e9  # of seconds, weights, rates and bursts: sums of them stay finite
+
+Document = Mapping[str, Any]  # a part of the configuration, as JSON brings it
 
 
-def _version(text: str) -> None:
+def _validate_version(text: str) -> None:
     try:
-        if parse_version(text) > MOST_VERSION:
-            raise ValueError("too high a version")
+        version = parse_version(text)
     except ValueError as error:
         raise ValidationError(str(error)) from error
+    if version > MAX_VERSION:
+        raise ValidationError("too high a version")
 
 
-class _Lenient(Schema):
-    """Fields that are not known are kept: the document goes on as it came."""
+def _number(required: bool = False, positive: bool = False) -> fields.Float:
+    """Return a field for a number from 0 on, or above 0."""
+    bounds = validate.Range(min=0, max=MAX_NUMBER, min_inclusive=not positive)
+    return fields.Float(required=required, allow_nan=False, validate=bounds)
 
-    class Meta:
-        unknown = INCLUDE
 
+class _OpenSchema(Schema):
+    """A schema that allows fields it does not know."""
 
-def _number(above: bool = False, **more: Any) -> fields.Float:
-    """A figure from 0 on, or above it."""
-    bounds = validate.Range(min=0, max=MOST_FIGURE, min_inclusive=not above)
-    return fields.Float(allow_nan=False, validate=bounds, **more)
+    class Meta:
+        unknown = INCLUDE
 
 
-class _Weighted(_Lenient):
+class _WeightedService(_OpenSchema):
     service = fields.String(required=True)
     weight = _number(required=True)
 
 
-class _Effect(_Lenient):
+class _Effect(_OpenSchema):
     service = fields.String()
-    weighted = fields.List(fields.Nested(_Weighted), validate=validate.Length(min=1))
-    timeout_s = _number(above=True, required=True)
+    weighted = fields.List(fields.Nested(_WeightedService), validate=validate.Length(min=1))
+    timeout_s = _number(positive=True, required=True)
     max_tries = fields.Integer(required=True, strict=True, validate=validate.Range(min=1))
 
     @validates_schema
-    def _one_way(self, data: Mapping[str, Any], **_: Any) -> None:
-        if ("service" in data) == ("weighted" in data):
+    def _validate_destination(self, effect: Document, **_: Any) -> None:
+        if ("service" in effect) == ("weighted" in effect):
             raise ValidationError("names either service or weighted")
-        if "weighted" in data and not any(one["weight"] > 0 for one in data["weighted"]):
+        if "weighted" in effect and not any(part["weight"] > 0 for part in effect["weighted"]):
             raise ValidationError("no weight above 0", "weighted")
 
 
-class _Pattern(_Lenient):
+class _Pattern(_OpenSchema):
     path_prefix = fields.String(required=True, validate=validate.Regexp(r"/([^?#]*/)?\Z"))
 
 
-class _Rule(_Lenient):
+class _Rule(_OpenSchema):
     name = fields.String(required=True)
     route_kind = fields.String(required=True, validate=validate.OneOf(("pure", "effectful")))
     target_s = _number(required=True)
@@ -72,17 +79,17 @@
     effect = fields.Nested(_Effect, required=True)
 
     @validates_schema
-    def _target(self, data: Mapping[str, Any], **_: Any) -> None:
-        if data["target_s"] >= data["effect"]["timeout_s"] + TARGET_PAST_TIMEOUT_S:
+    def _validate_target(self, rule: Document, **_: Any) -> None:
+        if rule["target_s"] >= rule["effect"]["timeout_s"] + TARGET_MARGIN_S:
             raise ValidationError("exceeds its route's timeout by a minute or more", "target_s")
 
 
-class _Socket(_Lenient):
+class _Socket(_OpenSchema):
     host = fields.String(required=True, validate=validate.Length(min=1))
     policy = fields.List(fields.Nested(_Rule), required=True)
 
 
-class _Backend(_Lenient):
+class _Backend(_OpenSchema):
     name = fields.String(required=True, validate=validate.Length(min=1))
     health_path = fields.String(validate=validate.Regexp(r"/"))
     max_conns = fields.Integer(validate=validate.Range(min=0))
@@ -90,7 +97,7 @@
     tls = fields.Boolean(validate=validate.OneOf((False,)))
 
 
-class _Tenant(_Lenient):
+class _Tenant(_OpenSchema):
     name = fields.String(required=True, validate=validate.Length(min=1))
     api_keys = fields.List(fields.String(validate=validate.Length(min=1)), required=True)
     priority = fields.Integer(validate=validate.Range(min=0))
@@ -98,60 +105,81 @@
     burst = _number()
 
 
-class _Limits(_Lenient):
+class _Limits(_OpenSchema):
     max_header_bytes = fields.Integer(validate=validate.Range(min=256))
     max_body_bytes = fields.Integer(validate=validate.Range(min=0))
-    header_timeout_s = _number(above=True)
-    idle_timeout_s = _number(above=True)
+    header_timeout_s = _number(positive=True)
+    idle_timeout_s = _number(positive=True)
 
 
-class _Config(_Lenient):
-    generation = fields.String(required=True, validate=_version)
+class _Config(_OpenSchema):
+    generation = fields.String(required=True, validate=_validate_version)
     limits = fields.Nested(_Limits)
     tenants = fields.List(fields.Nested(_Tenant))
     sockets = fields.List(fields.Nested(_Socket), required=True)
     backends = fields.List(fields.Nested(_Backend), required=True)
 
     @validates_schema
-    def _fits(self, data: Mapping[str, Any], **_: Any) -> None:
-        names = [one["name"] for one in data["backends"]]
-        _once("backends", names)
-        known, places = set(names), []
-        for socket in data["sockets"]:
-            for rule in socket["policy"]:
-                effect = rule["effect"]
-                named = [one["service"] for one in effect.get("weighted", ())]
-                for service in [effect["service"]] if "service" in effect else named:
-                    if service not in known:
-                        reason = f"route {rule['name']} names unknown service {service}"
-                        raise ValidationError(reason, "sockets")
-                places.append((socket["host"].lower(), rule["pattern"]["path_prefix"]))
-        _once("sockets", places)
-        tenants = data.get("tenants", ())
-        _once("tenants", [one["name"] for one in tenants])
-        _once("tenants", [key for one in tenants for key in set(one["api_keys"])], "a key is shared")
-
-
-def _once(where: str, names: list[Any], reason: str = "named twice") -> None:
+    def _validate_references(self, config: Document, **_: Any) -> None:
+        services = [backend["name"] for backend in config["backends"]]
+        _require_unique("backends", services)
+        _require_known_services(config["sockets"], frozenset(services))
+        _require_unique("sockets", list(_route_places(config["sockets"])))
+        _validate_tenants(config.get("tenants", ()))
+
+
+def _require_unique(field: str, names: Sequence[Hashable], reason: str = "named twice") -> None:
     if len(names) != len(set(names)):
-        raise ValidationError(reason, where)
+        raise ValidationError(reason, field)
+
 
+def _require_known_services(sockets: Iterable[Document], known_services: frozenset[str]) -> None:
+    for socket in sockets:
+        for rule in socket["policy"]:
+            for service in _services_of(rule["effect"]):
+                if service not in known_services:
+                    reason = f"route {rule['name']} names unknown service {service}"
+                    raise ValidationError(reason, "sockets")
 
-_schema = _Config()
+
+def _services_of(effect: Document) -> list[str]:
+    if "service" in effect:
+        return [effect["service"]]
+    return [part["service"] for part in effect.get("weighted", ())]
+
+
+def _route_places(sockets: Iterable[Document]) -> Iterator[tuple[str, str]]:
+    """Return the host and the path prefix of each route; no two routes may have the same."""
+    for socket in sockets:
+        for rule in socket["policy"]:
+            yield socket["host"].lower(), rule["pattern"]["path_prefix"]
+
+
+def _validate_tenants(tenants: Sequence[Document]) -> None:
+    _require_unique("tenants", [tenant["name"] for tenant in tenants])
+    keys = [key for tenant in tenants for key in set(tenant["api_keys"])]
+    _require_unique("tenants", keys, "a key is shared")
+
+
+_CONFIG_SCHEMA = _Config()
 
 
 def validate_config(body: bytes) -> Result[int, ErrorDetail]:
-    """Check a whole document; its version, or the fault that its sender is told."""
+    """Validate a whole document; return its version, or the error that its sender is told."""
     try:
-        tree = msgspec.json.decode(body)
+        document = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return Error(ErrorDetail(ErrorKind.INVALID_CONFIG, f"cannot be read whole: {error}"))
-    if not isinstance(tree, dict):
-        return Error(ErrorDetail(ErrorKind.INVALID_CONFIG, "not an object"))
+        return _invalid(f"cannot be read whole: {error}")
+    if not isinstance(document, dict):
+        return _invalid("not an object")
     try:
-        _schema.load(tree)
+        _CONFIG_SCHEMA.load(document)
     except ValidationError as error:
-        return Error(ErrorDetail(ErrorKind.INVALID_CONFIG, str(error.messages)[:MOST_REASONS]))
+        return _invalid(str(error.messages)[:MAX_REASON_CHARACTERS])
     except RecursionError:
-        return Error(ErrorDetail(ErrorKind.INVALID_CONFIG, "too deep"))
-    return Ok(parse_version(tree["generation"]))
+        return _invalid("too deep")
+    return Ok(parse_version(document["generation"]))
+
+
+def _invalid(reason: str) -> Result[int, ErrorDetail]:
+    return Error(ErrorDetail(ErrorKind.INVALID_CONFIG, reason))
