--- a/tests/controlplane/test_quota_takeover.py
+++ b/tests/controlplane/test_quota_takeover.py
@@ -13,7 +13,7 @@
 from wickspring.common.connection import SILENCE_TIMEOUT_MS
 from wickspring.common.quota_rule import quota_ceiling
 from wickspring.common.routing_table import Tenant
-from wickspring.controlplane.process import SWEEP_MS
+from wickspring.controlplane.maintenance import INTERVAL_MS
 from wickspring.controlplane.quota_counter import QuotaCounter
 from wickspring.dataplane.policy.quota import QuotaPolicy
 
@@ -79,7 +79,7 @@
             load = 6.0 if now > self.hot_at else 0.62
             now += 1000.0 * random.expovariate(self.tenant.rate * load)
             self._turns(now)
-            if now - self.swept_at >= SWEEP_MS:
+            if now - self.swept_at >= INTERVAL_MS:
                 self.swept_at = now
                 self._sweep(now)
             name = random.choices(list(self.gateways), self.weights)[0]
@@ -205,24 +205,37 @@
         owner, *others = (site.control_planes[ip] for ip in CONTROL_PLANES[:3])
         assert (await site.until_safe(CONTROL_PLANES[0], 1)).status == 200
         name, tenant = next(
-            (name, one) for name, one in owner.offers.routing_table.tenants.items() if one.rate > 0
+            (name, one)
+            for name, one in owner.components.config_distributor.routing_table.tenants.items()
+            if one.rate > 0
+        )
+        await site.until(
+            lambda: all(
+                one.data_planes.live_count == len(DATA_PLANES) for one in site.control_planes.values()
+            )
         )
-        await site.until(lambda: all(one.fleet == len(DATA_PLANES) for one in site.control_planes.values()))
         for step in range(200):
             now, pilot = owner.clock.now(), DATA_PLANES[step % 4 == 0]
-            owner.quota_counter.spent(now, name, pilot, tenant.rate, tenant.burst)
+            owner.components.quota_counter.spent(now, name, pilot, tenant.rate, tenant.burst)
         site.cut(DATA_PLANES[1])
         await trio.sleep(0.5)
         for one in others:
-            assert one.quota_counter.counts[name].shares == {DATA_PLANES[0]: 0.75, DATA_PLANES[1]: 0.25}
-            assert not one.quota_counter.silent
-        await site.until(lambda: all(list(one.quota_counter.silent) == [DATA_PLANES[1]] for one in others))
+            assert one.components.quota_counter.counts[name].shares == {
+                DATA_PLANES[0]: 0.75,
+                DATA_PLANES[1]: 0.25,
+            }
+            assert not one.components.quota_counter.silent
+        await site.until(
+            lambda: all(list(one.components.quota_counter.silent) == [DATA_PLANES[1]] for one in others)
+        )
         site.kill(CONTROL_PLANES[2])
         begun_anew = await site.start_light(
             CONTROL_PLANES[2]
         )  # it has never heard the gateway that is cut off
-        await site.until(lambda: list(begun_anew.quota_counter.silent) == [DATA_PLANES[1]])
+        await site.until(lambda: list(begun_anew.components.quota_counter.silent) == [DATA_PLANES[1]])
         site.heal()
-        await site.until(lambda: not any(one.quota_counter.silent for one in site.control_planes.values()))
+        await site.until(
+            lambda: not any(one.components.quota_counter.silent for one in site.control_planes.values())
+        )
 
     play(monkeypatch, test)
