--- /dev/null
+++ b/tests/common/test_docs.py
@@ -0,0 +1,51 @@
+"""Pages that name files, packages and modules name ones that exist."""
+
+from __future__ import annotations
+
+import re
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).resolve().parents[2]
+PAGES = ("README.md", "docs/GLOSSARY.md")
+PACKAGE = "wickspring"
+# Where a path of a page may begin.
+BASES = (ROOT, ROOT / PACKAGE)
+# A path with a folder (`membership/swim.py`, `lab/days/`), or a module or page by its name alone.
+_PATH = re.compile(r"`((?:[\w.*-]+/)+(?:[\w*-]+\.(?:py|md|toml|json|txt))?|[\w*-]+\.(?:py|md))`")
+# `wickspring.ctl`, `wickspring.lab.simulation.core`, with or without a name in it.
+_MODULE = re.compile(rf"\b{PACKAGE}((?:\.\w+)+)")
+
+
+def _exists(path: str) -> bool:
+    return any(any(base.glob(path.rstrip("/"))) for base in BASES)
+
+
+def _is_module(dotted: str) -> bool:
+    """Tell whether a dotted name is a package or module, or a name that one defines at its top level."""
+    at = ROOT / PACKAGE
+    *parents, last = dotted.strip(".").split(".")
+    for part in parents:
+        if not (at / part).is_dir():
+            module = at / f"{part}.py"
+            return (
+                module.is_file()
+                and re.search(rf"^(class|def|async def) {last}\b", module.read_text(), re.M) is not None
+            )
+        at = at / part
+    return (at / last).is_dir() or (at / f"{last}.py").is_file()
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_paths_of_a_page_exist(page: str) -> None:
+    text = (ROOT / page).read_text()
+    paths = sorted(set(_PATH.findall(text)))
+    assert paths, "the page names no path: is the pattern right?"
+    assert [path for path in paths if not _exists(path)] == []
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_modules_of_a_page_exist(page: str) -> None:
+    text = (ROOT / page).read_text()
+    assert [name for name in sorted(set(_MODULE.findall(text))) if not _is_module(name)] == []
