--- a/wickspring/ctl/__init__.py
+++ b/wickspring/ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's command line of a whole gateway."""
+"""The operator's command line of a gateway; `python -m wickspring.ctl`."""
--- a/wickspring/ctl/__main__.py
+++ b/wickspring/ctl/__main__.py
@@ -1,6 +1,7 @@
-"""`python -m wickspring.ctl`: status of members, servers, configuration, counts and chain; orders.
+"""`python -m wickspring.ctl`: status, servers, quota counts, chain and configurations of a gateway.
 
-Exits with 0 where it went well, 1 where the gateway refused or nobody answered, 2 where words are at fault.
+Exit codes: 0 on success, 1 where the gateway refused or no control plane answered, 2 on faulty arguments
+or files.
 """
 
 from __future__ import annotations
@@ -11,181 +12,161 @@
 from typing import Any
 
 import fire
-
-from wickspring.ctl.client import NoControlPlaneError, call
-
-LIGHTS = "127.0.1.1:8783,127.0.1.2:8783,127.0.1.3:8783"
-
-
-def _table(rows: list[dict[str, Any]]) -> str:
-    if not rows:
-        return "none"
-    names = list(rows[0])
-    cells = [names, *([str(row.get(name, "")) for name in names] for row in rows)]
-    widths = [max(len(line[at]) for line in cells) for at in range(len(names))]
-    lines = ("  ".join(c.ljust(w) for c, w in zip(line, widths, strict=True)) for line in cells)
-    return "\n".join(line.rstrip() for line in lines)
+import msgspec
+
+from wickspring.ctl.client import NoControlPlaneError, RefusedError, call, call_ok
+from wickspring.ctl.reports import (
+    ReplaceReport,
+    RestoreReport,
+    SnapshotDocument,
+    StatusReport,
+    UnreachableRow,
+    node_row,
+    replica_rows,
+)
+from wickspring.ctl.tables import format_table
+
+DEFAULT_ADDRESSES = "127.0.1.1:8783,127.0.1.2:8783,127.0.1.3:8783"  # of a gateway started by `up`
+STATUS_COLUMNS = ("lighthouse", "state", "epoch", "held", "safe", "servers", "pilots")
+JSON_INDENT = 1
+EXIT_REFUSED = 1
+EXIT_USAGE = 2
 
 
 class Commands:
-    """Operate a gateway. `--at` names its lighthouses' control addresses, `--json` asks for JSON."""
-
-    def __init__(self, at: str | tuple[str, ...] = LIGHTS, json: bool = False) -> None:
-        self._at = at if isinstance(at, str) else ",".join(at)
-        self._json = json
+    """Operate a gateway; each public method is a command.
 
-    def _status(self) -> Any:
-        return call(self._at, "GET", "/status").tree
+    `--at` takes the control addresses of its control planes as HOST:PORT,..., `--json` asks for JSON.
+    """
 
-    def _show(self, tree: Any, text: str) -> str:
-        return json.dumps(tree, indent=1) if self._json else text
+    def __init__(self, at: str | tuple[str, ...] = DEFAULT_ADDRESSES, json: bool = False) -> None:
+        self._addresses = at if isinstance(at, str) else ",".join(at)
+        self._as_json = json
 
     def status(self) -> str:
-        """Show who is there: lighthouses, pilots, and how many servers."""
+        """Show each control plane: its state, versions, and how many servers and data planes it knows."""
         rows: list[dict[str, Any]] = []
-        for address in self._at.split(","):
+        for address in self._addresses.split(","):
             try:
-                one = call(address, "GET", "/status").tree
+                report = call(address, "GET", "/status").decode(StatusReport)
             except NoControlPlaneError as error:
-                rows.append({"lighthouse": address, "state": f"no answer ({error})"})
-                continue
-            chain = one["chain"]
-            state = "steady" if chain["steady"] else "frozen" if chain["frozen"] else "spare"
-            missed = chain["contact"] == "none" or (chain["member"] and not chain["steady"])
-            if missed and not chain["frozen"]:
-                state = "alone"
-            rows.append(
-                {
-                    "lighthouse": address,
-                    "state": state,
-                    "epoch": chain["epoch"],
-                    "held": f"r{chain['held']}",
-                    "safe": f"r{chain['safe']}",
-                    "servers": len(one["servers"]),
-                    "pilots": ",".join(one["pilots"]) or "-",
-                    "short": chain["short"],
-                }
-            )
-        names = ("lighthouse", "state", "epoch", "held", "safe", "servers", "pilots")
-        text = _table([{name: row.get(name, "") for name in names} for row in rows])
-        short = sorted({what for row in rows for what in row.get("short", ())})
-        return self._show(rows, "\n".join([text, *(f"the core does not bear {what}" for what in short)]))
+                rows.append(msgspec.to_builtins(UnreachableRow(address, f"no answer ({error})")))
+            else:
+                rows.append(msgspec.to_builtins(node_row(address, report)))
+        shortfalls = sorted({shortfall for row in rows for shortfall in row.get("short", ())})
+        warnings = [f"the core does not bear {shortfall}" for shortfall in shortfalls]
+        return self._format(rows, "\n".join([format_table(rows, STATUS_COLUMNS), *warnings]))
 
     def chain(self) -> str:
-        """Show the chain: its view, and which copy is behind."""
-        one = self._status()
-        view, core = one["chain"], one["core"]
-        places = ("head", *("middle",) * (len(view["members"]) - 2), "tail")
-        rows = [
-            {"place": places[at], "machine": ip, **self._copy(view, core.get(ip))}
-            for at, ip in enumerate(view["members"])
-        ]
-        spares = [ip for ip in core if ip not in view["members"]]
-        rows += [{"place": "spare", "machine": ip, **self._copy(view, core[ip])} for ip in spares]
-        return self._show(one, f"epoch {view['epoch']}, as {one['node']} knows it\n{_table(rows)}")
-
-    def _copy(self, view: dict[str, Any], told: dict[str, Any] | None) -> dict[str, Any]:
-        """Return a row's columns on one copy; None is the copy of who was asked."""
-        if told is None:
-            return {"live": True, "safe": f"r{view['safe']}", "disk": view["disk"], "behind": "-"}
-        return {
-            "live": told["live"],
-            "safe": f"r{told.get('version', '?')}",
-            "disk": told.get("disk", "?"),
-            "behind": "; ".join(told["behind"]) or "-",
-        }
-
-    def snapshot(self, file: str) -> str:
-        """Put away all that the chain keeps: the configuration, and which servers leave."""
-        answered = call(self._at, "GET", "/snapshot")
-        if answered.status != 200:
-            raise SystemExit(f"{answered.at}: {answered.status} {answered.body.decode()}")
-        Path(file).write_bytes(answered.body)
-        return f"{file}: {len(answered.body)} bytes, {len(answered.tree['leaving'])} leaving servers"
-
-    def restore(self, file: str) -> str:
-        """Bring a snapshot back; what is newer here stays."""
-        answered = call(self._at, "POST", "/snapshot", Path(file).read_bytes())
-        if answered.status != 200:
-            raise SystemExit(f"{answered.at}: {answered.status} {answered.body.decode()}")
-        told = answered.tree
-        return f"{answered.at}: {told['generation']} holds, {told['leaving']} leaving servers"
+        """Show the chain of replicas: its view, and which replica is behind and why."""
+        response = call(self._addresses, "GET", "/status")
+        report = response.decode(StatusReport)
+        table = format_table([msgspec.to_builtins(row) for row in replica_rows(report)])
+        title = f"epoch {report.chain.epoch}, as {report.node} knows it"
+        return self._format(response.json(), f"{title}\n{table}")
 
     def servers(self) -> str:
-        """Show the servers as one lighthouse knows them."""
-        rows = self._status()["servers"]
-        return self._show(rows, _table(rows))
+        """Show the servers (endpoints) as one control plane knows them."""
+        rows = call(self._addresses, "GET", "/status").decode(StatusReport).servers
+        return self._format(rows, format_table(rows))
 
     def counts(self) -> str:
-        """Show the tenants' counts that one lighthouse keeps."""
-        counts = self._status()["counts"]
-        return self._show(counts, _table([{"tenant": name, **one} for name, one in counts.items()]))
+        """Show the tenants' quota counts that one control plane owns."""
+        counts = call(self._addresses, "GET", "/status").decode(StatusReport).counts
+        rows = [{"tenant": tenant, **count} for tenant, count in counts.items()]
+        return self._format(counts, format_table(rows))
+
+    def snapshot(self, file: str) -> str:
+        """Save all that the chain stores to FILE: the configuration, and which servers drain or are gone."""
+        response = call_ok(self._addresses, "GET", "/snapshot")
+        departures = response.decode(SnapshotDocument).leaving
+        Path(file).write_bytes(response.body)
+        return f"{file}: {len(response.body)} bytes, {len(departures)} leaving servers"
+
+    def restore(self, file: str) -> str:
+        """Merge a snapshot from FILE into the chain; newer state there stays."""
+        response = call_ok(self._addresses, "POST", "/snapshot", Path(file).read_bytes())
+        report = response.decode(RestoreReport)
+        return f"{response.at}: {report.generation} holds, {report.leaving} leaving servers"
 
     def read(self) -> str:
-        """Print the newest configuration."""
-        answered = call(self._at, "GET", "/config/read")
-        if answered.status != 200:
-            raise SystemExit(f"{answered.at}: {answered.status} {answered.body.decode()}")
-        return json.dumps(answered.tree, indent=1)
+        """Print the newest committed configuration."""
+        response = call_ok(self._addresses, "GET", "/config/read")
+        return json.dumps(response.json(), indent=JSON_INDENT)
 
     def check(self, file: str) -> str:
-        """Check a configuration file here, without sending it."""
+        """Validate the configuration in FILE here, without sending it."""
         from wickspring.controlplane.api.config_validation import validate_config
 
-        found = validate_config(Path(file).read_bytes())
-        if found.is_error():
-            raise SystemExit(f"{file}: {found.error.reason}")
-        return f"{file}: r{found.ok} is valid"
+        result = validate_config(Path(file).read_bytes())
+        if result.is_error():
+            raise SystemExit(f"{file}: {result.error.reason}")
+        return f"{file}: r{result.ok} is valid"
 
     def replace(self, file: str) -> str:
-        """Send a configuration file, and say which version holds then."""
-        answered = call(self._at, "POST", "/config/replace", Path(file).read_bytes())
-        if answered.status != 200:
-            raise SystemExit(f"{answered.at}: {answered.status} {answered.body.decode()}")
-        return f"{answered.at}: acknowledged, {answered.tree['generation']} holds"
+        """Send the configuration in FILE, and print which version is in force then."""
+        response = call_ok(self._addresses, "POST", "/config/replace", Path(file).read_bytes())
+        return f"{response.at}: acknowledged, {response.decode(ReplaceReport).generation} holds"
 
     def up(self, seconds: float = 0.0) -> None:
-        """Run a toy gateway on loopback until interrupted: two pilots, three lighthouses, six servers."""
+        """Run a toy gateway on loopback until interrupted.
+
+        It has two data planes, three control planes and six servers.
+        """
         from wickspring.lab.emulation.local_gateway import up
 
         up(seconds)
 
     def drill(self, name: str = "", seed: int = 1, seconds: float = 9.0, file: str = "") -> str:
-        """Play a drill on loopback and judge it by the rules; without a name, list them."""
+        """Play a drill on loopback and check the rules; without a name, list the drills."""
         from wickspring.lab.experiments.drill import DRILLS, play
 
+        if not name:
+            return "\n".join(DRILLS)
         if name not in DRILLS:
-            return "\n".join(DRILLS) if not name else f"no drill {name}; there are {', '.join(DRILLS)}"
-        result = play(name, seed, seconds)
-        text = json.dumps(result, indent=1)
+            return f"no drill {name}; there are {', '.join(DRILLS)}"
+        text = json.dumps(play(name, seed, seconds), indent=JSON_INDENT)
         if file:
             Path(file).write_text(text + "\n")
         return text
 
     def flotilla(self, pilots: int = 100, seed: int = 1) -> str:
-        """Measure in virtual time how so many pilots come to know of each other, and what they say for it."""
+        """Measure in virtual time how that many data planes discover each other by gossip, and its cost.
+
+        The command and its flag keep the names of earlier versions.
+        """
         from wickspring.lab.simulation.gossip import measure
 
-        return json.dumps(measure(pilots, seed), indent=1)
+        return json.dumps(measure(pilots, seed), indent=JSON_INDENT)
 
     def times(self, seeds: int = 20) -> str:
-        """Measure on loopback how long orders, a mended chain and a start after all were killed take."""
+        """Measure on loopback how long a change, a chain repair and a restart of everything take."""
         from wickspring.lab.experiments.recovery_times import measure
 
-        found = measure(seeds)
-        return self._show(found, _table([{"what": name, **one} for name, one in found.items()]))
+        measured = measure(seeds)
+        rows = [{"what": name, **figures} for name, figures in measured.items()]
+        return self._format(measured, format_table(rows))
+
+    def _format(self, data: object, text: str) -> str:
+        return json.dumps(data, indent=JSON_INDENT) if self._as_json else text
 
 
 def main() -> None:
-    """Run one command."""
+    """Run one command and exit with its code."""
     try:
         fire.Fire(Commands, name="wickspring.ctl")
+    except RefusedError as error:
+        sys.stderr.write(f"{error}\n")
+        sys.exit(EXIT_REFUSED)
     except NoControlPlaneError as error:
         sys.stderr.write(f"no clear answer: {error}\n")
-        sys.exit(1)
+        sys.exit(EXIT_REFUSED)
+    except msgspec.DecodeError as error:
+        sys.stderr.write(f"unexpected answer: {error}\n")
+        sys.exit(EXIT_REFUSED)
     except OSError as error:
         sys.stderr.write(f"{error}\n")
-        sys.exit(2)
+        sys.exit(EXIT_USAGE)
 
 
 if __name__ == "__main__":
