--- a/wickspring/controlplane/quota_service.py
+++ b/wickspring/controlplane/quota_service.py
@@ -85,7 +85,7 @@
     def receive_shares(
         self, unresponsive: Mapping[Any, Any], shares_by_tenant: Mapping[Any, Mapping[Any, Any]]
     ) -> None:
-        """Take over which data planes an owner of counts does not reach, and what share each has of its counts.
+        """Take over which data planes an owner of counts does not reach, and their shares of its counts.
 
         A data plane that is connected here is not unresponsive, whatever another node says.
         """
