--- a/tests/controlplane/test_quota_takeover.py
+++ b/tests/controlplane/test_quota_takeover.py
@@ -123,19 +123,19 @@
 
     def _hello(self, now: float, name: str, *owners: Owner) -> None:
         for owner in owners or self.owners:
-            owner.quota_counter.back(name)
+            owner.quota_counter.mark_responsive(name)
             owner.noticed.discard(name)
             self._past(now, name, owner)
 
     def _past(self, now: float, name: str, owner: Owner) -> None:
         gateway = self.gateways[name]
         for tenant, told in gateway.quota.past(now + gateway.clock_ms):
-            owner.quota_counter.past(now + owner.clock_ms, tenant, name, told)
+            owner.quota_counter.receive_usage_report(now + owner.clock_ms, tenant, name, told)
 
     def _view(self, now: float) -> None:
         """Name the next owner; the gateways in reach tell all core machines what they have sent."""
         for owner in self.owners:
-            owner.quota_counter.begin(now + owner.clock_ms)
+            owner.quota_counter.start_view(now + owner.clock_ms)
             for name, gateway in self.gateways.items():
                 if gateway.cut_at is None:
                     self._past(now, name, owner)
@@ -146,26 +146,26 @@
             for name, gateway in self.gateways.items():
                 if not gateway.heard(now) and name not in owner.noticed:
                     owner.noticed.add(name)
-                    owner.quota_counter.went_silent(now + owner.clock_ms, name)
+                    owner.quota_counter.mark_unresponsive(now + owner.clock_ms, name)
         if self.owner is not None:
             self._tell(now, self.owner)
 
     def _tell(self, now: float, teller: Owner) -> None:
         told_at = now + teller.clock_ms
-        much_used = teller.quota_counter.much_used(told_at, {"t": self.tenant.burst})
+        much_used = teller.quota_counter.low_tenants(told_at, {"t": self.tenant.burst})
         if not much_used:
             return
         silent, shares = (
-            teller.quota_counter.silent_for(told_at),
+            teller.quota_counter.unresponsive_for_ms(told_at),
             teller.quota_counter.shares(told_at, much_used),
         )
         for other in self.owners:
             if other is teller:
                 continue
-            other.quota_counter.shadowed(now + other.clock_ms, "t", much_used["t"])
-            other.quota_counter.take_shares("t", shares["t"])
+            other.quota_counter.receive_replicated(now + other.clock_ms, "t", much_used["t"])
+            other.quota_counter.receive_shares("t", shares["t"])
             for name in set(silent) & other.noticed:
-                other.quota_counter.went_silent(now + other.clock_ms, name, silent[name])
+                other.quota_counter.mark_unresponsive(now + other.clock_ms, name, silent[name])
 
     def _request(self, now: float, name: str) -> bool:
         """Have a gateway rule on a request."""
@@ -173,14 +173,14 @@
         own, rate, burst = now + gateway.clock_ms, tenant.rate, tenant.burst
         gateway.quota.sent(own, "t")
         if gateway.cut_at is None and self.owner is not None:
-            total, limit, wait = self.owner.quota_counter.add(
+            total, limit, wait = self.owner.quota_counter.acquire(
                 now + self.owner.clock_ms, "t", name, rate, burst
             )
             return gateway.quota.counted(own, "t", total, limit, wait).goes
         goes = gateway.quota.alone(own, tenant, GATEWAYS).goes
         named = self.next_owner if self.view_at == LASTS_MS else None
         if goes and named is not None and gateway.cut_at is None:
-            named.quota_counter.spent(now + named.clock_ms, "t", name, rate, burst)
+            named.quota_counter.record_spent(now + named.clock_ms, "t", name, rate, burst)
         return goes
 
 
@@ -216,26 +216,34 @@
         )
         for step in range(200):
             now, pilot = owner.clock.now(), DATA_PLANES[step % 4 == 0]
-            owner.components.quota_counter.spent(now, name, pilot, tenant.rate, tenant.burst)
+            owner.components.quota_counter.record_spent(now, name, pilot, tenant.rate, tenant.burst)
         site.cut(DATA_PLANES[1])
         await trio.sleep(0.5)
         for one in others:
-            assert one.components.quota_counter.counts[name].shares == {
+            assert one.components.quota_counter.usage[name].shares == {
                 DATA_PLANES[0]: 0.75,
                 DATA_PLANES[1]: 0.25,
             }
-            assert not one.components.quota_counter.silent
+            assert not one.components.quota_counter.unresponsive_until
         await site.until(
-            lambda: all(list(one.components.quota_counter.silent) == [DATA_PLANES[1]] for one in others)
+            lambda: all(
+                list(one.components.quota_counter.unresponsive_until) == [DATA_PLANES[1]] for one in others
+            )
         )
         site.kill(CONTROL_PLANES[2])
         begun_anew = await site.start_light(
             CONTROL_PLANES[2]
         )  # it has never heard the gateway that is cut off
-        await site.until(lambda: list(begun_anew.components.quota_counter.silent) == [DATA_PLANES[1]])
+        await site.until(
+            lambda: list(begun_anew.components.quota_counter.unresponsive_until) == [DATA_PLANES[1]]
+        )
         site.heal()
         await site.until(
-            lambda: not any(one.components.quota_counter.silent for one in site.control_planes.values())
+            lambda: (
+                not any(
+                    one.components.quota_counter.unresponsive_until for one in site.control_planes.values()
+                )
+            )
         )
 
     play(monkeypatch, test)
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -48,15 +48,15 @@
             owner, cut = QuotaCounter(SPAN_S, EXCESS, SLACK), set()
             for number, one in enumerate(data_planes):
                 for name, told in one.past(now):
-                    owner.past(now, name, f"p{number}", told)
+                    owner.receive_usage_report(now, name, f"p{number}", told)
         if owner is not None and random.random() < 0.0004:
             for number in cut:
                 for name, told in data_planes[number].past(now):
-                    owner.past(now, name, f"p{number}", told)
-                owner.back(f"p{number}")
+                    owner.receive_usage_report(now, name, f"p{number}", told)
+                owner.mark_responsive(f"p{number}")
             cut = set(random.sample(range(8), random.choice((0, 1, 2))))
             for number in cut:
-                owner.went_silent(now, f"p{number}")
+                owner.mark_unresponsive(now, f"p{number}")
         number = random.choices(range(8), weights)[0]
         data_plane = data_planes[number]
         data_plane.sent(now, "t")
@@ -64,7 +64,7 @@
             ruling = data_plane.alone(now, tenant, 8)
         else:
             again = random.random() < 0.3
-            total, limit, wait = owner.add(now, "t", f"p{number}", tenant.rate, tenant.burst, again)
+            total, limit, wait = owner.acquire(now, "t", f"p{number}", tenant.rate, tenant.burst, again)
             ruling = data_plane.counted(now, "t", total, limit, wait)
         if ruling.goes:
             sent.append(now)
@@ -79,22 +79,22 @@
 def test_a_keeper_gives_what_the_rate_brings_and_the_burst_once() -> None:
     event_counts, granted = QuotaCounter(SPAN_S, EXCESS, SLACK), 0
     for step in range(10_000):  # ten times the rate, for ten seconds
-        total, limit, _ = event_counts.add(float(step), "t", "p", 50.0, 50.0)
+        total, limit, _ = event_counts.acquire(float(step), "t", "p", 50.0, 50.0)
         granted += total <= limit
     assert 550 <= granted <= 50 * 10 * 1.05 + 60
     # Those who come again get nothing while those who come first use it all up.
-    total, limit, wait = event_counts.add(10_000.0, "t", "p", 50.0, 50.0, True)
+    total, limit, wait = event_counts.acquire(10_000.0, "t", "p", 50.0, 50.0, True)
     assert total > limit and wait > 0.0
 
 
 def test_a_unit_that_was_not_used_comes_back() -> None:
     event_counts = QuotaCounter(SPAN_S, EXCESS, SLACK)
-    given = [event_counts.add(1000.0, "t", "p", 1.0, 0.0) for _ in range(10)]
+    given = [event_counts.acquire(1000.0, "t", "p", 1.0, 0.0) for _ in range(10)]
     spent = sum(total <= limit for total, limit, _ in given)
-    event_counts.give_back(1000.0, "t", "p")
-    total, limit, _ = event_counts.add(1000.0, "t", "p", 1.0, 0.0)
+    event_counts.give_back("t", "p")
+    total, limit, _ = event_counts.acquire(1000.0, "t", "p", 1.0, 0.0)
     assert spent < 10 and total == limit
-    total, limit, _ = event_counts.add(1000.0, "t", "p", 1.0, 0.0)
+    total, limit, _ = event_counts.acquire(1000.0, "t", "p", 1.0, 0.0)
     assert total > limit
 
 
@@ -193,14 +193,14 @@
             cut = True
             for number in range(4):
                 if told:
-                    owner.went_silent(now, f"p{number}")
+                    owner.mark_unresponsive(now, f"p{number}")
         number = random.randrange(8)
         data_plane = data_planes[number]
         data_plane.sent(now, "t")
         if cut and number < 4:
             ruling = data_plane.alone(now, tenant, 8)
         else:
-            total, limit, wait = owner.add(now, "t", f"p{number}", tenant.rate, tenant.burst)
+            total, limit, wait = owner.acquire(now, "t", f"p{number}", tenant.rate, tenant.burst)
             ruling = data_plane.counted(now, "t", total, limit, wait)
         if ruling.goes:
             sent.append(now)
@@ -213,15 +213,15 @@
     owner, other, units = QuotaCounter(SPAN_S, EXCESS, SLACK), QuotaCounter(SPAN_S, EXCESS, SLACK), 0
     for step in range(2000):
         now = float(step)
-        total, limit, _ = owner.add(now, "t", "p", 63.0, 63.0)
+        total, limit, _ = owner.acquire(now, "t", "p", 63.0, 63.0)
         units += total <= limit
         if told and step % 250 == 0:
-            for name, windows in owner.much_used(now, {"t": 63.0}).items():
-                other.shadowed(now, name, windows)
-    other.begin(2000.0)  # and pilot p, which alone could tell, has ended too
+            for name, windows in owner.low_tenants(now, {"t": 63.0}).items():
+                other.receive_replicated(now, name, windows)
+    other.start_view(2000.0)  # and pilot p, which alone could tell, has ended too
     given = 0
     for step in range(2000, 5000):
-        total, limit, _ = other.add(float(step), "t", "q", 63.0, 63.0)
+        total, limit, _ = other.acquire(float(step), "t", "q", 63.0, 63.0)
         given += total <= limit
     most = quota_ceiling(63.0, 63.0, SPAN_S, EXCESS, SLACK)
     assert (units + given <= most) == told
--- a/wickspring/controlplane/status.py
+++ b/wickspring/controlplane/status.py
@@ -185,6 +185,6 @@
 
 def _quota_statuses(counter: QuotaCounter) -> dict[str, QuotaCountStatus]:
     return {
-        tenant: QuotaCountStatus(count.total, round(max(0.0, count.level or 0.0), _DIGITS))
-        for tenant, count in counter.counts.items()
+        tenant: QuotaCountStatus(usage.total, round(max(0.0, usage.tokens or 0.0), _DIGITS))
+        for tenant, usage in counter.usage.items()
     }
--- a/wickspring/lab/experiments/capacity_steps.py
+++ b/wickspring/lab/experiments/capacity_steps.py
@@ -180,7 +180,9 @@
         event_counts, random = QuotaCounter(span_s, 0.1, 20.0), Random(1)
         for n in range(tenants):
             for _ in range(each):
-                event_counts.add(1e9, f"t{n}ab1c", f"10.9.{random.randrange(ingresses) // 250}.1", 33.0, 33.0)
+                event_counts.acquire(
+                    1e9, f"t{n}ab1c", f"10.9.{random.randrange(ingresses) // 250}.1", 33.0, 33.0
+                )
         return event_counts
 
     def accounted() -> QuotaPolicy:
@@ -196,9 +198,9 @@
     return {
         "counts_mb": held_mb(counted),
         "ingress_accounts_mb": held_mb(accounted),
-        "much_used_ms": took_ms(lambda: event_counts.much_used(1e9, bursts)),
+        "much_used_ms": took_ms(lambda: event_counts.low_tenants(1e9, bursts)),
         "add_us": 1000.0
-        * took_ms(lambda: event_counts.add(1e9, random.choice(names), "10.9.0.1", 33.0, 33.0), 500),
+        * took_ms(lambda: event_counts.acquire(1e9, random.choice(names), "10.9.0.1", 33.0, 33.0), 500),
     }
 
 
