--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -51,6 +51,7 @@
         "hello",
         "servers",
         "shadow",
+        "shares",
         "tell",
         "tick",
         "tock",
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -16,6 +16,7 @@
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
+from wickspring.common.messages import QuotaTotal
 from wickspring.common.settings_file import parse_address
 from wickspring.controlplane.api.calls import ApiRequest
 from wickspring.controlplane.api.heartbeat import Heartbeat
@@ -177,6 +178,7 @@
         ["entered", 4, True, None],
         ["servers", [server]],
         ["shadow", {"n": [[0, 2]]}],
+        ["shares", {"10.1.0.2": 900.0}, {"n": {"10.1.0.2": 0.5}}],
         ["alive", [["i1", 4]]],
         ["tell", ["i1"]],
     ]
@@ -204,7 +206,8 @@
         control_plane.peer_server.receive(
             session, ["add", 9, "n", False, control_plane.replication.lease.epoch]
         )
-        assert heard.said[-1][:2] == ("sum", 9)
+        (answer,) = heard.said[-1]
+        assert isinstance(answer, QuotaTotal) and answer.request_number == 9
         control_plane.status()
 
     in_light(tmp_path, play)
--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -13,6 +13,7 @@
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import PeerConnection
 from wickspring.common.endpoints import DRAINING, Endpoint
+from wickspring.common.messages import EndpointAdvice, Message
 from wickspring.controlplane.data_plane_sessions import PeerSession
 from wickspring.controlplane.load_tracker import MAX_ADVISED, LoadTracker
 from wickspring.controlplane.process import ControlPlane
@@ -108,9 +109,9 @@
     """The end of a cable that keeps what is said on it."""
 
     def __init__(self) -> None:
-        self.name, self.about, self.said = "p", dict[str, object](), list[tuple[object, ...]]()
+        self.name, self.about, self.said = "p", dict[str, object](), list[Message]()
 
-    def send(self, *message: object) -> None:
+    def send(self, message: Message) -> None:
         self.said.append(message)
 
 
@@ -126,7 +127,7 @@
             session = PeerSession(cast(PeerConnection, heard))
             ask = ["berth", 1, "s", "a"]
             control_plane.peer_server.receive(session, ask)  # of two seeds it reaches only itself
-            assert heard.said.pop() == ("berths", 1, [], 2)
+            assert heard.said.pop() == EndpointAdvice(1, [], 2)
             control_plane.replication.chain.view = View(
                 2, (control_plane.replication.chain.me,), (control_plane.replication.chain.me,)
             )
@@ -134,8 +135,9 @@
                 control_plane.clock.now(), control_plane.replication.chain.view
             )
             control_plane.peer_server.receive(session, ask)
-            _, _, offers, known = heard.said.pop()
-            assert len(cast(list[object], offers)) == known == 2
+            advice = heard.said.pop()
+            assert isinstance(advice, EndpointAdvice)
+            assert len(advice.offers) == advice.known_endpoints == 2
             nursery.cancel_scope.cancel()
 
     trio.run(play)
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -32,6 +32,13 @@
 from wickspring.common.connection import PeerConnection
 from wickspring.common.endpoints import GONE, READY
 from wickspring.common.errors import GatewayError
+from wickspring.common.messages import (
+    ConfigOffer,
+    EndpointsLost,
+    EndpointSnapshot,
+    Message,
+    QuotaTotal,
+)
 from wickspring.controlplane.api.calls import ApiRequest, ApiResponse
 from wickspring.controlplane.api.config import ConfigReplace
 from wickspring.controlplane.api.snapshot import SnapshotDownload, SnapshotRestore
@@ -280,9 +287,9 @@
         self.name, self.about, self.live = "", dict[str, Any](), True
         self.routing_tables: list[tuple[float, ConfigStatus]] = []
 
-    def send(self, *message: Any) -> None:
-        if message[0] == "chart":
-            self.routing_tables.append((trio.current_time(), ConfigStatus(message[4])))
+    def send(self, message: Message) -> None:
+        if isinstance(message, ConfigOffer):
+            self.routing_tables.append((trio.current_time(), message.status))
 
     def close(self) -> None:
         self.live = False
@@ -423,13 +430,13 @@
         assert (await site.until_safe(CONTROL_PLANES[0], 2)).status == 200
         assert (await beat(control_plane, "ended", 41, "draining")).status == 200
         assert (await deregister(control_plane, "ended")).status == 200
-        heard: list[tuple[Any, ...]] = []
+        heard: list[Message] = []
         for session in victim.data_planes:
             send = session.connection.send
 
-            def noted(*message: object, send: Callable[..., None] = send) -> None:
+            def noted(message: Message, send: Callable[..., None] = send) -> None:
                 heard.append(message)
-                send(*message)
+                send(message)
 
             monkeypatch.setattr(session.connection, "send", noted)
         seq = 41
@@ -446,7 +453,8 @@
             await trio.sleep(1.0)
         assert data_plane.choice.candidates["silent"].lost and not data_plane.choice.takes("ended")
         assert not data_plane.choice.candidates["well"].lost
-        assert any(m[0] == "whole" for m in heard) and not any(m[0] in ("lost", "sum") for m in heard)
+        assert any(isinstance(message, EndpointSnapshot) for message in heard)
+        assert not any(isinstance(message, EndpointsLost | QuotaTotal) for message in heard)
         site.heal()
         await site.until(lambda: victim.components.contact.observe() is QuorumContact.SETTLED)
         assert not data_plane.choice.candidates["well"].lost and not data_plane.choice.takes("ended")
--- a/wickspring/common/messages/between_nodes.py
+++ b/wickspring/common/messages/between_nodes.py
@@ -79,6 +79,17 @@
     windows_by_tenant: dict[str, list[tuple[int, int]]]  # how many windows ago, units spent in that window
 
 
+class QuotaShares(Message, tag="shares", frozen=True):
+    """What the next owner of counts must reserve for, sent by their owner to all nodes.
+
+    The receiver keeps it in case it becomes the owner. A data plane that it reaches itself is not taken for
+    unresponsive.
+    """
+
+    unresponsive_ms: dict[str, float]  # by data plane: for how long units are still reserved for it
+    shares_by_tenant: dict[str, dict[str, float]]  # of the units in the span, by tenant and data plane
+
+
 class EndpointHeartbeats(Message, tag="alive", frozen=True):
     """Endpoints whose heartbeats the sender has received since the last such message.
 
@@ -118,6 +129,7 @@
     | UpdateOutcome
     | EndpointsChanged
     | ReplicatedCounts
+    | QuotaShares
     | EndpointHeartbeats
     | RequestEndpoints
 )
--- a/wickspring/controlplane/config_distribution.py
+++ b/wickspring/controlplane/config_distribution.py
@@ -7,8 +7,9 @@
 
 from wickspring.common import logs
 from wickspring.common.config_status import ConfigStatus, QuorumContact
+from wickspring.common.messages import ConfigOffer
 from wickspring.common.routing_table import RoutingTable, build_routing_table
-from wickspring.controlplane.data_plane_sessions import ConfigOffer, PeerSession
+from wickspring.controlplane.data_plane_sessions import PeerSession, SentOffer
 from wickspring.controlplane.replication.replica import Config
 
 COMPRESSION_LEVEL = 6
@@ -81,10 +82,10 @@
         differs = config.version == reported.version and config.digest != reported.digest
         needed = config.version > reported.version or (differs and status is ConfigStatus.CURRENT)
         # The data plane may wait with what it was sent: the same offer goes out once on a connection.
-        offer = ConfigOffer(config.version, config.digest, status, reported)
+        offer = SentOffer(config.version, config.digest, status, reported)
         if needed and session.last_offer != offer:
             session.last_offer = offer
-            session.send("chart", config.version, config.packed, config.digest, int(status))
+            session.send(ConfigOffer(config.version, config.packed, config.digest, status))
 
     def _packed_from_disk(self, stored: Config) -> PackedConfig:
         if not self._stored.is_copy_of(stored):
--- a/wickspring/controlplane/data_plane_messages.py
+++ b/wickspring/controlplane/data_plane_messages.py
@@ -2,7 +2,26 @@
 
 from __future__ import annotations
 
-from wickspring.common.connection import Message
+from typing import assert_never
+
+from msgspec import UNSET
+
+from wickspring.common.messages import (
+    AddQuota,
+    ControlPlaneHeartbeatReply,
+    DataPlaneHeartbeat,
+    DataPlanePeers,
+    DataPlaneRequest,
+    EndpointAdvice,
+    Hello,
+    QuotaRefund,
+    QuotaSpent,
+    RequestEndpointAdvice,
+    RequestFinished,
+    RequestFullState,
+    RequestStarted,
+    UsageReport,
+)
 from wickspring.controlplane.components import Components
 from wickspring.controlplane.data_plane_sessions import DataPlaneSessions, PeerSession, ReportedConfig
 from wickspring.controlplane.endpoint_service import EndpointService
@@ -28,25 +47,35 @@
         self._endpoints = endpoints
         self._quota = quota
         self._view = view
-        self._handlers = {
-            "add": self._on_acquire,
-            "berth": self._on_advice_request,
-            "out": self._on_request_sent,
-            "in": self._on_request_ended,
-            "spent": self._on_spent,
-            "back": self._on_give_back,
-            "past": self._on_usage_report,
-            "tick": self._on_tick,
-            "whole": self._on_snapshot_request,
-        }
-
-    def receive(self, session: PeerSession, message: Message) -> None:
-        """Handle a message of a data plane; those with unknown names are ignored."""
-        handler = self._handlers.get(message[0])
-        if handler is not None:
-            handler(session, message)
-
-    def connected(self, session: PeerSession, reported: ReportedConfig) -> None:
+
+    def receive(self, session: PeerSession, message: DataPlaneRequest) -> None:
+        """Handle a message of a data plane; the most frequent kinds come first."""
+        match message:
+            case AddQuota():
+                self._quota.acquire(session, message)
+            case RequestEndpointAdvice():
+                self._on_advice_request(session, message)
+            case RequestStarted():
+                self._components.load_tracker.request_sent(session.name, message.endpoint_id)
+            case RequestFinished():
+                self._on_request_finished(session, message)
+            case DataPlaneHeartbeat():
+                self._on_heartbeat(session, message)
+            case QuotaSpent():
+                self._quota.record_spent(session.name, message.tenant)
+            case QuotaRefund():
+                self._quota.give_back(session.name, message.tenant)
+            case UsageReport():
+                self._quota.receive_usage_report(session.name, message)
+            case RequestFullState():
+                self._view.send(session)
+                self._endpoints.send_snapshot(session)
+            case Hello():
+                self.connected(session, message)
+            case _:
+                assert_never(message)
+
+    def connected(self, session: PeerSession, hello: Hello) -> None:
         """Send a new data plane the view, some other data planes, the endpoints and the configuration."""
         self._data_planes.add(session)
         self._quota.data_plane_connected(session.name)
@@ -54,9 +83,9 @@
         self._view.send(session)
         others = sorted(self._data_planes.names() - {session.name})
         introduced = self._components.random.sample(others, min(MAX_INTRODUCED, len(others)))
-        session.send("pilots", introduced)
+        session.send(DataPlanePeers(introduced))
         self._endpoints.send_snapshot(session)
-        session.reported_config = reported
+        session.reported_config = ReportedConfig(hello.config_version, hello.config_digest)
         self.offer_config(session)
 
     def disconnected(self, session: PeerSession) -> None:
@@ -71,64 +100,42 @@
         stored = parts.replication.chain.replica.config if parts.contact.isolated else None
         parts.config_distributor.offer(session, contact, stored)
 
-    # Counts.
-
-    def _on_acquire(self, session: PeerSession, message: Message) -> None:
-        _, request_number, tenant, is_retry, epoch, *_ = message
-        self._quota.acquire(session, int(request_number), str(tenant), bool(is_retry), int(epoch))
-
-    def _on_spent(self, session: PeerSession, message: Message) -> None:
-        self._quota.record_spent(session.name, str(message[1]))
-
-    def _on_give_back(self, session: PeerSession, message: Message) -> None:
-        self._quota.give_back(session.name, str(message[1]))
-
-    def _on_usage_report(self, session: PeerSession, message: Message) -> None:
-        self._quota.receive_usage_report(session.name, str(message[1]), message[2])
-
-    # Load of endpoints.
-
-    def _on_advice_request(self, session: PeerSession, message: Message) -> None:
+    def _on_advice_request(self, session: PeerSession, request: RequestEndpointAdvice) -> None:
         parts = self._components
-        service = str(message[2])
-        endpoints = [endpoint for endpoint in parts.registry.ready() if endpoint.service == service]
-        advised: list[tuple[str, float]] = []
+        ready = parts.registry.ready()
+        endpoints = [endpoint for endpoint in ready if endpoint.service == request.service]
+        offers: list[tuple[str, float]] = []
         # Without the other nodes it knows the load that some of the data planes report, and would send
         # all of them to the same few endpoints.
         if parts.replication.steady:
-            advised = parts.load_tracker.advise(parts.clock.now(), str(message[3]), endpoints)
-        session.send("berths", message[1], advised, len(endpoints))
+            offers = parts.load_tracker.advise(parts.clock.now(), request.zone, endpoints)
+        session.send(EndpointAdvice(request.request_number, offers, len(endpoints)))
 
-    def _on_request_sent(self, session: PeerSession, message: Message) -> None:
-        self._components.load_tracker.request_sent(session.name, str(message[1]))
-
-    def _on_request_ended(self, session: PeerSession, message: Message) -> None:
+    def _on_request_finished(self, session: PeerSession, message: RequestFinished) -> None:
         now = self._components.clock.now()
-        self._components.load_tracker.request_ended(now, session.name, str(message[1]), float(message[2]))
-
-    # State of the gateway.
+        self._components.load_tracker.request_ended(
+            now, session.name, message.endpoint_id, message.latency_ratio
+        )
 
-    def _on_tick(self, session: PeerSession, message: Message) -> None:
-        self._answer_tick(session)
-        if len(message) > 1:
-            session.reported_config = ReportedConfig(int(message[1]), bytes(message[2]))
+    def _on_heartbeat(self, session: PeerSession, heartbeat: DataPlaneHeartbeat) -> None:
+        self._answer_heartbeat(session)
+        version = heartbeat.config_version
+        digest = heartbeat.config_digest
+        if version is not UNSET and digest is not UNSET:
+            session.reported_config = ReportedConfig(version, digest)
         self.offer_config(session)
 
-    def _answer_tick(self, session: PeerSession) -> None:
+    def _answer_heartbeat(self, session: PeerSession) -> None:
         parts = self._components
         committed = parts.config_distributor.committed
         is_announced = session.announced_digest == committed.digest
         session.announced_digest = committed.digest
-        session.send(
-            "tock",
-            parts.replication.chain.view.epoch,
-            committed.version,
-            self._data_planes.live_count,
-            self._endpoints.digest(),
-            b"" if is_announced else committed.digest,
-            int(parts.contact.observe()),
+        reply = ControlPlaneHeartbeatReply(
+            epoch=parts.replication.chain.view.epoch,
+            config_version=committed.version,
+            data_plane_count=self._data_planes.live_count,
+            endpoints_digest=self._endpoints.digest(),
+            config_digest=b"" if is_announced else committed.digest,
+            contact=parts.contact.observe(),
         )
-
-    def _on_snapshot_request(self, session: PeerSession, message: Message) -> None:
-        self._view.send(session)
-        self._endpoints.send_snapshot(session)
+        session.send(reply)
--- a/wickspring/controlplane/data_plane_sessions.py
+++ b/wickspring/controlplane/data_plane_sessions.py
@@ -7,6 +7,7 @@
 
 from wickspring.common.config_status import ConfigStatus
 from wickspring.common.connection import PeerConnection
+from wickspring.common.messages import Message
 
 
 @dataclass(slots=True, frozen=True)
@@ -18,7 +19,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ConfigOffer:
+class SentOffer:
     """A configuration that was sent to a data plane, and what it had reported before."""
 
     version: int
@@ -37,7 +38,7 @@
     connection: PeerConnection
     is_control_plane_node: bool = False
     reported_config: ReportedConfig = ReportedConfig()
-    last_offer: ConfigOffer | None = None
+    last_offer: SentOffer | None = None
     announced_digest: bytes = b""  # of the configuration, as last sent with an answer to a tick
 
     @property
@@ -45,9 +46,9 @@
         """Return the address of the peer; empty until it has introduced itself."""
         return self.connection.name
 
-    def send(self, *message: object) -> None:
+    def send(self, message: Message) -> None:
         """Send one message; it is lost where the connection is broken."""
-        self.connection.send(*message)
+        self.connection.send(message)
 
 
 class DataPlaneSessions:
@@ -82,10 +83,10 @@
         """Return how many data planes are in reach."""
         return len(self.live_names())
 
-    def broadcast(self, *message: object) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send one message to all data planes."""
         for session in self._names:
-            session.send(*message)
+            session.send(message)
 
     def close_timed_out(self) -> list[str]:
         """Close the sessions that have timed out; return the data planes that have none left by that."""
--- a/wickspring/controlplane/endpoint_service.py
+++ b/wickspring/controlplane/endpoint_service.py
@@ -7,6 +7,14 @@
 from wickspring.common import logs
 from wickspring.common.config_status import QuorumContact
 from wickspring.common.endpoints import READY, Endpoint, endpoints_digest
+from wickspring.common.messages import (
+    EndpointHeartbeats,
+    EndpointRecord,
+    EndpointsChanged,
+    EndpointsDeparting,
+    EndpointsLost,
+    EndpointSnapshot,
+)
 from wickspring.controlplane.components import Components
 from wickspring.controlplane.data_plane_sessions import DataPlaneSessions, PeerSession
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
@@ -59,9 +67,9 @@
             state=changed.state,
             address=changed.address,
         )
-        packed = [changed.pack(self._clock.now())]
-        self._replication.say_all("servers", packed)
-        self._data_planes.broadcast("servers", packed)
+        message = EndpointsChanged([changed.to_record(self._clock.now())])
+        self._replication.say_all(message)
+        self._data_planes.broadcast(message)
 
     async def commit_departure(self, endpoint_id: str, state: int) -> bool:
         """Have the departure of an endpoint committed; False where that took too long.
@@ -92,36 +100,36 @@
         departures = self._registry.new_departures(replica.leaving)
         if departures:
             self._registry.apply_departures(departures)
-            self._data_planes.broadcast("leaving", departures)
+            self._data_planes.broadcast(EndpointsDeparting(departures))
 
-    def receive_endpoints(self, packed_endpoints: Iterable[Sequence[object]]) -> None:
+    def receive_endpoints(self, records: Iterable[EndpointRecord]) -> None:
         """Record endpoints that another node has sent."""
         now = self._clock.now()
-        for packed in packed_endpoints:
-            endpoint = Endpoint.unpack(packed, now)
+        for record in records:
+            endpoint = Endpoint.from_record(record, now)
             is_new = endpoint.id not in self._registry.endpoints
             if self._registry.record_heartbeat(now, endpoint) is not None and is_new:
-                self._data_planes.broadcast("servers", [endpoint.pack(now)])
+                self._data_planes.broadcast(EndpointsChanged([endpoint.to_record(now)]))
 
     def receive_liveness(self, sequences: Sequence[tuple[str, int]]) -> list[str]:
         """Record heartbeats that came to another node; return the ids that are not known here."""
         now = self._clock.now()
         recovered = self._registry.record_liveness(now, sequences)
         if recovered:
-            self._data_planes.broadcast("servers", [endpoint.pack(now) for endpoint in recovered])
+            self._data_planes.broadcast(EndpointsChanged([endpoint.to_record(now) for endpoint in recovered]))
         return [endpoint_id for endpoint_id, _ in sequences if endpoint_id not in self._registry.endpoints]
 
-    def pack_known(self, endpoint_ids: Iterable[str]) -> list[list[object]]:
+    def known_records(self, endpoint_ids: Iterable[str]) -> list[EndpointRecord]:
         """Return those of these endpoints that are known, for a message."""
         now = self._clock.now()
         known = [self._registry.endpoints.get(endpoint_id) for endpoint_id in endpoint_ids]
-        return [endpoint.pack(now) for endpoint in known if endpoint is not None]
+        return [endpoint.to_record(now) for endpoint in known if endpoint is not None]
 
     def replicate_liveness(self) -> bool:
         """Tell the other nodes which heartbeats have come since the last time; False where none has."""
         if not self._received_sequences:
             return False
-        self._replication.say_all("alive", list(self._received_sequences.items()))
+        self._replication.say_all(EndpointHeartbeats(list(self._received_sequences.items())))
         self._received_sequences = {}
         return True
 
@@ -131,8 +139,8 @@
         """Send a data plane all that is known of endpoints."""
         now = self._clock.now()
         is_complete = self._contact.observe() is QuorumContact.SETTLED
-        packed = [endpoint.pack(now) for endpoint in self._registry.present()]
-        session.send("whole", packed, self._registry.departures, is_complete)
+        records = [endpoint.to_record(now) for endpoint in self._registry.present()]
+        session.send(EndpointSnapshot(records, self._registry.departures, is_complete))
 
     def digest(self) -> int:
         """Return a number that is the same for all that know the same endpoints."""
@@ -157,7 +165,7 @@
         self._unreported_lost.clear()
         if lost:
             logs.log_event("servers_silent", ids=",".join(lost))
-            self._data_planes.broadcast("lost", lost)
+            self._data_planes.broadcast(EndpointsLost(lost))
 
     @property
     def needs_save(self) -> bool:
--- a/wickspring/controlplane/peer_messages.py
+++ b/wickspring/controlplane/peer_messages.py
@@ -2,7 +2,15 @@
 
 from __future__ import annotations
 
-from wickspring.common.connection import Message
+from wickspring.common.messages import (
+    NODE_REQUESTS,
+    EndpointHeartbeats,
+    EndpointsChanged,
+    QuotaShares,
+    ReplicatedCounts,
+    RequestEndpoints,
+    WireMessage,
+)
 from wickspring.controlplane.endpoint_service import EndpointService
 from wickspring.controlplane.quota_service import QuotaService
 from wickspring.controlplane.replication.node import ReplicationNode
@@ -15,35 +23,30 @@
         self._replication = replication
         self._endpoints = endpoints
         self._quota = quota
-        self._handlers = {
-            "servers": self._on_endpoints,
-            "shadow": self._on_replicated_counts,
-            "shares": self._on_quota_shares,
-            "alive": self._on_liveness,
-            "tell": self._on_endpoint_request,
-        }
-
-    def receive(self, node_ip: str, message: Message) -> None:
-        """Handle a message of another node; those with unknown names are ignored."""
-        handler = self._handlers.get(message[0])
-        if handler is not None:
-            handler(node_ip, message)
-
-    def _on_endpoints(self, node_ip: str, message: Message) -> None:
-        self._endpoints.receive_endpoints(message[1])
-
-    def _on_replicated_counts(self, node_ip: str, message: Message) -> None:
-        self._quota.receive_replicated(message[1])
-
-    def _on_quota_shares(self, node_ip: str, message: Message) -> None:
-        self._quota.receive_shares(message[1], message[2])
-
-    def _on_liveness(self, node_ip: str, message: Message) -> None:
-        sequences = [(str(endpoint_id), int(sequence)) for endpoint_id, sequence in message[1]]
-        missing = self._endpoints.receive_liveness(sequences)
+
+    def receive(self, node_ip: str, wire_message: WireMessage) -> None:
+        """Handle a message of another node; those with unknown names are ignored.
+
+        Raises one of `DECODE_ERRORS` where it is malformed.
+        """
+        message = NODE_REQUESTS.decode(wire_message)
+        match message:
+            case EndpointsChanged():
+                self._endpoints.receive_endpoints(message.endpoints)
+            case EndpointHeartbeats():
+                self._on_heartbeats(node_ip, message)
+            case RequestEndpoints():
+                self._on_endpoint_request(node_ip, message)
+            case ReplicatedCounts():
+                self._quota.receive_replicated(message)
+            case QuotaShares():
+                self._quota.receive_shares(message)
+
+    def _on_heartbeats(self, node_ip: str, heartbeats: EndpointHeartbeats) -> None:
+        missing = self._endpoints.receive_liveness(heartbeats.sequences)
         if missing:
-            self._replication.say(node_ip, "tell", missing)
+            self._replication.say(node_ip, RequestEndpoints(missing))
 
-    def _on_endpoint_request(self, node_ip: str, message: Message) -> None:
-        endpoint_ids = [str(endpoint_id) for endpoint_id in message[1]]
-        self._replication.say(node_ip, "servers", self._endpoints.pack_known(endpoint_ids))
+    def _on_endpoint_request(self, node_ip: str, request: RequestEndpoints) -> None:
+        records = self._endpoints.known_records(request.endpoint_ids)
+        self._replication.say(node_ip, EndpointsChanged(records))
--- a/wickspring/controlplane/peer_server.py
+++ b/wickspring/controlplane/peer_server.py
@@ -2,14 +2,12 @@
 
 from __future__ import annotations
 
-from wickspring.common.connection import Message, PeerConnection
-from wickspring.common.settings_file import parse_ip
+from wickspring.common.connection import PeerConnection
+from wickspring.common.messages import DATA_PLANE_REQUESTS, Hello, WireMessage
 from wickspring.controlplane.data_plane_messages import DataPlaneMessageHandler
-from wickspring.controlplane.data_plane_sessions import PeerSession, ReportedConfig
+from wickspring.controlplane.data_plane_sessions import PeerSession
 from wickspring.controlplane.replication.node import ReplicationNode
 
-NODE_ROLE = "core"  # of a control-plane node in its "hello"; any other is a data plane
-
 
 class PeerServer:
     """Reads the messages of each connection, and hands them on by the role of the peer."""
@@ -27,21 +25,25 @@
             self._data_plane_messages.disconnected(session)
             connection.close()
 
-    def receive(self, session: PeerSession, message: Message) -> None:
-        """Handle one message; raises one of `DECODE_ERRORS` where it is malformed."""
-        if message[0] == "hello":
+    def receive(self, session: PeerSession, wire_message: WireMessage) -> None:
+        """Handle one message; those with unknown names are ignored.
+
+        A peer counts as a data plane until its `Hello` says that it is a node. Raises one of `DECODE_ERRORS`
+        where the message is malformed.
+        """
+        if session.is_control_plane_node:
+            self._replication.take(session.connection, wire_message)
+            return
+        message = DATA_PLANE_REQUESTS.decode(wire_message)
+        if isinstance(message, Hello):
             self._on_hello(session, message)
-        elif session.is_control_plane_node:
-            self._replication.take(session.connection, message)
-        else:
+        elif message is not None:
             self._data_plane_messages.receive(session, message)
 
-    def _on_hello(self, session: PeerSession, message: Message) -> None:
-        _, role, ip, properties, *_ = message
-        session.connection.name = parse_ip(ip)
-        if role == NODE_ROLE:
+    def _on_hello(self, session: PeerSession, hello: Hello) -> None:
+        session.connection.name = hello.ip
+        if hello.is_node:
             session.is_control_plane_node = True
             self._replication.called(session.name)
-            return
-        reported = ReportedConfig(int(properties.get("version", 0)), bytes(properties.get("digest", b"")))
-        self._data_plane_messages.connected(session, reported)
+        else:
+            self._data_plane_messages.connected(session, hello)
--- a/wickspring/controlplane/quota_service.py
+++ b/wickspring/controlplane/quota_service.py
@@ -2,14 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
-from typing import Any
-
+from wickspring.common.messages import (
+    AddQuota,
+    QuotaOwnerMoved,
+    QuotaShares,
+    QuotaTotal,
+    ReplicatedCounts,
+    UsageReport,
+)
 from wickspring.controlplane.components import Components
 from wickspring.controlplane.data_plane_sessions import DataPlaneSessions, PeerSession
 
-WindowCounts = Iterable[tuple[int, int]]  # windows ago, and units spent then
-
 
 class QuotaService:
     """Answers and records what data planes send on of a tenant's requests."""
@@ -21,22 +24,22 @@
         self._config_distributor = components.config_distributor
         self._data_planes = data_planes
 
-    def acquire(
-        self, session: PeerSession, request_number: int, tenant_name: str, is_retry: bool, epoch: int
-    ) -> None:
+    def acquire(self, session: PeerSession, request: AddQuota) -> None:
         """Count one unit for a data plane, and answer with the count and its limit.
 
         Where this node does not own counts in that epoch, the answer is that they have moved.
         """
-        tenant = self._config_distributor.routing_table.tenants.get(tenant_name)
+        tenant = self._config_distributor.routing_table.tenants.get(request.tenant)
         replication = self._replication
-        if tenant is None or not replication.keeps or epoch != replication.lease.epoch:
-            session.send("moved", request_number)
+        if tenant is None or not replication.keeps or request.epoch != replication.lease.epoch:
+            session.send(QuotaOwnerMoved(request.request_number))
             return
-        total, limit, wait_ms = self._counter.acquire(
-            self._clock.now(), tenant_name, session.name, tenant.rate, tenant.burst, is_retry
+        decision = self._counter.acquire(
+            self._clock.now(), tenant.name, session.name, tenant.rate, tenant.burst, request.is_retry
+        )
+        session.send(
+            QuotaTotal(request.request_number, decision.total, decision.limit, round(decision.wait_ms))
         )
-        session.send("sum", request_number, total, limit, round(wait_ms))
 
     def record_spent(self, data_plane: str, tenant_name: str) -> None:
         """Count a unit that a data plane has sent on without an answer from here."""
@@ -48,9 +51,10 @@
         """Return the unit of a request that has not run and never will."""
         self._counter.give_back(tenant_name, data_plane)
 
-    def receive_usage_report(self, data_plane: str, tenant_name: str, counts: WindowCounts) -> None:
+    def receive_usage_report(self, data_plane: str, report: UsageReport) -> None:
         """Replace what is known of a data plane's use of a tenant's quota by its own report."""
-        self._counter.receive_usage_report(self._clock.now(), tenant_name, data_plane, counts)
+        now = self._clock.now()
+        self._counter.receive_usage_report(now, report.tenant, data_plane, report.windows)
 
     def data_plane_connected(self, data_plane: str) -> None:
         """Record that a data plane is in reach again."""
@@ -71,32 +75,26 @@
         now = self._clock.now()
         counts = self._counter.low_tenants(now, bursts)
         if counts and self._replication.steady:
-            self._replication.say_all("shadow", counts)
+            self._replication.say_all(ReplicatedCounts(counts))
         unresponsive = self._counter.unresponsive_for_ms(now)
         if (counts or unresponsive) and self._replication.steady:
-            self._replication.say_all("shares", unresponsive, self._counter.shares(now, counts))
+            self._replication.say_all(QuotaShares(unresponsive, self._counter.shares(now, counts)))
 
-    def receive_replicated(self, counts_by_tenant: Mapping[Any, Iterable[tuple[Any, Any]]]) -> None:
+    def receive_replicated(self, counts: ReplicatedCounts) -> None:
         """Take over the counts that another node has replicated."""
         now = self._clock.now()
-        for tenant_name, counts in counts_by_tenant.items():
-            self._counter.receive_replicated(
-                now, str(tenant_name), [(int(ago), int(units)) for ago, units in counts]
-            )
-
-    def receive_shares(
-        self, unresponsive: Mapping[Any, Any], shares_by_tenant: Mapping[Any, Mapping[Any, Any]]
-    ) -> None:
+        for tenant_name, windows in counts.windows_by_tenant.items():
+            self._counter.receive_replicated(now, tenant_name, windows)
+
+    def receive_shares(self, shares: QuotaShares) -> None:
         """Take over which data planes an owner of counts does not reach, and their shares of its counts.
 
         A data plane that is connected here is not unresponsive, whatever another node says.
         """
         now = self._clock.now()
-        for tenant_name, shares in shares_by_tenant.items():
-            self._counter.receive_shares(
-                str(tenant_name), {str(data_plane): float(share) for data_plane, share in shares.items()}
-            )
+        for tenant_name, shares_by_data_plane in shares.shares_by_tenant.items():
+            self._counter.receive_shares(tenant_name, shares_by_data_plane)
         connected = self._data_planes.names()
-        for data_plane, remaining_ms in unresponsive.items():
+        for data_plane, remaining_ms in shares.unresponsive_ms.items():
             if data_plane not in connected:
-                self._counter.mark_unresponsive(now, str(data_plane), float(remaining_ms))
+                self._counter.mark_unresponsive(now, data_plane, remaining_ms)
--- a/wickspring/controlplane/view_announcements.py
+++ b/wickspring/controlplane/view_announcements.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from wickspring.common.messages import ClusterView
 from wickspring.controlplane.components import Components
 from wickspring.controlplane.data_plane_sessions import DataPlaneSessions, PeerSession
 
@@ -19,15 +20,15 @@
         others = [ip for ip in self._replication.callers if self._replication.live(ip)]
         return [self._own_ip, *others]
 
-    def _message(self) -> tuple[object, ...]:
+    def _message(self) -> ClusterView:
         view = self._replication.chain.view
         members = [ip for ip, _ in view.chain]
-        return "view", view.epoch, members, self.reachable_nodes(), self._data_planes.live_count
+        return ClusterView(view.epoch, members, self.reachable_nodes(), self._data_planes.live_count)
 
     def send(self, session: PeerSession) -> None:
         """Announce the view to one data plane."""
-        session.send(*self._message())
+        session.send(self._message())
 
     def broadcast(self) -> None:
         """Announce the view to all data planes."""
-        self._data_planes.broadcast(*self._message())
+        self._data_planes.broadcast(self._message())
