--- a/tests/common/test_docs.py
+++ b/tests/common/test_docs.py
@@ -8,8 +8,18 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[2]
-PAGES = ("README.md", "docs/GLOSSARY.md")
 PACKAGE = "wickspring"
+PAGES = sorted(
+    str(path.relative_to(ROOT))
+    for path in (
+        *(ROOT / "docs").rglob("*.md"),
+        ROOT / "README.md",
+        ROOT / "NOTES.md",
+        ROOT / "lab" / "days" / "README.md",
+    )
+)
+PAGES_WITH_PATHS = ("README.md", "docs/ARCHITECTURE.md", "docs/GLOSSARY.md")
+WRITTEN_BY_RUNS = frozenset({"report.md"})  # named on pages, and not part of the repository
 # Where a path of a page may begin.
 BASES = (ROOT, ROOT / PACKAGE)
 # A path with a folder (`membership/swim.py`, `lab/days/`), or a module or page by its name alone.
@@ -17,6 +27,11 @@
 # `wickspring.ctl`, `wickspring.lab.simulation.core`, with or without a name in it.
 _MODULE = re.compile(rf"\b{PACKAGE}((?:\.\w+)+)")
 
+# `test_something`, `test_some_...` and `test_some[parameter]`.
+_TEST = re.compile(r"`(test_\w+?)(?:_?\.\.\.)?(?:\[[^`]*)?`")
+# The target of a Markdown link, other than a web address.
+_LINK = re.compile(r"\]\((?!\w+:)([^)#]+)")
+
 
 def _exists(path: str) -> bool:
     return any(any(base.glob(path.rstrip("/"))) for base in BASES)
@@ -40,12 +55,26 @@
 @pytest.mark.parametrize("page", PAGES)
 def test_paths_of_a_page_exist(page: str) -> None:
     text = (ROOT / page).read_text()
-    paths = sorted(set(_PATH.findall(text)))
-    assert paths, "the page names no path: is the pattern right?"
-    assert [path for path in paths if not _exists(path)] == []
+    paths = set(_PATH.findall(text)) - WRITTEN_BY_RUNS
+    assert paths or page not in PAGES_WITH_PATHS, "the page names no path: is the pattern right?"
+    assert [path for path in sorted(paths) if not _exists(path)] == []
 
 
 @pytest.mark.parametrize("page", PAGES)
 def test_modules_of_a_page_exist(page: str) -> None:
     text = (ROOT / page).read_text()
     assert [name for name in sorted(set(_MODULE.findall(text))) if not _is_module(name)] == []
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_tests_named_on_a_page_exist(page: str) -> None:
+    sources = "\n".join(path.read_text() for path in (ROOT / "tests").rglob("test_*.py"))
+    named = set(_TEST.findall((ROOT / page).read_text()))
+    assert [name for name in sorted(named) if f"def {name}" not in sources] == []
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_links_of_a_page_lead_to_files(page: str) -> None:
+    targets = set(_LINK.findall((ROOT / page).read_text()))
+    folder = (ROOT / page).parent
+    assert [target for target in sorted(targets) if not (folder / target).exists()] == []
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -14,13 +14,14 @@
 from tests.common.test_decoding import SETTINGS, document
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
+from wickspring.common.digest import digest_of
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
 from wickspring.common.settings_file import parse_address
 from wickspring.controlplane.api.calls import ApiRequest
 from wickspring.controlplane.api.resources import Heartbeat
 from wickspring.controlplane.process import ControlPlane
-from wickspring.controlplane.replication.replica import Config, Replica, Update, digest_of
+from wickspring.controlplane.replication.replica import Config, Replica, Update
 from wickspring.controlplane.replication.view import View
 from wickspring.dataplane.process import DataPlane
 from wickspring.lab.faults.core_faults import Chaos
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -30,6 +30,7 @@
 from wickspring.common import settings as settings_module
 from wickspring.common.config_status import ConfigStatus, QuorumContact
 from wickspring.common.connection import PeerConnection
+from wickspring.common.digest import digest_of
 from wickspring.common.endpoints import GONE, READY
 from wickspring.common.errors import GatewayError
 from wickspring.controlplane.api.calls import ApiRequest, ApiResponse
@@ -39,7 +40,7 @@
 from wickspring.controlplane.quorum_contact import ALONE_MS, GAP_MS, QuorumContactMonitor
 from wickspring.controlplane.replication import snapshot
 from wickspring.controlplane.replication.node import ReplicationNode, UpdateResult
-from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.dataplane.policy import config_adoption
 from wickspring.dataplane.policy.config_adoption import AdoptionAction, ConfigAdoption, ConfigCopy
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
--- a/tests/controlplane/test_storage.py
+++ b/tests/controlplane/test_storage.py
@@ -15,17 +15,11 @@
 
 from tests.common.test_decoding import document
 from tests.support.storage_files import DURABLE, MEMBERS, OLD, files, found_in, reopened, replica, write_older
+from wickspring.common.digest import digest_of
 from wickspring.common.errors import ErrorKind
 from wickspring.controlplane import storage
 from wickspring.controlplane.replication import snapshot
-from wickspring.controlplane.replication.replica import (
-    HISTORY_MOST,
-    CommitOutcome,
-    Config,
-    Replica,
-    Update,
-    digest_of,
-)
+from wickspring.controlplane.replication.replica import HISTORY_MOST, CommitOutcome, Config, Replica, Update
 from wickspring.controlplane.storage import BAD, FILE, LOG_MOST, OPEN_TRIES, PAGE, ReplicaStore
 
 BODY = json.dumps(document()).encode()
--- a/tests/controlplane/test_storage_power_loss.py
+++ b/tests/controlplane/test_storage_power_loss.py
@@ -27,8 +27,9 @@
     replica,
     write_older,
 )
+from wickspring.common.digest import digest_of
 from wickspring.controlplane import storage
-from wickspring.controlplane.replication.replica import Config, Replica, Update, digest_of
+from wickspring.controlplane.replication.replica import Config, Replica, Update
 from wickspring.controlplane.storage import BAD, FILE, ReplicaStore
 from wickspring.controlplane.storage_legacy import CorruptStoreError
 
--- a/wickspring/controlplane/replication/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -21,6 +21,7 @@
 from random import Random
 from typing import Any
 
+from wickspring.common.digest import digest_of
 from wickspring.controlplane.replication.paxos import (
     Ballot,
     PaxosVoter,
@@ -28,7 +29,7 @@
     parse_ballot,
     unpack_value,
 )
-from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import (
     ClusterObservation,
     FaultTolerance,
--- a/wickspring/controlplane/replication/replica.py
+++ b/wickspring/controlplane/replication/replica.py
@@ -18,9 +18,9 @@
 from enum import IntEnum
 from typing import Any
 
+from wickspring.common.digest import DIGEST_SIZE, digest_of
 from wickspring.core.invariants import holds
 
-DIGEST_SIZE = 16  # bytes of a document's digest
 HISTORY_MOST = 512  # numbers taken before the present one whose digests are kept
 LEAVING_MOST = 4096  # servers that are remembered as leaving
 NO_DOCUMENT = b""
@@ -34,11 +34,6 @@
     CONFLICT = 2  # its number is another text's, and that one is safe
 
 
-def digest_of(document: bytes) -> bytes:
-    """Return the digest of a document."""
-    return hashlib.blake2b(document, digest_size=DIGEST_SIZE).digest()
-
-
 @dataclass(slots=True, frozen=True)
 class Config:
     """A configuration: epoch of the head that passed it on last, number, text, and the numbers before it."""
--- a/wickspring/controlplane/replication/snapshot.py
+++ b/wickspring/controlplane/replication/snapshot.py
@@ -16,9 +16,10 @@
 import msgspec
 from expression import Error, Ok, Result
 
+from wickspring.common.digest import DIGEST_SIZE, digest_of
 from wickspring.common.errors import ErrorDetail, ErrorKind
 from wickspring.controlplane.api.config_validation import validate_config
-from wickspring.controlplane.replication.replica import DIGEST_SIZE, Replica, Update, digest_of
+from wickspring.controlplane.replication.replica import Replica, Update
 
 FORMAT = 2
 MOST_STATE = 2  # of a leaving server: gone
--- a/wickspring/controlplane/storage.py
+++ b/wickspring/controlplane/storage.py
@@ -31,8 +31,9 @@
 from zope.interface import Interface, implementer
 
 from wickspring.common import logs as logs_module
+from wickspring.common.digest import digest_of
 from wickspring.controlplane import storage_legacy
-from wickspring.controlplane.replication.replica import Config, Replica, digest_of
+from wickspring.controlplane.replication.replica import Config, Replica
 from wickspring.controlplane.storage_legacy import CorruptStoreError
 from wickspring.core.invariants import holds
 
--- a/wickspring/controlplane/storage_legacy.py
+++ b/wickspring/controlplane/storage_legacy.py
@@ -15,7 +15,8 @@
 
 import msgpack
 
-from wickspring.controlplane.replication.replica import Config, Replica, digest_of
+from wickspring.common.digest import digest_of
+from wickspring.controlplane.replication.replica import Config, Replica
 
 
 class CorruptStoreError(ValueError):
--- a/wickspring/dataplane/control_client.py
+++ b/wickspring/dataplane/control_client.py
@@ -14,12 +14,12 @@
 from wickspring.common import logs
 from wickspring.common.config_status import ConfigStatus, QuorumContact
 from wickspring.common.connection import HEARTBEAT_MS, Message, PeerConnection, ReconnectingClient
+from wickspring.common.digest import digest_of
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.routing_table import RoutingTable, build_routing_table
 from wickspring.common.seeds import SeedList
 from wickspring.common.settings import NodeSettings
 from wickspring.common.settings_file import parse_ip
-from wickspring.controlplane.replication.replica import digest_of
 from wickspring.dataplane.policy.config_adoption import AdoptionAction, ConfigAdoption, ConfigCopy
 from wickspring.net.clock import Clock
 
--- a/wickspring/lab/simulation/core_operators.py
+++ b/wickspring/lab/simulation/core_operators.py
@@ -11,14 +11,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from wickspring.controlplane.replication.replica import (
-    HISTORY_MOST,
-    CommitOutcome,
-    Config,
-    Replica,
-    Update,
-    digest_of,
-)
+from wickspring.common.digest import digest_of
+from wickspring.controlplane.replication.replica import HISTORY_MOST, CommitOutcome, Config, Replica, Update
 from wickspring.controlplane.replication.view import Member, View
 
 Rank = tuple[int, int]
--- a/wickspring/lab/simulation/gossip.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -17,7 +17,7 @@
 import trio.testing
 
 from wickspring.common.connection import Message, PeerConnection
-from wickspring.controlplane.replication.replica import DIGEST_SIZE
+from wickspring.common.digest import DIGEST_SIZE
 from wickspring.dataplane.gossip import GossipDigest, GossipNode
 from wickspring.lab.simulation.clock import VirtualClock
 
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -15,8 +15,9 @@
 from random import Random
 from typing import Any
 
+from wickspring.common.digest import digest_of
 from wickspring.controlplane.replication.chain import ReplicationChain
-from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import PeerObservation, View
 from wickspring.lab.simulation.core import InvariantBrokenError
 
