--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -26,6 +26,7 @@
 from wickspring.dataplane import process as dataplane_process
 from wickspring.dataplane.process import DataPlane
 from wickspring.lab.simulation.clock import VirtualClock
+from wickspring.lab.simulation.memory_link import MemoryLink
 from wickspring.net import host
 
 CONTROL_PLANES = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.0.4")
@@ -53,42 +54,6 @@
         self.servers = servers
 
 
-class Socket:
-    """One end of a connection."""
-
-    def __init__(self, site: Site, mine: str, theirs: str) -> None:
-        self.site, self.mine, self.theirs = site, mine, theirs
-        self.put, self.got = trio.open_memory_channel[bytes](100_000)
-        self.peer = self
-
-
-class MemoryLink:
-    """What a cable reads and writes."""
-
-    def __init__(self, sock: Socket, _: trio.Nursery) -> None:
-        self.sock, self.broken = sock, False
-        sock.site.links.append(self)
-
-    def send(self, data: bytes) -> None:
-        sock = self.sock
-        if not self.broken and (sock.mine, sock.theirs) not in sock.site.cuts:
-            sock.peer.put.send_nowait(data)
-
-    async def receive(self) -> bytes:
-        data = b"" if self.broken else await self.sock.got.receive()
-        self.broken |= not data
-        return data
-
-    def finish(self) -> None:
-        self.send(b"")
-
-    def close(self) -> None:
-        if not self.broken:
-            self.send(b"")
-            self.broken = True
-            self.sock.put.send_nowait(b"")
-
-
 class Datagrams:
     """One pilot's datagrams."""
 
@@ -124,18 +89,20 @@
 
     # The net.
 
-    async def connect(self, address: tuple[str, int], wait_ms: float) -> Socket | None:
+    async def connect(self, address: tuple[str, int], wait_ms: float) -> MemoryLink | None:
         mine, theirs = _WHO.get(), address[0]
         if {(mine, theirs), (theirs, mine)} & self.cuts or theirs not in self.scopes:
             await trio.sleep(wait_ms / 1000.0)
             return None
-        here, there = Socket(self, mine, theirs), Socket(self, theirs, mine)
-        here.peer, there.peer = there, here
+        here = MemoryLink(mine, theirs, lambda: (mine, theirs) not in self.cuts)
+        there = MemoryLink(theirs, mine, lambda: (theirs, mine) not in self.cuts)
+        here.attach(there)
+        self.links += [here, there]
         clock = VirtualClock()
 
         async def serve() -> None:
             _WHO.set(theirs)
-            end = PeerConnection(MemoryLink(there, self.nursery), clock)  # type: ignore[arg-type]
+            end = PeerConnection(there, clock)  # type: ignore[arg-type]
             if theirs in self.control_planes:
                 await self.control_planes[theirs].connection(end)
             else:
@@ -216,7 +183,7 @@
     def kill(self, ip: str) -> None:
         self.scopes.pop(ip).cancel()
         self.control_planes.pop(ip, None)
-        for link in [one for one in self.links if one.sock.mine == ip]:
+        for link in [link for link in self.links if link.local == ip]:
             link.close()
 
     @property
@@ -301,7 +268,7 @@
             monkeypatch.setattr(dataplane_process, "Udp", lambda ip, port: Datagrams(site, ip))
             for module in (connection_module, gossip):
                 monkeypatch.setattr(module, "connect", site.connect)
-                monkeypatch.setattr(module, "Link", MemoryLink)
+                monkeypatch.setattr(module, "Link", lambda link, _: link)
             for ip in CONTROL_PLANES[:control_planes]:
                 await site.start_light(ip, first=ip in CONTROL_PLANES[:3])
             await site.settled()
--- a/wickspring/lab/experiments/capacity_steps.py
+++ b/wickspring/lab/experiments/capacity_steps.py
@@ -1,7 +1,8 @@
-"""What single steps cost at a size: reading, checking, laying out and looking up what a program holds.
+"""What single steps cost at a size: parsing and validating a configuration, lookups, digests, counters.
 
-Times are processor time of this thread, the least of a few tries, on whatever machine runs it. Memory is what
-Python's allocator was asked for (`tracemalloc`), which is a little less than what a process grows by.
+Times are processor time of this thread, the shortest of a few repeats, on whatever machine runs it. Memory is
+what Python's allocator was asked for (`tracemalloc`), which is a little less than what a process grows by.
+The names of the figures are keys of the results stored in `docs/capacity`, so they stay.
 """
 
 from __future__ import annotations
@@ -33,26 +34,37 @@
 from wickspring.controlplane.quota_counter import QuotaCounter
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
-from wickspring.lab.simulation.hollow_gateway import document
-from wickspring.net.link import Link
-
-TRIES = 3
-SERVICES = 750 / 13_000  # for each server, as in the target
+from wickspring.lab.simulation.generated_config import ConfigSize, generate_config
+from wickspring.net.link import READ_SIZE, Link
+
+REPEATS = 3
+SERVICES_PER_SERVER = 750 / 13_000  # as in the target
+SILENCE_MS = 1500.0  # after which an endpoint registry takes a server for gone
+QUOTA_SPAN_S = 5.0
+QUOTA_EXCESS = 0.1
+QUOTA_SLACK = 20.0
+COMPRESSION_LEVEL = 6
+NOW_MS = 1e9
+
+
+def took_ms(action: Callable[[], object], calls: int = 1, repeats: int = REPEATS) -> float:
+    """Return the processor time of one call, ms: the shortest mean of so many calls."""
+    shortest_s = float("inf")
+    for _ in range(repeats):
+        started = time.thread_time()
+        for _ in range(calls):
+            action()
+        shortest_s = min(shortest_s, time.thread_time() - started)
+    return 1000.0 * shortest_s / calls
 
 
-def took_ms(action: Callable[[], object], times: int = 1, tries: int = TRIES) -> float:
-    """Return the processor time of one call, ms."""
-    best = float("inf")
-    for _ in range(tries):
-        begun = time.thread_time()
-        for _ in range(times):
-            action()
-        best = min(best, time.thread_time() - begun)
-    return 1000.0 * best / times
+def took_us(action: Callable[[], object], calls: int = 1) -> float:
+    """Return the processor time of one call, us."""
+    return 1000.0 * took_ms(action, calls)
 
 
 def held_mb(make: Callable[[], object]) -> float:
-    """Return the memory of what is made, MB."""
+    """Return the memory that an object occupies, MB."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -66,7 +78,7 @@
 
 
 def peak_mb(action: Callable[[], object]) -> float:
-    """Return the most memory that an action holds at once, MB."""
+    """Return the peak memory of an action, MB."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -79,47 +91,51 @@
 def loaded_mb(module: str) -> float:
     """Return the resident memory of a process that has loaded a program and does nothing, MB."""
     code = f"import {module}, pathlib; print(pathlib.Path('/proc/self/statm').read_text().split()[1])"
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, text=True)
-    return int(told.stdout) * resource.getpagesize() / 1e6
-
-
-def configuration(tenants: int, routes: int, services: int, times: bool = True) -> dict[str, float]:
-    """Return what a configuration of a size costs whoever takes it."""
-    body = document(1, tenants, routes, services)
-    packed = zlib.compress(body, 6)
-    found = {"text_bytes": float(len(body)), "packed_bytes": float(len(packed))}
-    if times:
-        found["pack_ms"] = took_ms(lambda: zlib.compress(body, 6), tries=1)
-        found["check_ms"] = took_ms(lambda: validate_config(body), tries=1)
-        found["lay_out_ms"] = took_ms(lambda: build_routing_table(zlib.decompress(packed)))
-        found["chart_mb"] = held_mb(lambda: build_routing_table(body))
-        found["lay_out_peak_mb"] = peak_mb(lambda: build_routing_table(zlib.decompress(packed)))
-    return found
-
-
-def lookup(routes: int, hosts: int) -> float:
-    """Return the time of finding a drawn request's route, us."""
-    body = document(1, 1, routes, 4, hosts=hosts)
-    routing_table, random = build_routing_table(body), Random(1)
-    sockets = json.loads(body)["sockets"]
-    rules = [(one["host"], rule["pattern"]["path_prefix"]) for one in sockets for rule in one["policy"]]
-    asked = [random.choice(rules) for _ in range(200)]
-
-    def all_() -> None:
-        for host, prefix in asked:
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, text=True)
+    return int(process.stdout) * resource.getpagesize() / 1e6
+
+
+def config_steps(size: ConfigSize, timed: bool = True) -> dict[str, float]:
+    """Return what a configuration of a size costs the processes that validate and apply it."""
+    body = generate_config(1, size)
+    packed = zlib.compress(body, COMPRESSION_LEVEL)
+    figures = {"text_bytes": float(len(body)), "packed_bytes": float(len(packed))}
+    if timed:
+        figures["pack_ms"] = took_ms(lambda: zlib.compress(body, COMPRESSION_LEVEL), repeats=1)
+        figures["check_ms"] = took_ms(lambda: validate_config(body), repeats=1)
+        figures["lay_out_ms"] = took_ms(lambda: build_routing_table(zlib.decompress(packed)))
+        figures["chart_mb"] = held_mb(lambda: build_routing_table(body))
+        figures["lay_out_peak_mb"] = peak_mb(lambda: build_routing_table(zlib.decompress(packed)))
+    return figures
+
+
+def lookup_us(routes: int, hosts: int, lookups: int = 200) -> float:
+    """Return the time of finding the route of a random request, us."""
+    body = generate_config(1, ConfigSize(tenants=1, routes=routes, services=4, hosts=hosts))
+    routing_table = build_routing_table(body)
+    random = Random(1)
+    targets = [
+        (socket["host"], route["pattern"]["path_prefix"])
+        for socket in json.loads(body)["sockets"]
+        for route in socket["policy"]
+    ]
+    requests = [random.choice(targets) for _ in range(lookups)]
+
+    def look_up_all() -> None:
+        for host, prefix in requests:
             routing_table.route(host, prefix + "1")
 
-    return 1000.0 * took_ms(all_) / len(asked)
+    return took_us(look_up_all) / lookups
 
 
-def servers(count: int) -> list[Endpoint]:
-    """Return so many servers, in services as large as the target's."""
-    services = max(1, round(count * SERVICES))
+def generate_endpoints(count: int) -> list[Endpoint]:
+    """Return so many endpoints, in services as large as the target's."""
+    services = max(1, round(count * SERVICES_PER_SERVER))
     return [
         Endpoint(
-            f"i-{n:06d}-{n * 7919 % 0xFFFFFF:06x}",
-            f"s{n % services}ab1c",
-            f"10.{n // 60000}.{n // 250 % 240}.{n % 250}:8080",
+            f"i-{number:06d}-{number * 7919 % 0xFFFFFF:06x}",
+            f"s{number % services}ab1c",
+            f"10.{number // 60000}.{number // 250 % 240}.{number % 250}:8080",
             "a",
             8,
             0,
@@ -127,147 +143,156 @@
             0.0,
             "v1",
         )
-        for n in range(count)
+        for number in range(count)
     ]
 
 
-def of_servers(count: int) -> dict[str, float]:
-    """Return what so many servers cost a core machine and an ingress at each step that goes over them."""
-    told = servers(count)
-    register, choice, candidates = EndpointRegistry(1500.0), EndpointSelector("a", 1), LoadTracker(1)
-    for one in told:
-        register.beat(0.0, one)
-        choice.heard(0.0, one)
-
-    def known() -> EndpointSelector:
-        made = EndpointSelector("a", 1)
-        for one in servers(count):
-            made.heard(0.0, one)
-        return made
-
-    def registered() -> EndpointRegistry:
-        made = EndpointRegistry(1500.0)
-        for one in servers(count):
-            made.beat(0.0, one)
-        return made
-
-    def advise() -> None:
-        mine = [one for one in register.whole() if one.service == told[0].service and one.state == 0]
-        candidates.offers(0.0, "a", mine)
-
-    def pilot_digest() -> int:
-        return endpoints_digest(
-            [one.server for id_, one in choice.candidates.items() if not one.lost and choice.takes(id_)]
-        )
+def _registry(endpoints: list[Endpoint]) -> EndpointRegistry:
+    registry = EndpointRegistry(SILENCE_MS)
+    for endpoint in endpoints:
+        registry.beat(0.0, endpoint)
+    return registry
+
+
+def _selector(endpoints: list[Endpoint]) -> EndpointSelector:
+    selector = EndpointSelector("a", 1)
+    for endpoint in endpoints:
+        selector.heard(0.0, endpoint)
+    return selector
+
 
+def _advise(registry: EndpointRegistry, load_tracker: LoadTracker, service: str) -> None:
+    """Choose candidates for one request as a control-plane node does."""
+    ready = [endpoint for endpoint in registry.whole() if endpoint.service == service and endpoint.state == 0]
+    load_tracker.offers(0.0, "a", ready)
+
+
+def _selector_digest(selector: EndpointSelector) -> int:
+    return endpoints_digest(
+        [
+            candidate.server
+            for endpoint_id, candidate in selector.candidates.items()
+            if not candidate.lost and selector.takes(endpoint_id)
+        ]
+    )
+
+
+def endpoint_steps(count: int) -> dict[str, float]:
+    """Return what so many endpoints cost a process at each step that goes over all of them."""
+    endpoints = generate_endpoints(count)
+    service = endpoints[0].service
+    registry = _registry(endpoints)
+    selector = _selector(endpoints)
+    load_tracker = LoadTracker(1)
+    packed = [endpoint.pack(0.0) for endpoint in endpoints]
     return {
-        "whole_bytes": float(len(msgpack.packb(["whole", [one.pack(0.0) for one in told], {}]))),
-        "core_digest_ms": took_ms(lambda: endpoints_digest(register.whole())),
-        "ingress_digest_ms": took_ms(pilot_digest),
-        "advice_ms": took_ms(advise),
-        "sweep_ms": took_ms(lambda: register.sweep(1.0)),
-        "ingress_mb": held_mb(known),
-        "core_mb": held_mb(registered),
-        "pick_us": 1000.0 * took_ms(lambda: choice.pick(0.0, told[0].service, "r", set()), 50),
+        "whole_bytes": float(len(msgpack.packb(["whole", packed, {}]))),
+        "core_digest_ms": took_ms(lambda: endpoints_digest(registry.whole())),
+        "ingress_digest_ms": took_ms(lambda: _selector_digest(selector)),
+        "advice_ms": took_ms(lambda: _advise(registry, load_tracker, service)),
+        "sweep_ms": took_ms(lambda: registry.sweep(1.0)),
+        "ingress_mb": held_mb(lambda: _selector(generate_endpoints(count))),
+        "core_mb": held_mb(lambda: _registry(generate_endpoints(count))),
+        "pick_us": took_us(lambda: selector.pick(0.0, service, "r", set()), calls=50),
     }
 
 
-def of_counts(tenants: int, ingresses: int = 930) -> dict[str, float]:
-    """Return what a count for each tenant costs the machine that keeps it, after adds from four ingresses."""
-    span_s = 5.0
+def _quota_counter(tenants: int, data_planes: int, adds_per_tenant: int = 4) -> QuotaCounter:
+    counter = QuotaCounter(QUOTA_SPAN_S, QUOTA_EXCESS, QUOTA_SLACK)
+    random = Random(1)
+    for number in range(tenants):
+        for _ in range(adds_per_tenant):
+            data_plane = f"10.9.{random.randrange(data_planes) // 250}.1"
+            counter.add(NOW_MS, f"t{number}ab1c", data_plane, 33.0, 33.0)
+    return counter
+
 
-    def counted(each: int = 4) -> QuotaCounter:
-        event_counts, random = QuotaCounter(span_s, 0.1, 20.0), Random(1)
-        for n in range(tenants):
-            for _ in range(each):
-                event_counts.add(1e9, f"t{n}ab1c", f"10.9.{random.randrange(ingresses) // 250}.1", 33.0, 33.0)
-        return event_counts
+def _quota_policy(tenants: int) -> QuotaPolicy:
+    policy = QuotaPolicy(QUOTA_SPAN_S, QUOTA_EXCESS, QUOTA_SLACK)
+    for number in range(tenants):
+        policy.sent(NOW_MS, f"t{number}ab1c")
+    return policy
 
-    def accounted() -> QuotaPolicy:
-        quota = QuotaPolicy(span_s, 0.1, 20.0)
-        for n in range(tenants):
-            quota.sent(1e9, f"t{n}ab1c")
-        return quota
 
-    event_counts = counted()
-    bursts = {f"t{n}ab1c": 33.0 for n in range(tenants)}
+def quota_steps(tenants: int, data_planes: int = 930) -> dict[str, float]:
+    """Return what a counter for each tenant costs the node that owns it, after adds from four data planes."""
+    counter = _quota_counter(tenants, data_planes)
+    bursts = {f"t{number}ab1c": 33.0 for number in range(tenants)}
     names = list(bursts)
     random = Random(2)
+
+    def add() -> None:
+        counter.add(NOW_MS, random.choice(names), "10.9.0.1", 33.0, 33.0)
+
     return {
-        "counts_mb": held_mb(counted),
-        "ingress_accounts_mb": held_mb(accounted),
-        "much_used_ms": took_ms(lambda: event_counts.much_used(1e9, bursts)),
-        "add_us": 1000.0
-        * took_ms(lambda: event_counts.add(1e9, random.choice(names), "10.9.0.1", 33.0, 33.0), 500),
+        "counts_mb": held_mb(lambda: _quota_counter(tenants, data_planes)),
+        "ingress_accounts_mb": held_mb(lambda: _quota_policy(tenants)),
+        "much_used_ms": took_ms(lambda: counter.much_used(NOW_MS, bursts)),
+        "add_us": took_us(add, calls=500),
     }
 
 
 def wire(messages: int = 20_000, size: int = 40) -> dict[str, float]:
-    """Return what the kernel costs a small message over loopback, each sent and read by itself, us."""
+    """Return the processor time of sending and reading one small message over loopback, us."""
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
-        socket.create_connection(listener.getsockname()) as one,
-        listener.accept()[0] as other,
+        socket.create_connection(listener.getsockname()) as sender,
+        listener.accept()[0] as receiver,
     ):
-        one.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sender.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         data = b"x" * size
-        begun = time.thread_time()
+        started = time.thread_time()
         for _ in range(messages):
-            one.send(data)
-            other.recv(65536)
-        took = time.thread_time() - begun
-    return {"send_and_receive_us": 1e6 * took / messages}
+            sender.send(data)
+            receiver.recv(READ_SIZE)
+        took_s = time.thread_time() - started
+    return {"send_and_receive_us": 1e6 * took_s / messages}
 
 
-def profile(action: Callable[[], object], times: int, most: int = 5) -> dict[str, float]:
-    """Return the functions in which an action spends its time, with their share of it."""
-    seen = cProfile.Profile()
-    seen.enable()
-    for _ in range(times):
+def profile(action: Callable[[], object], calls: int, limit: int = 5) -> dict[str, float]:
+    """Return the functions in which an action spends most of its time, with their share of it."""
+    profiler = cProfile.Profile()
+    profiler.enable()
+    for _ in range(calls):
         action()
-    seen.disable()
-    stats: Any = pstats.Stats(seen)
-    whole = sum(one[2] for one in stats.stats.values()) or 1.0
-    dearest = sorted(stats.stats.items(), key=lambda item: -item[1][2])[:most]
+    profiler.disable()
+    # By (file, line, function): (calls, primitive calls, time in it, time with callees, callers).
+    stats: Any = pstats.Stats(profiler)
+    total_s = sum(entry[2] for entry in stats.stats.values()) or 1.0
+    longest = sorted(stats.stats.items(), key=lambda item: -item[1][2])[:limit]
     return {
-        f"{Path(file).name}:{name}" if line else name: round(told[2] / whole, 3)
-        for (file, line, name), told in dearest
+        f"{Path(file).name}:{name}" if line else name: round(entry[2] / total_s, 3)
+        for (file, line, name), entry in longest
     }
 
 
-def profiles(count: int, tenants: int, routes: int, services: int) -> dict[str, dict[str, float]]:
-    """Profile the three dearest paths: the number told with each tick, advice for a request, an order."""
-    told = servers(count)
-    register, candidates = EndpointRegistry(1500.0), LoadTracker(1)
-    for one in told:
-        register.beat(0.0, one)
-    body = document(1, tenants, routes, services)
-
-    def advise() -> None:
-        mine = [one for one in register.whole() if one.service == told[0].service and one.state == 0]
-        candidates.offers(0.0, "a", mine)
-
+def profiles(server_count: int, config_size: ConfigSize) -> dict[str, dict[str, float]]:
+    """Profile the three most expensive paths: the digest of each tick, advice, a new configuration."""
+    endpoints = generate_endpoints(server_count)
+    registry = _registry(endpoints)
+    load_tracker = LoadTracker(1)
+    body = generate_config(1, config_size)
     return {
-        "tick": profile(lambda: endpoints_digest(register.whole()), 50),
-        "advice": profile(advise, 50),
+        "tick": profile(lambda: endpoints_digest(registry.whole()), 50),
+        "advice": profile(lambda: _advise(registry, load_tracker, endpoints[0].service), 50),
         "order": profile(lambda: validate_config(body), 1),
     }
 
 
-def breaks(size: int, copies: int) -> bool:
-    """Tell whether a real link over loopback is closed by so many copies, and a word, sent in one go.
+def closes_link(size: int, copies: int) -> bool:
+    """Tell whether a real link over loopback is closed by so many copies of a message sent at once.
 
-    Its reader has not come to read yet; the kernel takes what its buffers hold, and the rest waits.
+    Its reader does not read yet; the kernel takes what its buffers hold, and the link buffers the rest.
     """
 
     async def main() -> bool:
         with (
             socket.create_server(("127.0.0.1", 0)) as listener,
-            socket.create_connection(listener.getsockname()) as one,
+            socket.create_connection(listener.getsockname()) as sender,
             listener.accept()[0],
         ):
             async with trio.open_nursery() as nursery:
-                link = Link(one, nursery)
+                link = Link(sender, nursery)
                 for _ in range(copies):
                     link.send(b"x" * size)
                 link.send(b"word")
--- a/wickspring/lab/experiments/capacity_sweeps.py
+++ b/wickspring/lab/experiments/capacity_sweeps.py
@@ -1,4 +1,8 @@
-"""The sweeps: one figure of a site grows; bytes, messages and processor time are taken at each size."""
+"""The sweeps: one size of a site grows; bytes, messages and processor time are measured at each value.
+
+The names of sweeps and figures are keys of the results stored in `docs/capacity`, with which later runs are
+compared; they stay as they are.
+"""
 
 from __future__ import annotations
 
@@ -8,262 +12,211 @@
 
 import trio
 
-from wickspring.lab.experiments import capacity_steps as units
-from wickspring.lab.simulation.hollow_gateway import CORE, INGRESS, Meter, Site, document, play
+from wickspring.lab.experiments import capacity_steps as steps
+from wickspring.lab.experiments.capacity_site import (
+    NS_PER_MS,
+    Figures,
+    SiteSize,
+    data_plane_ip,
+    measure_steady,
+    rates,
+    start_site,
+)
+from wickspring.lab.simulation.generated_config import ConfigSize, generate_config
+from wickspring.lab.simulation.meter import CORE, INGRESS
+from wickspring.lab.simulation.virtual_gateway import VirtualGateway
+from wickspring.lab.simulation.virtual_run import run_virtual
 
-BEAT_S = 1.5
-Figures = dict[str, float]
-FLOWS = ("core>core", "core>ingress", "ingress>core", "ingress>ingress")
+MIN_SERVICES = 4
+RESTART_PAUSE_S = 0.3  # between the end of a data plane and its next start
+DATA_PLANE_START_S = 3.0
+DEPARTURES_MEASURED = 5
 
 
-@dataclass(slots=True, frozen=True)
-class Shape:
-    """The size of a site; each sweep varies one of these."""
-
-    ingresses: int = 4
-    servers: int = 100
-    tenants: int = 20
-    routes: int = 20
-    services: int = 6
-    rate: float = 0.0  # requests a second at each ingress
-    cores: int = 5
-    warm_s: float = 8.0
-    seconds: float = 15.0
-
-
-def address(number: int) -> str:
-    """Return an ingress's IP."""
-    return f"10.{200 + number // 62500}.{number // 250 % 250}.{number % 250 + 1}"
-
-
-async def raise_site(site: Site, shape: Shape) -> None:
-    """Bring a site up and let it come to rest."""
-    await site.configure(document(1, shape.tenants, shape.routes, shape.services))
-    site.add_servers(shape.servers, [one["name"] for one in site.tree["backends"]])
-    site.nursery.start_soon(site.beats, BEAT_S)
-    await trio.sleep(2 * BEAT_S)
-    for number in range(shape.ingresses):
-        site.start_ingress(address(number))
-    await site.settle(shape.ingresses)
-    if shape.rate:
-        for ip in site.data_planes:
-            site.nursery.start_soon(site.ask, ip, shape.rate)
-    await trio.sleep(shape.warm_s)
-
-
-def asked(site: Site) -> float:
-    """Return how many requests the ingresses have taken."""
-    return float(sum(one.event_counts["asked"] for one in site.data_planes.values()))
-
-
-def rates(meter: Meter, shape: Shape, seconds: float) -> Figures:
-    """Return what each core machine and each ingress says, hears and works in a second."""
-    found: Figures = {}
-
-    def add(name: str, value: float) -> None:
-        found[name] = found.get(name, 0.0) + value
-
-    for (flow, part), size in meter.bytes.items():
-        said, heard = flow.split(">")
-        count = meter.messages[flow, part]
-        for role, way in ((said, "out"), (heard, "in")):
-            each = shape.cores if role == CORE else shape.ingresses
-            for name in (f"{role}_{way}_{part}", f"{role}_all"):
-                add(f"{name}_bytes_s", size / seconds / each)
-                add(f"{name}_messages_s", count / seconds / each)
-    for (role, part), ns in meter.ns.items():
-        if role in (CORE, INGRESS):
-            each = shape.cores if role == CORE else shape.ingresses
-            add(f"{role}_{part}_ms_s", ns / 1e6 / seconds / each)
-            add(f"{role}_all_ms_s", ns / 1e6 / seconds / each)
-    add("machine_loop_ms_s", meter.ns["machine", "loop"] / 1e6 / seconds / (shape.cores + shape.ingresses))
-    return found
-
-
-def steady(shape: Shape, seed: int) -> Figures:
-    """Measure a site at rest, or under even load."""
-
-    async def run(site: Site) -> Figures:
-        await raise_site(site, shape)
-        before = asked(site)
-        site.meter.reset()
-        await trio.sleep(shape.seconds)
-        found = rates(site.meter, shape, shape.seconds)
-        found["requests_s"] = (asked(site) - before) / shape.seconds / max(1, shape.ingresses)
-        return found
-
-    return play(run, seed, shape.cores)
-
-
-def _only(found: Figures, *starts: str) -> Figures:
-    return {name: value for name, value in found.items() if name.startswith(starts)}
-
-
-def ingresses(size: int, seed: int, seconds: float = 15.0) -> Figures:
-    """Measure by ingresses, at rest: ticks, gossip, the rest."""
-    return steady(Shape(ingresses=size, seconds=seconds), seed)
-
-
-def servers(size: int, seed: int, seconds: float = 15.0, timed: bool = True) -> Figures:
-    """Measure by servers: beats, ticks with their digests, and then the start of one more ingress."""
-    shape = Shape(servers=size, services=max(4, round(size * units.SERVICES)), rate=2.0, seconds=seconds)
-
-    async def run(site: Site) -> Figures:
-        await raise_site(site, shape)
-        site.meter.reset()
-        await trio.sleep(shape.seconds)
-        found = rates(site.meter, shape, shape.seconds)
-        site.meter.reset()
-        site.start_ingress(address(shape.ingresses))
-        await trio.sleep(3.0)
-        found["start_news_bytes"] = float(site.meter.bytes["core>ingress", "news"])
-        return found
+def _server_units(server_count: int) -> Figures:
+    return {f"unit_{name}": value for name, value in steps.endpoint_steps(server_count).items()}
+
+
+async def _measure_start(gateway: VirtualGateway, size: SiteSize) -> float:
+    """Return the bytes of endpoint updates that one more data plane is sent as it starts."""
+    gateway.meter.reset()
+    gateway.start_data_plane(data_plane_ip(size.ingresses))
+    await trio.sleep(DATA_PLANE_START_S)
+    return float(gateway.meter.bytes["core>ingress", "news"])
+
+
+def sweep_data_planes(count: int, seed: int, seconds: float = 15.0) -> Figures:
+    """Measure by data planes of an idle site: ticks, gossip, the rest."""
+    return measure_steady(SiteSize(ingresses=count, seconds=seconds), seed)
+
+
+def sweep_servers(count: int, seed: int, seconds: float = 15.0, timed: bool = True) -> Figures:
+    """Measure by servers: heartbeats, ticks with their digests, then the start of one more data plane."""
+    services = max(MIN_SERVICES, round(count * steps.SERVICES_PER_SERVER))
+    size = SiteSize(servers=count, services=services, rate=2.0, seconds=seconds)
+
+    async def scenario(gateway: VirtualGateway) -> Figures:
+        await start_site(gateway, size)
+        gateway.meter.reset()
+        await trio.sleep(size.seconds)
+        figures = rates(gateway.meter, size)
+        figures["start_news_bytes"] = await _measure_start(gateway, size)
+        return figures
 
-    found = play(run, seed, shape.cores)
-    return found | ({f"unit_{k}": v for k, v in units.of_servers(size).items()} if timed else {})
+    figures = run_virtual(scenario, seed, size.cores)
+    return figures | (_server_units(count) if timed else {})
 
 
-def tenants(size: int, seed: int, timed: bool = True) -> Figures:
-    """Measure by tenants: the configuration, its taking in, counts."""
-    found = units.configuration(size, 20, 6, timed)
-    return found | (units.of_counts(size) if timed else {})
+def sweep_tenants(count: int, seed: int, timed: bool = True) -> Figures:
+    """Measure by tenants: the configuration, applying it, quota counts."""
+    figures = steps.config_steps(ConfigSize(count, routes=20, services=6), timed)
+    return figures | (steps.quota_steps(count) if timed else {})
 
 
-def routes(size: int, seed: int, timed: bool = True) -> Figures:
+def sweep_routes(count: int, seed: int, timed: bool = True) -> Figures:
     """Measure by routes: the configuration, and a lookup where a host has 20 of them or all."""
-    found = units.configuration(20, size, 6, timed)
+    figures = steps.config_steps(ConfigSize(tenants=20, routes=count, services=6), timed)
     if timed:
-        found["lookup_20_a_host_us"] = units.lookup(size, max(1, size // 20))
-        found["lookup_one_host_us"] = units.lookup(size, 1)
-    return found
-
-
-def requests(size: int, seed: int, seconds: float = 15.0) -> Figures:
-    """Measure by requests a second at each ingress."""
-    return steady(Shape(ingresses=6, rate=float(size), seconds=seconds), seed)
-
-
-def changes(size: int, seed: int, seconds: float = 20.0, tenants: int = 500) -> Figures:
-    """Measure by changes of a configuration, of 500 tenants and 100 routes: all that is told for them."""
-    shape = Shape(ingresses=6, tenants=tenants, routes=tenants // 5)
-
-    async def run(site: Site) -> Figures:
-        await raise_site(site, shape)
-        site.meter.reset()
-        for number in range(size):
-            body = document(2 + number, shape.tenants, shape.routes, shape.services, seed=number)
-            await site.configure(body)
-            await trio.sleep(seconds / size)
-        meter = site.meter
-        told = meter.bytes["core>ingress", "configuration"] / shape.ingresses
-        lag = sum(one.control_client.routing_table.version != 1 + size for one in site.data_planes.values())
-        return {
-            "ingress_in_configuration_bytes": told,
-            "ingress_in_configuration_messages": (
-                meter.messages["core>ingress", "configuration"] / shape.ingresses
-            ),
-            "core_chain_bytes": float(meter.bytes["core>core", "chain"]),
-            "core_chain_messages": float(meter.messages["core>core", "chain"]),
-            "core_configuration_and_chain_ms": (
-                (meter.ns[CORE, "configuration"] + meter.ns[CORE, "chain"]) / 1e6
-            ),
-            "ingress_configuration_ms": meter.ns[INGRESS, "configuration"] / 1e6 / shape.ingresses,
-            "ingresses_behind": float(lag),
-        }
+        figures["lookup_20_a_host_us"] = steps.lookup_us(count, max(1, count // 20))
+        figures["lookup_one_host_us"] = steps.lookup_us(count, 1)
+    return figures
+
+
+def sweep_requests(rate: int, seed: int, seconds: float = 15.0) -> Figures:
+    """Measure by requests a second at each data plane."""
+    return measure_steady(SiteSize(ingresses=6, rate=float(rate), seconds=seconds), seed)
+
 
-    return play(run, seed, shape.cores)
+def sweep_changes(count: int, seed: int, seconds: float = 20.0, tenants: int = 500) -> Figures:
+    """Measure by replacements of a configuration with five tenants for each route: all messages for them."""
+    size = SiteSize(ingresses=6, tenants=tenants, routes=tenants // 5)
 
+    async def scenario(gateway: VirtualGateway) -> Figures:
+        await start_site(gateway, size)
+        gateway.meter.reset()
+        for number in range(count):
+            await gateway.apply_config(generate_config(2 + number, size.config, seed=number))
+            await trio.sleep(seconds / count)
+        return _change_figures(gateway, size, newest_version=1 + count)
+
+    return run_virtual(scenario, seed, size.cores)
+
+
+def _change_figures(gateway: VirtualGateway, size: SiteSize, newest_version: int) -> Figures:
+    meter = gateway.meter
+    versions = [
+        data_plane.control_client.routing_table.version for data_plane in gateway.data_planes.values()
+    ]
+    config_flow = "core>ingress", "configuration"
+    chain_flow = "core>core", "chain"
+    core_ns = meter.ns[CORE, "configuration"] + meter.ns[CORE, "chain"]
+    return {
+        "ingress_in_configuration_bytes": meter.bytes[config_flow] / size.ingresses,
+        "ingress_in_configuration_messages": meter.messages[config_flow] / size.ingresses,
+        "core_chain_bytes": float(meter.bytes[chain_flow]),
+        "core_chain_messages": float(meter.messages[chain_flow]),
+        "core_configuration_and_chain_ms": core_ns / NS_PER_MS,
+        "ingress_configuration_ms": meter.ns[INGRESS, "configuration"] / NS_PER_MS / size.ingresses,
+        "ingresses_behind": float(sum(version != newest_version for version in versions)),
+    }
 
-def ingress_restarts(
-    size: int, seed: int, seconds: float = 20.0, ingresses: int = 20, servers: int = 200
+
+def sweep_data_plane_restarts(
+    count: int, seed: int, seconds: float = 20.0, data_planes: int = 20, servers: int = 200
 ) -> Figures:
-    """Measure by ingresses killed and started again, one after another."""
-    shape = Shape(ingresses=ingresses, servers=servers)
-
-    async def run(site: Site) -> Figures:
-        await raise_site(site, shape)
-        site.meter.reset()
-        for number in range(size):
-            ip = address(number % shape.ingresses)
-            site.kill(ip)
-            await trio.sleep(0.3)
-            site.start_ingress(ip)
-            await trio.sleep(seconds / size - 0.3)
-        meter = site.meter
+    """Measure by data planes that are killed and started again, one after another."""
+    size = SiteSize(ingresses=data_planes, servers=servers)
+
+    async def scenario(gateway: VirtualGateway) -> Figures:
+        await start_site(gateway, size)
+        meter = gateway.meter
+        meter.reset()
+        for number in range(count):
+            ip = data_plane_ip(number % size.ingresses)
+            gateway.kill(ip)
+            await trio.sleep(RESTART_PAUSE_S)
+            gateway.start_data_plane(ip)
+            await trio.sleep(seconds / count - RESTART_PAUSE_S)
         parts = ("news", "members", "configuration", "counts")
+        core_ns = sum(ns for (role, _), ns in meter.ns.items() if role == CORE)
         return {
             **{f"core_out_{part}_bytes": float(meter.bytes["core>ingress", part]) for part in parts},
             "gossip_bytes": float(meter.bytes["ingress>ingress", "gossip"]),
-            "core_all_ms": sum(ns for (role, _), ns in meter.ns.items() if role == CORE) / 1e6,
+            "core_all_ms": core_ns / NS_PER_MS,
         }
 
-    return play(run, seed, shape.cores)
+    return run_virtual(scenario, seed, size.cores)
 
 
-def server_restarts(
-    size: int, seed: int, seconds: float = 20.0, ingresses: int = 12, servers: int = 100
+def sweep_server_restarts(
+    count: int, seed: int, seconds: float = 20.0, data_planes: int = 12, servers: int = 100
 ) -> Figures:
-    """Measure by servers that drain, end, and are followed by another life."""
-    shape = Shape(ingresses=ingresses, servers=servers)
-
-    async def run(site: Site) -> Figures:
-        await raise_site(site, shape)
-        services = [one["name"] for one in site.tree["backends"]]
-        site.meter.reset()
-        for id_ in list(site.servers)[:size]:
-            site.servers[id_]["condition"]["state"] = "draining"
-            site.beat(id_)
-            await trio.sleep(0.5 * seconds / size)
-            site.deregister(id_)
-            site.add_servers(1, services)
-            await trio.sleep(0.5 * seconds / size)
+    """Measure by servers that drain, deregister, and are each followed by a new one."""
+    size = SiteSize(ingresses=data_planes, servers=servers)
+
+    async def scenario(gateway: VirtualGateway) -> Figures:
+        await start_site(gateway, size)
+        services = [backend["name"] for backend in gateway.config["backends"]]
+        gateway.meter.reset()
+        for server_id in list(gateway.servers)[:count]:
+            gateway.servers[server_id]["condition"]["state"] = "draining"
+            gateway.send_heartbeat(server_id)
+            await trio.sleep(0.5 * seconds / count)
+            gateway.deregister(server_id)
+            gateway.add_servers(1, services)
+            await trio.sleep(0.5 * seconds / count)
         await trio.sleep(2.0)
-        meter = site.meter
-        return {
-            "ingress_in_news_bytes": meter.bytes["core>ingress", "news"] / shape.ingresses,
-            "ingress_in_news_messages": meter.messages["core>ingress", "news"] / shape.ingresses,
-            "gossip_bytes": meter.bytes["ingress>ingress", "gossip"] / shape.ingresses,
-            "gossip_messages": meter.messages["ingress>ingress", "gossip"] / shape.ingresses,
-            "core_chain_bytes": float(meter.bytes["core>core", "chain"]),
-            "core_chain_messages": float(meter.messages["core>core", "chain"]),
-            "core_news_bytes": float(meter.bytes["core>core", "news"]),
-            "core_chain_ms": meter.ns[CORE, "chain"] / 1e6,
-        }
+        return _server_restart_figures(gateway, size)
+
+    return run_virtual(scenario, seed, size.cores)
+
+
+def _server_restart_figures(gateway: VirtualGateway, size: SiteSize) -> Figures:
+    meter = gateway.meter
+    return {
+        "ingress_in_news_bytes": meter.bytes["core>ingress", "news"] / size.ingresses,
+        "ingress_in_news_messages": meter.messages["core>ingress", "news"] / size.ingresses,
+        "gossip_bytes": meter.bytes["ingress>ingress", "gossip"] / size.ingresses,
+        "gossip_messages": meter.messages["ingress>ingress", "gossip"] / size.ingresses,
+        "core_chain_bytes": float(meter.bytes["core>core", "chain"]),
+        "core_chain_messages": float(meter.messages["core>core", "chain"]),
+        "core_news_bytes": float(meter.bytes["core>core", "news"]),
+        "core_chain_ms": meter.ns[CORE, "chain"] / NS_PER_MS,
+    }
 
-    return play(run, seed, shape.cores)
 
+def sweep_departures(count: int, seed: int) -> Figures:
+    """Measure by departed servers that the replicated state remembers.
 
-def leavers(size: int, seed: int) -> Figures:
-    """Measure by servers that the chain remembers as leaving: one more of them, and a start's whole news."""
-    shape = Shape(ingresses=1, servers=20)
+    Measured are the replication of one more departure and the endpoint updates for a starting data plane.
+    """
+    size = SiteSize(ingresses=1, servers=20)
 
-    async def run(site: Site) -> Figures:
-        await raise_site(site, shape)
-        for number in range(size):
-            id_ = f"i-{number:06d}-gone00"
-            site.servers[id_] = {}
-            site.deregister(id_)
+    def depart(gateway: VirtualGateway, server_id: str) -> None:
+        gateway.servers[server_id] = {}
+        gateway.deregister(server_id)
+
+    async def scenario(gateway: VirtualGateway) -> Figures:
+        await start_site(gateway, size)
+        for number in range(count):
+            depart(gateway, f"i-{number:06d}-gone00")
         await trio.sleep(3.0)
-        site.meter.reset()
-        for number in range(5):
-            id_ = f"i-{number:06d}-gone11"
-            site.servers[id_] = {}
-            site.deregister(id_)
+        gateway.meter.reset()
+        for number in range(DEPARTURES_MEASURED):
+            depart(gateway, f"i-{number:06d}-gone11")
             await trio.sleep(1.0)
-        found = {
-            "one_more_chain_bytes": site.meter.bytes["core>core", "chain"] / 5,
-            "one_more_chain_ms": site.meter.ns[CORE, "chain"] / 5e6,
+        meter = gateway.meter
+        return {
+            "one_more_chain_bytes": meter.bytes["core>core", "chain"] / DEPARTURES_MEASURED,
+            "one_more_chain_ms": meter.ns[CORE, "chain"] / NS_PER_MS / DEPARTURES_MEASURED,
+            "start_news_bytes": await _measure_start(gateway, size),
         }
-        site.meter.reset()
-        site.start_ingress(address(shape.ingresses))
-        await trio.sleep(3.0)
-        found["start_news_bytes"] = float(site.meter.bytes["core>ingress", "news"])
-        return found
 
-    return play(run, seed, shape.cores)
+    return run_virtual(scenario, seed, size.cores)
 
 
-TARGET = Shape(
+# The target has 930 data planes, of which this slice has four.
+TARGET_SIZE = SiteSize(
     ingresses=4,
     servers=13_000,
     tenants=23_000,
@@ -272,52 +225,102 @@
     rate=62.4,
     warm_s=6.0,
     seconds=10.0,
-)  # of 930 ingresses
+)
+LINK_COPIES = (1, 2, 3)
 
 
-def target(seed: int) -> dict[str, Any]:
-    """Measure at the target's own size what one machine bears of it: units, and four of the ingresses."""
-    shape = TARGET
-    text = units.configuration(shape.tenants, shape.routes, shape.services)
-    size = int(text["text_bytes"])
+def measure_target(seed: int) -> dict[str, Any]:
+    """Measure at the target's own size what one machine bears of it: steps, and four of the data planes."""
+    size = TARGET_SIZE
+    config = steps.config_steps(size.config)
+    config_bytes = int(config["text_bytes"])
     return {
-        "configuration": text,
-        "lookup_20_a_host_us": units.lookup(shape.routes, shape.routes // 20),
-        "lookup_one_host_us": units.lookup(shape.routes, 1),
-        "of_servers": units.of_servers(shape.servers),
-        "of_counts": units.of_counts(shape.tenants),
-        "wire": units.wire(),
+        "configuration": config,
+        "lookup_20_a_host_us": steps.lookup_us(size.routes, size.routes // 20),
+        "lookup_one_host_us": steps.lookup_us(size.routes, 1),
+        "of_servers": steps.endpoint_steps(size.servers),
+        "of_counts": steps.quota_steps(size.tenants),
+        "wire": steps.wire(),
+        # The keys are the programs' names when the stored results were measured.
         "loaded_mb": {
-            name: units.loaded_mb(f"wickspring.{name}") for name in ("pilot.pilot", "lighthouse.light")
+            "pilot.pilot": steps.loaded_mb("wickspring.dataplane.process"),
+            "lighthouse.light": steps.loaded_mb("wickspring.controlplane.process"),
+        },
+        "link_closed_by_orders_in_one_go": {
+            str(copies): steps.closes_link(config_bytes, copies) for copies in LINK_COPIES
         },
-        "link_closed_by_orders_in_one_go": {str(n): units.breaks(size, n) for n in (1, 2, 3)},
-        "profiles": units.profiles(shape.servers, shape.tenants, shape.routes, shape.services),
-        "slice": {"shape": asdict(shape), "figures": steady(shape, seed)},
+        "profiles": steps.profiles(size.servers, size.config),
+        "slice": {"shape": asdict(size), "figures": measure_steady(size, seed)},
     }
 
 
 @dataclass(slots=True, frozen=True)
 class Sweep:
-    """One sweep, with its sizes in the full form and in the short one."""
+    """One sweep, with its sizes in the full form and in the short one; functions take (size, seed)."""
 
     run: Callable[[int, int], Figures]
     sizes: tuple[int, ...]
-    short: Callable[[int, int], Figures]
+    run_short: Callable[[int, int], Figures]
     short_sizes: tuple[int, ...]
 
 
 SWEEPS: dict[str, Sweep] = {
-    "ingresses": Sweep(ingresses, (30, 60, 120, 240, 480), lambda n, s: ingresses(n, s, 5.0), (4, 16)),
-    "servers": Sweep(servers, (250, 500, 1000, 2000, 4000), lambda n, s: servers(n, s, 3.0, False), (20, 80)),
-    "tenants": Sweep(tenants, (1000, 3000, 8000, 23_000), lambda n, s: tenants(n, s, False), (100, 800)),
-    "routes": Sweep(routes, (250, 1000, 2500, 5000), lambda n, s: routes(n, s, False), (50, 400)),
-    "requests": Sweep(requests, (5, 10, 20, 40, 62), lambda n, s: requests(n, s, 3.0), (2, 8)),
-    "changes": Sweep(changes, (1, 2, 4, 8), lambda n, s: changes(n, s, 2.0, 50), (1, 4)),
+    "ingresses": Sweep(
+        run=sweep_data_planes,
+        sizes=(30, 60, 120, 240, 480),
+        run_short=lambda size, seed: sweep_data_planes(size, seed, seconds=5.0),
+        short_sizes=(4, 16),
+    ),
+    "servers": Sweep(
+        run=sweep_servers,
+        sizes=(250, 500, 1000, 2000, 4000),
+        run_short=lambda size, seed: sweep_servers(size, seed, seconds=3.0, timed=False),
+        short_sizes=(20, 80),
+    ),
+    "tenants": Sweep(
+        run=sweep_tenants,
+        sizes=(1000, 3000, 8000, 23_000),
+        run_short=lambda size, seed: sweep_tenants(size, seed, timed=False),
+        short_sizes=(100, 800),
+    ),
+    "routes": Sweep(
+        run=sweep_routes,
+        sizes=(250, 1000, 2500, 5000),
+        run_short=lambda size, seed: sweep_routes(size, seed, timed=False),
+        short_sizes=(50, 400),
+    ),
+    "requests": Sweep(
+        run=sweep_requests,
+        sizes=(5, 10, 20, 40, 62),
+        run_short=lambda size, seed: sweep_requests(size, seed, seconds=3.0),
+        short_sizes=(2, 8),
+    ),
+    "changes": Sweep(
+        run=sweep_changes,
+        sizes=(1, 2, 4, 8),
+        run_short=lambda size, seed: sweep_changes(size, seed, seconds=2.0, tenants=50),
+        short_sizes=(1, 4),
+    ),
     "ingress-restarts": Sweep(
-        ingress_restarts, (2, 4, 8, 16), lambda n, s: ingress_restarts(n, s, 3.0, 5, 40), (1, 4)
+        run=sweep_data_plane_restarts,
+        sizes=(2, 4, 8, 16),
+        run_short=lambda size, seed: sweep_data_plane_restarts(
+            size, seed, seconds=3.0, data_planes=5, servers=40
+        ),
+        short_sizes=(1, 4),
     ),
     "server-restarts": Sweep(
-        server_restarts, (5, 10, 20, 40), lambda n, s: server_restarts(n, s, 3.0, 5, 40), (2, 8)
+        run=sweep_server_restarts,
+        sizes=(5, 10, 20, 40),
+        run_short=lambda size, seed: sweep_server_restarts(
+            size, seed, seconds=3.0, data_planes=5, servers=40
+        ),
+        short_sizes=(2, 8),
+    ),
+    "leavers": Sweep(
+        run=sweep_departures,
+        sizes=(250, 500, 1000, 2000, 4000),
+        run_short=sweep_departures,
+        short_sizes=(10, 60),
     ),
-    "leavers": Sweep(leavers, (250, 500, 1000, 2000, 4000), leavers, (10, 60)),
 }
--- /dev/null
+++ b/wickspring/lab/simulation/stub_endpoints.py
@@ -0,0 +1,50 @@
+"""Stand-ins for clients and servers of a simulated gateway."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from wickspring.dataplane.upstream import BufferedResponse
+from wickspring.interface import Status
+from wickspring.net.upstream.carrier import Job
+from wickspring.net.upstream.manager import Upstream
+
+SERVICE_TIME_MS = 50.0
+SEAL = [("x-server-seal", "1.1.1.1.1.1")]  # present in any success of a server
+
+
+class StubUpstream(Upstream):
+    """Upstream connections without a network: each attempt succeeds after `SERVICE_TIME_MS`."""
+
+    def start(self, job: Job) -> None:
+        """Answer an attempt later."""
+        job_done = job.done
+        response = BufferedResponse(Status.OK, code=200, pairs=SEAL)
+        self.timers.at(self.clock.now() + SERVICE_TIME_MS, lambda: job_done(response))
+
+
+class StubCaller:
+    """The receiving side of a request from a client, a server or an operator; only the status is used."""
+
+    def __init__(self, on_status: Callable[[int], None] = lambda _: None) -> None:
+        self._on_status = on_status
+
+    def accepted(self, number: int, budget: float) -> None:
+        """Ignore that the request was accepted."""
+
+    def begin(self, length: int | None) -> None:
+        """Ignore the start of a streamed response."""
+
+    def write(self, data: bytes) -> None:
+        """Drop a piece of a streamed response."""
+
+    async def room(self) -> bool:
+        """Return at once: there is always room for more."""
+        return True
+
+    def end(self, whole: bool) -> None:
+        """Ignore the end of a streamed response."""
+
+    def answer(self, status: int, retry_after: str, body: bytes) -> None:
+        """Report the status of a complete response."""
+        self._on_status(status)
--- /dev/null
+++ b/wickspring/lab/simulation/virtual_gateway.py
@@ -0,0 +1,231 @@
+"""One gateway of control-plane nodes and data planes, simulated in one process and in virtual time.
+
+The programs' own classes run: `ControlPlane` and `DataPlane` with their connections, replication, counters
+and gossip. Replaced are TCP and UDP (`memory_network`), servers and clients (`stub_endpoints`). Not
+simulated: the kernel's work, HTTP with clients and servers, connections to servers, TLS;
+`capacity_steps.wire` measures what the kernel costs a message.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Awaitable, Callable
+from random import Random
+from typing import Any
+
+import trio
+
+from wickspring.common import settings as settings_module
+from wickspring.controlplane import process as controlplane_process
+from wickspring.dataplane import process as dataplane_process
+from wickspring.lab.simulation.memory_network import MemoryNetwork
+from wickspring.lab.simulation.meter import CORE, INGRESS, PART, REST
+from wickspring.lab.simulation.stub_endpoints import StubCaller
+
+PORT = 7340
+PORT_COUNT = 16
+SEED_COUNT = 3
+HEARTBEAT_BATCH = 10  # servers whose heartbeats are sent at one moment
+CONFIG_ATTEMPTS = 20
+POLL_S = 0.25
+READY_TIMEOUT_S = 120.0
+
+
+class VirtualGateway:
+    """The processes of one gateway, its registered servers, its operator and its clients."""
+
+    def __init__(
+        self, network: MemoryNetwork, nursery: trio.Nursery, folder: str, seed: int, node_count: int
+    ) -> None:
+        self.network = network
+        self.meter = network.meter
+        self.nursery = nursery
+        self.folder = folder
+        self.random = Random(seed)
+        self.control_plane_ips = [f"10.1.0.{number + 1}" for number in range(node_count)]
+        self.control_planes: dict[str, controlplane_process.ControlPlane] = {}
+        self.data_planes: dict[str, dataplane_process.DataPlane] = {}
+        self.config: dict[str, Any] = {}  # the configuration in force
+        self.servers: dict[str, dict[str, Any]] = {}  # heartbeat bodies by server id
+        self._scopes: dict[str, trio.CancelScope] = {}
+        self._servers_added = 0
+
+    # Processes.
+
+    def _settings(self, ip: str) -> settings_module.NodeSettings:
+        return settings_module.NodeSettings(
+            f"n-{ip}",
+            ip,
+            "a",
+            f"{PORT},{PORT + PORT_COUNT - 1}",
+            [f"{seed_ip}:8783" for seed_ip in self.control_plane_ips[:SEED_COUNT]],
+            bind=settings_module.Bind(control_addr=f"{ip}:8783"),
+            is_first_start=True,
+            data_dir=f"{self.folder}/{ip}",
+            region="r",
+        )
+
+    def _start_process(self, ip: str, role: str, start: Callable[[trio.Nursery], None]) -> None:
+        """Run a process in a nursery of its own, until `kill`."""
+        scope = self._scopes[ip] = trio.CancelScope()
+
+        async def run() -> None:
+            with scope:
+                async with trio.open_nursery() as nursery:
+                    start(nursery)
+                    await trio.sleep_forever()
+
+        with self.meter.charge(role, REST):
+            self.nursery.start_soon(run)
+
+    @staticmethod
+    def _start_task(nursery: trio.Nursery, part: str, run: Callable[[], Awaitable[None]]) -> None:
+        """Start a task whose time is charged to a part."""
+        token = PART.set(part)
+        nursery.start_soon(run)
+        PART.reset(token)
+
+    def start_control_plane(self, ip: str) -> None:
+        """Start a control-plane node."""
+
+        def start(nursery: trio.Nursery) -> None:
+            control_plane = controlplane_process.ControlPlane(
+                self._settings(ip), nursery, self.random.getrandbits(32)
+            )
+            self.control_planes[ip] = control_plane
+            self.network.listen(ip, CORE, nursery, control_plane.connection)
+            self._start_task(nursery, REST, control_plane.timers.run)
+            self._start_task(nursery, "chain", control_plane.core.run)
+            self._start_task(nursery, "core ticks", control_plane.core.tick)
+            self._start_task(nursery, "upkeep", control_plane.upkeep)
+
+        self._start_process(ip, CORE, start)
+
+    def start_data_plane(self, ip: str) -> None:
+        """Start a data plane."""
+
+        def start(nursery: trio.Nursery) -> None:
+            data_plane = dataplane_process.DataPlane(self._settings(ip), nursery, self.random.getrandbits(32))
+            self.data_planes[ip] = data_plane
+            self.network.listen(ip, INGRESS, nursery, data_plane.gossip.serve)
+            self._start_task(nursery, "requests", data_plane.timers.run)
+            self._start_task(nursery, "ticks", data_plane.control_client.tick)
+            self._start_task(nursery, "gossip", data_plane.gossip.run)
+            data_plane.upkeep()
+
+        self._start_process(ip, INGRESS, start)
+
+    def kill(self, ip: str) -> None:
+        """End a process at once."""
+        self.network.disconnect(ip)
+        self.data_planes.pop(ip, None)
+        self._scopes.pop(ip).cancel()
+
+    async def wait_until_ready(self, data_plane_count: int) -> None:
+        """Wait until so many data planes have the configuration and servers.
+
+        Raises trio.TooSlowError after `READY_TIMEOUT_S`.
+        """
+        with trio.fail_after(READY_TIMEOUT_S):
+            while sum(data_plane.is_ready for data_plane in self.data_planes.values()) < data_plane_count:
+                await trio.sleep(POLL_S)
+
+    # Servers.
+
+    def add_servers(self, count: int, services: list[str]) -> None:
+        """Add servers, dealt to the services in turn; they register with their first heartbeat."""
+        for _ in range(count):
+            self._servers_added += 1
+            number = self._servers_added
+            server_id = f"i-{number:06d}-{self.random.getrandbits(24):06x}"
+            self.servers[server_id] = {
+                "address": f"10.{2 + number // 60000}.{number // 250 % 240}.{number % 250 + 1}:8080",
+                "build_info": {
+                    "service": services[number % len(services)],
+                    "generation": "v1",
+                    "zone": "a",
+                    "capacity": 8,
+                },
+                "condition": {"state": "ready", "call_seq": 0, "cold_left_s": 0},
+            }
+
+    def send_heartbeat(self, server_id: str) -> None:
+        """Send a server's heartbeat to a control-plane node, the same one each time."""
+        body = self.servers[server_id]
+        body["condition"]["call_seq"] += 1
+        self._call_for_server(server_id, "heartbeat", json.dumps(body).encode())
+
+    def deregister(self, server_id: str) -> None:
+        """Send a server's deregistration."""
+        self.servers.pop(server_id)
+        self._call_for_server(server_id, "deregister", b"")
+
+    def _call_for_server(self, server_id: str, operation: str, body: bytes) -> None:
+        number = int(server_id[2:8])  # of "i-NNNNNN-..."
+        control_plane = self.control_planes[self.control_plane_ips[number % len(self.control_plane_ips)]]
+        with self.meter.charge(CORE, "beats"):
+            control_plane.ask(StubCaller(), "POST", f"/servers/{server_id}/{operation}", {}, body)
+
+    async def send_heartbeats(self, period_s: float) -> None:
+        """Send the heartbeats of all servers, spread evenly over each period."""
+        while True:
+            server_ids = list(self.servers)
+            for index, server_id in enumerate(server_ids, start=1):
+                if server_id in self.servers:
+                    self.send_heartbeat(server_id)
+                if index % HEARTBEAT_BATCH == 0:
+                    await trio.sleep(HEARTBEAT_BATCH * period_s / len(server_ids))
+            remainder = len(server_ids) % HEARTBEAT_BATCH
+            await trio.sleep(remainder * period_s / len(server_ids) if server_ids else period_s)
+
+    # Operators and clients.
+
+    async def replace_config(self, body: bytes) -> int:
+        """Send a configuration to the first control-plane node; return the status of the answer."""
+        finished = trio.Event()
+        status = 0
+
+        def on_status(code: int) -> None:
+            nonlocal status
+            status = code
+            finished.set()
+
+        control_plane = self.control_planes[self.control_plane_ips[0]]
+        with self.meter.charge(CORE, "configuration"):
+            control_plane.ask(StubCaller(on_status), "POST", "/config/replace", {}, body)
+        await finished.wait()
+        return status
+
+    async def apply_config(self, body: bytes) -> None:
+        """Send a configuration until it is acknowledged; later requests are drawn from it.
+
+        Raises TimeoutError where it is not acknowledged after `CONFIG_ATTEMPTS`.
+        """
+        for _ in range(CONFIG_ATTEMPTS):
+            if await self.replace_config(body) == 200:
+                self.config = json.loads(body)
+                return
+            await trio.sleep(POLL_S)
+        raise TimeoutError("the configuration was not acknowledged")
+
+    async def send_requests(self, ip: str, rate: float) -> None:
+        """Send requests for random tenants and routes to a data plane, so many a second."""
+        targets = [
+            (socket["host"], route["pattern"]["path_prefix"])
+            for socket in self.config["sockets"]
+            for route in socket["policy"]
+        ]
+        keys = [tenant["api_keys"][0] for tenant in self.config["tenants"]]
+        number = 0
+        while True:
+            await trio.sleep(self.random.expovariate(rate))
+            number += 1
+            host, prefix = self.random.choice(targets)
+            headers = {
+                "host": host,
+                "x-key": self.random.choice(keys),
+                "x-attempt-id": f"{ip}-{number}",
+                "x-deadline-ms": "2000",
+            }
+            with self.meter.charge(INGRESS, "requests"):
+                self.data_planes[ip].ask(StubCaller(), "GET", f"{prefix}1", headers, b"")
--- /dev/null
+++ b/wickspring/lab/simulation/virtual_run.py
@@ -0,0 +1,124 @@
+"""Runs a scenario on a `VirtualGateway` in virtual time, with the programs' modules patched for it."""
+
+from __future__ import annotations
+
+import gc
+import tempfile
+from collections.abc import Awaitable, Callable, Iterator
+from contextlib import ExitStack, contextmanager
+from functools import partial
+from random import Random
+from typing import Any
+from unittest.mock import patch
+
+import msgpack
+import trio
+import trio.testing
+from trio._core import _run as trio_scheduler
+
+from wickspring.common import connection as connection_module
+from wickspring.common.connection import PeerConnection
+from wickspring.common.lifecycle import GC_AFTER
+from wickspring.dataplane import gossip as gossip_module
+from wickspring.dataplane import process as dataplane_process
+from wickspring.lab.simulation.clock import VirtualClock
+from wickspring.lab.simulation.memory_network import DatagramEndpoint, MemoryNetwork
+from wickspring.lab.simulation.meter import MessageHandler, Meter
+from wickspring.lab.simulation.stub_endpoints import StubUpstream
+from wickspring.lab.simulation.virtual_gateway import VirtualGateway
+from wickspring.net import host
+
+START_S = 2.0  # for the control plane to elect its first view
+OLDER_GENERATIONS_GC = (20, 20)
+
+Scenario = Callable[[VirtualGateway], Awaitable[dict[str, Any]]]
+
+
+async def _run_inline(call: Callable[..., Any], *args: Any) -> Any:
+    """Call a function in place of a thread: virtual time does not wait for threads."""
+    await trio.lowlevel.checkpoint()
+    return call(*args)
+
+
+@contextmanager
+def _patched_programs(network: MemoryNetwork) -> Iterator[None]:
+    """Put the network in memory, the meter and virtual time into the programs' modules."""
+    meter = network.meter
+    original_read = PeerConnection.read
+
+    def send(self: PeerConnection, *message: Any) -> None:
+        data = msgpack.packb(message)
+        link: Any = self.link
+        if not link.broken:
+            meter.count_message(f"{link.local}>{link.remote}", message[0], len(data))
+        link.send(data)
+
+    async def read(self: PeerConnection, take: MessageHandler) -> None:
+        link: Any = self.link
+        await original_read(self, meter.metered_handler(link.local, take))
+
+    replacements = (
+        (host, "Clock", VirtualClock),
+        (connection_module, "connect", network.connect),
+        (connection_module, "Link", lambda link, _: link),
+        (gossip_module, "connect", network.connect),
+        (gossip_module, "Link", lambda link, _: link),
+        (dataplane_process, "Udp", partial(DatagramEndpoint, network)),
+        (dataplane_process, "Upstream", StubUpstream),
+        (trio.to_thread, "run_sync", _run_inline),
+        (PeerConnection, "send", send),
+        (PeerConnection, "read", read),
+    )
+    with ExitStack() as stack:
+        for target, name, value in replacements:
+            stack.enter_context(patch.object(target, name, value))
+        yield
+
+
+@contextmanager
+def _deterministic_scheduling(seed: int) -> Iterator[None]:
+    """Let trio order tasks by the seed, so that a seed gives the same run again."""
+    with (
+        patch.object(trio_scheduler, "_ALLOW_DETERMINISTIC_SCHEDULING", True),
+        patch.object(trio_scheduler, "_r", Random(seed)),
+    ):
+        yield
+
+
+@contextmanager
+def _rare_garbage_collection() -> Iterator[None]:
+    """Collect garbage as rarely as the programs do; here all processes share one heap."""
+    previous = gc.get_threshold()
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(GC_AFTER, *OLDER_GENERATIONS_GC)
+    try:
+        yield
+    finally:
+        gc.set_threshold(*previous)
+        gc.unfreeze()
+
+
+def run_virtual(scenario: Scenario, seed: int = 1, node_count: int = 5) -> dict[str, Any]:
+    """Start so many control-plane nodes, run a scenario in virtual time and return its result."""
+    meter = Meter()
+    network = MemoryNetwork(meter)
+
+    async def main(folder: str) -> dict[str, Any]:
+        async with trio.open_nursery() as nursery:
+            gateway = VirtualGateway(network, nursery, folder, seed, node_count)
+            for ip in gateway.control_plane_ips:
+                gateway.start_control_plane(ip)
+            await trio.sleep(START_S)
+            result = await scenario(gateway)
+            nursery.cancel_scope.cancel()
+        return result
+
+    clock = trio.testing.MockClock(autojump_threshold=0.0)
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        _patched_programs(network),
+        _rare_garbage_collection(),
+        _deterministic_scheduling(seed),
+    ):
+        return trio.run(main, folder, clock=clock, instruments=[meter])
