--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -19,7 +19,7 @@
 from wickspring.dataplane.process import DataPlane
 from wickspring.dataplane.request import Request
 from wickspring.dataplane.upstream import UpstreamConnection
-from wickspring.lab.emulation.local_gateway import HOST, KEY, PREFIX
+from wickspring.lab.emulation.local_gateway import API_KEY, HOST, PURE_PREFIX
 from wickspring.lab.simulation.request_path import (
     LONG,
     ONCE,
@@ -104,17 +104,17 @@
         id_ = f"a{number}"
         self.books.asked[id_] = ONCE, 0
         ends = [self.knock() for _ in range(3)]
-        for end, path in zip(ends, (ONCE, PREFIX, ONCE), strict=True):
+        for end, path in zip(ends, (ONCE, PURE_PREFIX, ONCE), strict=True):
             end.say(head(path, id_))
             await trio.sleep(0.01 if path == ONCE else 0.1)
-            if path == PREFIX:
+            if path == PURE_PREFIX:
                 await self.read(end, id_, b"")
         await self.read(ends[2], id_, b"")
         self.books.seen["still at work"] += not ends[0].got
 
 
 def head(path: str, *ids: str) -> bytes:
-    lines = [f"POST {path} HTTP/1.1", f"Host: {HOST}", f"X-Key: {KEY}", "Content-Length: 0"]
+    lines = [f"POST {path} HTTP/1.1", f"Host: {HOST}", f"X-Key: {API_KEY}", "Content-Length: 0"]
     return "\r\n".join([*lines, *(f"X-Attempt-Id: {id_}" for id_ in ids), "", ""]).encode()
 
 
@@ -146,8 +146,8 @@
     async def client(self, number: int) -> None:
         for step in range(self.asks):
             id_, end = f"a{number}.{step}", self.knock()
-            self.books.asked[id_] = PREFIX, 0
-            end.say(head(PREFIX, id_).replace(b"HTTP/1.1", b"HTTP/1.0"))
+            self.books.asked[id_] = PURE_PREFIX, 0
+            end.say(head(PURE_PREFIX, id_).replace(b"HTTP/1.1", b"HTTP/1.0"))
             await self.read(end, id_, b"")
 
 
--- a/wickspring/ctl/__main__.py
+++ b/wickspring/ctl/__main__.py
@@ -146,17 +146,17 @@
 
     def up(self, seconds: float = 0.0) -> None:
         """Run a toy gateway on loopback until interrupted: two pilots, three lighthouses, six servers."""
-        from wickspring.lab.emulation.local_gateway import up
+        from wickspring.lab.emulation.local_gateway import run_toy
 
-        up(seconds)
+        run_toy(seconds)
 
     def drill(self, name: str = "", seed: int = 1, seconds: float = 9.0, file: str = "") -> str:
         """Play a drill on loopback and judge it by the rules; without a name, list them."""
-        from wickspring.lab.experiments.drill import DRILLS, play
+        from wickspring.lab.experiments.drill import DRILLS, run_drill
 
         if name not in DRILLS:
             return "\n".join(DRILLS) if not name else f"no drill {name}; there are {', '.join(DRILLS)}"
-        result = play(name, seed, seconds)
+        result = run_drill(name, seed, seconds)
         text = json.dumps(result, indent=1)
         if file:
             Path(file).write_text(text + "\n")
--- /dev/null
+++ b/wickspring/lab/emulation/stand_in_server.py
@@ -0,0 +1,223 @@
+"""A stand-in server of a local gateway, which speaks the published protocol.
+
+It seals its answers, counts executions by attempt id, answers 503 when full and 421 to a request for another
+instance, sends heartbeats to the control plane and drains before it stops. Where `fault_share` is set it
+spoils that share of its answers, each by a random `ResponseFault`.
+"""
+
+from __future__ import annotations
+
+import json
+from collections import Counter
+from dataclasses import dataclass, field
+from enum import Enum
+from functools import partial
+from random import Random
+
+import h11
+import trio
+
+from wickspring.lab.emulation.http_call import HttpRequest, call
+
+SERVER_PORT = 8080
+CONTROL_PORT = 8783
+HEARTBEAT_S = 0.5
+HEARTBEAT_RETRY_S = 0.05
+DRAIN_S = 2.5  # after an acknowledged drain in which requests may still arrive
+READ_SIZE = 65536
+CUT_BODY_BYTES = 4
+
+Headers = list[tuple[str, str]]
+
+
+class ResponseFault(Enum):
+    """The ways to spoil a response."""
+
+    OTHER_ID = "other_id"  # an attempt id that was not asked for
+    NO_SEAL = "no_seal"
+    ENCODED = "encoded"  # an unknown content encoding
+    CUT = "cut"  # the connection ends in the body
+    SURPLUS = "surplus"  # the response is sent twice
+    JUNK = "junk"  # no HTTP at all
+    FAILURE = "failure"  # status 500
+
+
+@dataclass(slots=True, frozen=True)
+class ServerResponse:
+    """A response to send."""
+
+    status: int
+    headers: Headers
+    body: bytes = b""
+
+    def encode_head(self, http: h11.Connection) -> bytes:
+        """Return the status line and the headers."""
+        headers = [*self.headers, ("Content-Length", str(len(self.body)))]
+        return http.send(h11.Response(status_code=self.status, headers=headers)) or b""
+
+    def encode(self, http: h11.Connection) -> bytes:
+        """Return the complete response."""
+        head = self.encode_head(http)
+        body = http.send(h11.Data(data=self.body)) or b""
+        return head + body + (http.send(h11.EndOfMessage()) or b"")
+
+
+@dataclass
+class StandInServer:
+    """One stand-in server; tests set `state`, `capacity`, `service_time_s` and `fault_share` as it runs."""
+
+    ip: str
+    service: str
+    control_planes: list[str]
+    id: str
+    service_time_s: float = 0.01
+    capacity: int = 4
+    state: str = "ready"
+    call_seq: int = 0
+    in_flight: int = 0
+    executions: Counter[str] = field(default_factory=Counter)  # by attempt id
+    executions_by_tenant: Counter[str] = field(default_factory=Counter)
+    drain_acknowledged: bool = False
+    drain_acknowledged_at: float = float("inf")
+    late_requests: int = 0  # later than DRAIN_S after the acknowledgement
+    fault_share: float = 0.0
+    random: Random = field(default_factory=lambda: Random(1))
+    faults_sent: Counter[ResponseFault] = field(default_factory=Counter)
+
+    async def run(self) -> None:
+        """Serve and send heartbeats until cancelled."""
+        async with trio.open_nursery() as nursery:
+            listeners = await trio.open_tcp_listeners(SERVER_PORT, host=self.ip)
+            nursery.start_soon(partial(trio.serve_listeners, self._serve, listeners))
+            nursery.start_soon(self._send_heartbeats)
+
+    # Heartbeats.
+
+    async def _send_heartbeats(self) -> None:
+        """Send heartbeats to one control-plane node, and to the next where it does not answer."""
+        node = 0
+        while True:
+            self.call_seq += 1
+            state = self.state
+            request = HttpRequest("POST", f"/servers/{self.id}/heartbeat", self._heartbeat())
+            control_plane = self.control_planes[node % len(self.control_planes)]
+            status, _ = await call(control_plane, CONTROL_PORT, request)
+            if status == 200:
+                if state == "draining":
+                    self._on_drain_acknowledged()
+                await trio.sleep(HEARTBEAT_S)
+            else:
+                node += 1
+                await trio.sleep(HEARTBEAT_RETRY_S)
+
+    def _heartbeat(self) -> str:
+        body = {
+            "address": f"{self.ip}:{SERVER_PORT}",
+            "build_info": {
+                "service": self.service,
+                "generation": "v1",
+                "zone": "a",
+                "capacity": self.capacity,
+            },
+            "condition": {"state": self.state, "call_seq": self.call_seq, "cold_left_s": 0},
+        }
+        return json.dumps(body)
+
+    def _on_drain_acknowledged(self) -> None:
+        if not self.drain_acknowledged:
+            self.drain_acknowledged = True
+            self.drain_acknowledged_at = trio.current_time()
+
+    # Requests.
+
+    async def _serve(self, stream: trio.SocketStream) -> None:
+        http = h11.Connection(h11.SERVER)
+        try:
+            while await self._serve_request(http, stream):
+                http.start_next_cycle()
+        except (h11.ProtocolError, trio.BrokenResourceError, trio.ClosedResourceError):
+            return
+        finally:
+            await stream.aclose()
+
+    async def _serve_request(self, http: h11.Connection, stream: trio.SocketStream) -> bool:
+        """Serve one request; False where the connection is to end."""
+        headers = await self._read_request(http, stream)
+        if headers is None:
+            return False
+        self.late_requests += trio.current_time() > self.drain_acknowledged_at + DRAIN_S
+        attempt_id = headers.get("x-attempt-id", "")
+        attempt_header = ("X-Attempt-Id", attempt_id)
+        if headers.get("x-target-instance", self.id) != self.id:
+            response = ServerResponse(421, [attempt_header, ("X-Instance-Id", self.id)])
+        elif self.in_flight >= self.capacity:
+            response = ServerResponse(503, [attempt_header, ("X-Not-Executed", "1")])
+        else:
+            await self._execute(attempt_id, headers.get("x-tenant", ""))
+            seal = ("X-Server-Seal", f"seal.{attempt_id}")
+            response = ServerResponse(200, [attempt_header, seal], f"{attempt_id} by {self.id}\n".encode())
+            if self.random.random() < self.fault_share:
+                fault = self.random.choice(tuple(ResponseFault))
+                return await self._send_faulty(http, stream, fault, response)
+        await stream.send_all(response.encode(http))
+        return http.our_state is h11.DONE
+
+    @staticmethod
+    async def _read_request(http: h11.Connection, stream: trio.SocketStream) -> dict[str, str] | None:
+        """Read a request to its end; return its headers, or None at the end of the connection."""
+        headers: dict[str, str] = {}
+        while True:
+            event = http.next_event()
+            if event is h11.NEED_DATA:
+                http.receive_data(await stream.receive_some(READ_SIZE))
+            elif isinstance(event, h11.Request):
+                headers = {name.decode(): value.decode() for name, value in event.headers}
+            elif isinstance(event, h11.EndOfMessage):
+                return headers
+            elif isinstance(event, h11.ConnectionClosed):
+                return None
+
+    async def _execute(self, attempt_id: str, tenant: str) -> None:
+        self.in_flight += 1
+        self.executions[attempt_id] += 1
+        self.executions_by_tenant[tenant] += 1
+        await trio.sleep(self.service_time_s)
+        self.in_flight -= 1
+
+    async def _send_faulty(
+        self,
+        http: h11.Connection,
+        stream: trio.SocketStream,
+        fault: ResponseFault,
+        response: ServerResponse,
+    ) -> bool:
+        """Send a spoilt response; False where the connection is to end."""
+        self.faults_sent[fault] += 1
+        if fault is ResponseFault.JUNK:
+            await stream.send_all(b"no answer at all\r\n\r\n")
+            return False
+        faulty = _spoil(response, fault)
+        if fault is ResponseFault.CUT:
+            await stream.send_all(faulty.encode_head(http) + faulty.body[:CUT_BODY_BYTES])
+            return False
+        data = faulty.encode(http)
+        await stream.send_all(data)
+        if fault is ResponseFault.SURPLUS:  # late, in place of the next response
+            await trio.sleep(self.service_time_s / 2)
+            await stream.send_all(data)
+        return http.our_state is h11.DONE
+
+
+def _spoil(response: ServerResponse, fault: ResponseFault) -> ServerResponse:
+    """Return a response with the fault in its status or headers, if the fault is of that kind."""
+    attempt_header, *other_headers = response.headers
+    if fault is ResponseFault.OTHER_ID:
+        return ServerResponse(response.status, [("X-Attempt-Id", "another"), *other_headers], response.body)
+    if fault is ResponseFault.NO_SEAL:
+        return ServerResponse(response.status, [attempt_header], response.body)
+    if fault is ResponseFault.ENCODED:
+        headers = [*response.headers, ("Content-Encoding", "odd")]
+        return ServerResponse(response.status, headers, response.body)
+    if fault is ResponseFault.FAILURE:
+        return ServerResponse(500, response.headers, response.body)
+    return response
--- a/wickspring/lab/experiments/drill.py
+++ b/wickspring/lab/experiments/drill.py
@@ -1,9 +1,9 @@
-"""Drills: a whole gateway of processes on loopback, under an open load, with faults, held to the rules.
+"""Drills: a complete gateway of processes on loopback, under open load, with faults, checked by rules.
 
-`python -m wickspring.ctl drill NAME` plays one and writes what came of it as JSON. Rules are judged by what
-clients and stand-in servers have seen alone: nothing that may run once runs twice, 429 and 503 are kept
-promises, a success is the server's own answer to that request, no sliding span passes a tenant's ceiling, and
-nothing goes to a server later than the bound after its draining was acknowledged.
+`python -m wickspring.ctl drill NAME` runs one and writes its result as JSON. Rules are checked only by what
+clients and stand-in servers have observed: an effectful request never runs twice, a request answered by 429
+or 503 never ran, a success is the server's own answer to that request, no sliding span exceeds a tenant's
+ceiling, and no server receives a request later than the bound after its draining was acknowledged.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 import shutil
 import tempfile
 from bisect import bisect_left
+from collections import Counter
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -19,117 +20,171 @@
 import trio
 
 from wickspring.common.quota_rule import quota_ceiling
-from wickspring.lab.emulation.local_gateway import DRAIN_S, LocalGateway, StandInServer, document
+from wickspring.lab.emulation.local_gateway import LocalGateway, gateway_config
+from wickspring.lab.emulation.stand_in_server import DRAIN_S, StandInServer
 
-SPAN_S, EXCESS, SLACK = 5.0, 0.1, 20.0  # of the rule for quotas, as settings leave them
-TARGET_S = 0.5
+# The quota rule's parameters, as the default settings leave them.
+QUOTA_SPAN_S = 5.0
+QUOTA_EXCESS = 0.1
+QUOTA_SLACK = 20.0
+
+TARGET_S = 0.5  # of the routes' latency
+EFFECTFUL_SHARE = 0.3  # of all requests
+FAULTY_RESPONSE_SHARE = 0.2
+CONFIG_CHANGES = 10
+FAULT_DELAY_S = 1.0  # after the load starts
+
+# Keys of the result that operators and their scripts read: each counts how often a rule was broken.
+RULES = ("ran_twice", "promises_broken", "lies_taken", "over_quota", "drained_late")
 
 
 @dataclass(slots=True)
-class Ask:
-    """One request, as its client saw it."""
+class ClientRequest:
+    """One request, as its client observed it; times in seconds of the run."""
 
     id: str
-    once: bool
-    sent: float
-    took: float = 0.0
+    effectful: bool
+    sent_at: float
+    latency_s: float = 0.0
     status: int = 0
     body: bytes = b""
 
+    @property
+    def refused(self) -> bool:
+        """Tell whether the gateway promised that the request has not run."""
+        return self.status in (429, 503)
+
+    @property
+    def served(self) -> bool:
+        """Tell whether it was answered by 200."""
+        return self.status == 200
+
+    @property
+    def has_own_answer(self) -> bool:
+        """Tell whether the body is a stand-in server's answer to this very request."""
+        return self.body.startswith(f"{self.id} by ".encode())
+
 
 @dataclass
-class Ledger:
-    """All requests of a drill, and the judgement on them."""
-
-    rate: float
-    asked: list[Ask] = field(default_factory=list)
-
-    def most_in_span(self, servers: list[StandInServer]) -> int:
-        """Return the most requests that ran within one span of the rule, by when they were sent."""
-        ran = {id_ for one in servers for id_ in one.ran}
-        times = sorted(ask.sent for ask in self.asked if ask.id in ran)
-        return max((at + 1 - bisect_left(times, times[at] - SPAN_S) for at in range(len(times))), default=0)
-
-    def judge(self, servers: list[StandInServer]) -> dict[str, float | int]:
-        """Return the figures, with how often each rule was broken."""
-        times: dict[str, int] = {}
-        for one in servers:
-            for id_, count in one.ran.items():
-                times[id_] = times.get(id_, 0) + count
-        served = [ask for ask in self.asked if ask.status == 200]
-        took = sorted(ask.took for ask in served) or [0.0]
-        most = quota_ceiling(self.rate, self.rate, SPAN_S, EXCESS, SLACK)
+class RequestLog:
+    """All requests of a drill, and the check of the rules on them."""
+
+    rate: float  # the tenant's requests a second; 0 is no quota
+    requests: list[ClientRequest] = field(default_factory=list)
+
+    def max_in_span(self, executions: Counter[str]) -> int:
+        """Return the most requests that ran within one span of the quota rule, by when they were sent."""
+        times = sorted(request.sent_at for request in self.requests if request.id in executions)
+        counts = (
+            index + 1 - bisect_left(times, sent_at - QUOTA_SPAN_S) for index, sent_at in enumerate(times)
+        )
+        return max(counts, default=0)
+
+    def evaluate(self, servers: list[StandInServer]) -> dict[str, float | int]:
+        """Return the figures of the run, with how often each rule was broken."""
+        executions = Counter[str]()
+        for server in servers:
+            executions.update(server.executions)
+        return {**self._figures(), **self._violations(executions, servers)}
+
+    def _figures(self) -> dict[str, float | int]:
+        served = [request for request in self.requests if request.served]
+        latencies = sorted(request.latency_s for request in served) or [0.0]
+        refused = sum(request.refused for request in self.requests)
         return {
-            "asked": len(self.asked),
+            "asked": len(self.requests),
             "served": len(served),
-            "in_target": sum(ask.took <= TARGET_S for ask in served),
-            "refused": sum(ask.status in (429, 503) for ask in self.asked),
-            "failed": sum(ask.status not in (200, 429, 503) for ask in self.asked),
-            "p50_ms": round(1000.0 * took[len(took) // 2], 1),
-            "p99_ms": round(1000.0 * took[int(0.99 * (len(took) - 1))], 1),
-            "ran_twice": sum(ask.once and times.get(ask.id, 0) > 1 for ask in self.asked),
-            "promises_broken": sum(ask.status in (429, 503) and ask.id in times for ask in self.asked),
-            "lies_taken": sum(not ask.body.startswith(f"{ask.id} by ".encode()) for ask in served),
-            "over_quota": max(0, int(self.most_in_span(servers) - most)) if self.rate else 0,
-            "drained_late": sum(one.late for one in servers),
+            "in_target": sum(request.latency_s <= TARGET_S for request in served),
+            "refused": refused,
+            "failed": len(self.requests) - len(served) - refused,
+            "p50_ms": round(1000.0 * latencies[len(latencies) // 2], 1),
+            "p99_ms": round(1000.0 * latencies[int(0.99 * (len(latencies) - 1))], 1),
         }
 
-
-RULES = ("ran_twice", "promises_broken", "lies_taken", "over_quota", "drained_late")
+    def _violations(self, executions: Counter[str], servers: list[StandInServer]) -> dict[str, int]:
+        ceiling = quota_ceiling(self.rate, self.rate, QUOTA_SPAN_S, QUOTA_EXCESS, QUOTA_SLACK)
+        excess = max(0, int(self.max_in_span(executions) - ceiling)) if self.rate else 0
+        requests = self.requests
+        return {
+            "ran_twice": sum(request.effectful and executions[request.id] > 1 for request in requests),
+            "promises_broken": sum(request.refused and request.id in executions for request in requests),
+            "lies_taken": sum(request.served and not request.has_own_answer for request in requests),
+            "over_quota": excess,
+            "drained_late": sum(server.late_requests for server in servers),
+        }
 
 
 class Drill:
-    """One gateway under load."""
+    """One gateway under load, and the faults that can be injected into it."""
 
     def __init__(self, folder: Path, seed: int, net: int = 16, rate: float = 0.0) -> None:
         self.gateway = LocalGateway(folder, net=net)
-        self.random, self.folder = Random(seed), folder
-        self.ledger = Ledger(rate)
+        self.folder = folder
+        self.random = Random(seed)
+        self.log = RequestLog(rate)
         self.version = 1
 
-    async def load(self, per_s: float, until: float) -> None:
-        """Send requests to both pilots at random times, whatever becomes of them."""
+    async def run(self, plan: DrillPlan, seconds: float) -> None:
+        """Start everything, send load for so many seconds and inject the fault after `FAULT_DELAY_S`."""
+        gateway = self.gateway
+        try:
+            async with trio.open_nursery() as nursery:
+                await gateway.launch(nursery, gateway_config(self.version, self.log.rate))
+                async with trio.open_nursery() as load_nursery:
+                    load_nursery.start_soon(self._send_load, plan.load_per_s, seconds)
+                    await trio.sleep(FAULT_DELAY_S)
+                    await plan.fault(self)
+                nursery.cancel_scope.cancel()
+        finally:
+            gateway.stop()
+
+    async def _send_load(self, per_s: float, seconds: float) -> None:
+        """Send requests to both data planes at random times, without waiting for answers."""
+        deadline = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
             number = 0
-            while trio.current_time() < until:
+            while trio.current_time() < deadline:
                 number += 1
-                nursery.start_soon(self.ask, number)
+                nursery.start_soon(self._send_request, number)
                 await trio.sleep(self.random.expovariate(per_s))
 
-    async def ask(self, number: int) -> None:
-        """Make one request, and note what its client saw."""
-        once = self.random.random() < 0.3
-        ask = Ask(f"d{number}", once, trio.current_time())
-        self.ledger.asked.append(ask)
-        path, method = ("/do/1", "POST") if once else ("/look/1", "GET")
-        ask.status, ask.body = await self.gateway.ask(number % 2, path, ask.id, method=method)
-        ask.took = trio.current_time() - ask.sent
+    async def _send_request(self, number: int) -> None:
+        """Send one request and record what its client observes."""
+        effectful = self.random.random() < EFFECTFUL_SHARE
+        request = ClientRequest(f"d{number}", effectful, trio.current_time())
+        self.log.requests.append(request)
+        path, method = ("/do/1", "POST") if effectful else ("/look/1", "GET")
+        data_plane = number % len(self.gateway.data_planes)
+        request.status, request.body = await self.gateway.request(data_plane, path, request.id, method=method)
+        request.latency_s = trio.current_time() - request.sent_at
+
+    async def _replace_config(self) -> None:
+        self.version += 1
+        await self.gateway.replace_config(gateway_config(self.version, self.log.rate))
 
     # Faults.
 
-    async def calm(self) -> None:
-        """Let nothing happen."""
+    async def no_fault(self) -> None:
+        """Inject nothing."""
 
-    async def orders(self) -> None:
-        """Send new versions, one after another."""
-        for _ in range(10):
-            self.version += 1
-            await self.gateway.order(document(self.version, self.ledger.rate))
+    async def change_config(self) -> None:
+        """Send new versions of the configuration, one after another."""
+        for _ in range(CONFIG_CHANGES):
+            await self._replace_config()
             await trio.sleep(0.2)
 
-    async def lights_one_by_one(self) -> None:
-        """Kill each lighthouse, with its disk once, and start it again."""
-        for at, ip in enumerate(self.gateway.control_planes):
+    async def restart_control_planes_in_turn(self) -> None:
+        """Kill and restart each control-plane node; the first loses its disk."""
+        for index, ip in enumerate(self.gateway.control_planes):
             self.gateway.kill(ip)
-            await self.gateway.order(document(self.version + 1, self.ledger.rate))
-            self.version += 1
-            if at == 0:
+            await self._replace_config()
+            if index == 0:
                 shutil.rmtree(self.folder / ip / "data")
             self.gateway.start(ip, first=False)
             await trio.sleep(2.0)
 
-    async def all_control_planes(self) -> None:
-        """Kill all lighthouses at once, twice."""
+    async def restart_all_control_planes(self) -> None:
+        """Kill all control-plane nodes at once, twice."""
         for _ in range(2):
             for ip in self.gateway.control_planes:
                 self.gateway.kill(ip)
@@ -138,64 +193,63 @@
                 self.gateway.start(ip, first=False)
             await trio.sleep(2.0)
 
-    async def data_planes(self) -> None:
-        """Kill one pilot after the other, and start it again."""
+    async def restart_data_planes_in_turn(self) -> None:
+        """Kill and restart one data plane after the other, twice."""
         for ip in self.gateway.data_planes * 2:
             self.gateway.kill(ip)
             self.gateway.start(ip, first=False)
             await trio.sleep(1.5)
 
-    async def liars(self) -> None:
-        """Have a fifth of all answers spoilt for a while."""
-        for one in self.gateway.standins:
-            one.lies = 0.2
+    async def spoil_responses(self) -> None:
+        """Let all servers spoil a fifth of their responses for a while."""
+        for server in self.gateway.servers:
+            server.fault_share = FAULTY_RESPONSE_SHARE
         await trio.sleep(3.0)
-        for one in self.gateway.standins:
-            one.lies = 0.0
-
-    async def drains(self) -> None:
-        """Have one server of each service leave in order, while a lighthouse ends."""
-        self.gateway.kill(self.gateway.control_planes[0])
-        for one in (self.gateway.standins[0], self.gateway.standins[3]):
-            one.state = "draining"
+        for server in self.gateway.servers:
+            server.fault_share = 0.0
+
+    async def drain_servers(self) -> None:
+        """Drain one server of each service while a control-plane node is restarted."""
+        control_plane = self.gateway.control_planes[0]
+        self.gateway.kill(control_plane)
+        drained_services = set()
+        for server in self.gateway.servers:
+            if server.service not in drained_services:
+                drained_services.add(server.service)
+                server.state = "draining"
         await trio.sleep(1.0)
-        self.gateway.start(self.gateway.control_planes[0], first=False)
+        self.gateway.start(control_plane, first=False)
         await trio.sleep(DRAIN_S + 1.0)
 
-    async def play(self, fault: Callable[[Drill], Awaitable[None]], per_s: float, seconds: float) -> None:
-        """Start all, load it, and let the fault come after a second."""
-        gateway = self.gateway
-        try:
-            async with trio.open_nursery() as nursery:
-                await gateway.launch(nursery, document(self.version, self.ledger.rate))
-                async with trio.open_nursery() as inner:
-                    inner.start_soon(self.load, per_s, trio.current_time() + seconds)
-                    await trio.sleep(1.0)
-                    await fault(self)
-                nursery.cancel_scope.cancel()
-        finally:
-            gateway.stop()
+
+@dataclass(slots=True, frozen=True)
+class DrillPlan:
+    """What a drill does."""
+
+    fault: Callable[[Drill], Awaitable[None]]
+    load_per_s: float = 60.0
+    tenant_rate: float = 0.0  # requests a second; 0 is no quota
 
 
-# What happens, requests a second, and the tenant's rate (0: none).
-DRILLS: dict[str, tuple[Callable[[Drill], Awaitable[None]], float, float]] = {
-    "calm": (Drill.calm, 60.0, 0.0),
-    "orders": (Drill.orders, 60.0, 0.0),
-    "lights-one-by-one": (Drill.lights_one_by_one, 60.0, 0.0),
-    "all-lights": (Drill.all_control_planes, 60.0, 0.0),
-    "all-lights-hot": (Drill.all_control_planes, 120.0, 20.0),
-    "pilots": (Drill.data_planes, 60.0, 0.0),
-    "liars": (Drill.liars, 60.0, 0.0),
-    "drains": (Drill.drains, 60.0, 0.0),
+# The names are arguments of the operators' command and stand in stored results, so they stay.
+DRILLS: dict[str, DrillPlan] = {
+    "calm": DrillPlan(Drill.no_fault),
+    "orders": DrillPlan(Drill.change_config),
+    "lights-one-by-one": DrillPlan(Drill.restart_control_planes_in_turn),
+    "all-lights": DrillPlan(Drill.restart_all_control_planes),
+    "all-lights-hot": DrillPlan(Drill.restart_all_control_planes, load_per_s=120.0, tenant_rate=20.0),
+    "pilots": DrillPlan(Drill.restart_data_planes_in_turn),
+    "liars": DrillPlan(Drill.spoil_responses),
+    "drains": DrillPlan(Drill.drain_servers),
 }
 
 
-def play(name: str, seed: int = 1, seconds: float = 9.0, net: int = 16) -> dict[str, float | int | str]:
-    """Play one drill and return what came of it."""
-    fault, per_s, rate = DRILLS[name]
+def run_drill(name: str, seed: int = 1, seconds: float = 9.0, net: int = 16) -> dict[str, float | int | str]:
+    """Run one drill; return its figures, with `rules_broken` over all rules."""
+    plan = DRILLS[name]
     with tempfile.TemporaryDirectory() as folder:
-        drill = Drill(Path(folder), seed, net, rate)
-        trio.run(drill.play, fault, per_s, seconds)
-        judged = drill.ledger.judge(drill.gateway.standins)
-    broken = sum(int(judged[rule]) for rule in RULES)
-    return {"drill": name, "seed": seed, "seconds": seconds, **judged, "rules_broken": broken}
+        drill = Drill(Path(folder), seed, net, plan.tenant_rate)
+        trio.run(drill.run, plan, seconds)
+        figures = drill.log.evaluate(drill.gateway.servers)
+    broken = sum(int(figures[rule]) for rule in RULES)
+    return {"drill": name, "seed": seed, "seconds": seconds, **figures, "rules_broken": broken}
--- a/wickspring/lab/experiments/recovery_times.py
+++ b/wickspring/lab/experiments/recovery_times.py
@@ -1,8 +1,9 @@
-"""How long what operators wait for takes: a whole gateway of processes on loopback, over many seeds.
+"""Recovery and propagation times of a complete gateway of processes on loopback, over many seeds.
 
-`python -m wickspring.ctl times --seeds 20` tells, in ms, the middle and the worst of: a version from its
-acknowledgement until every pilot goes by it; the chain from the loss of one of its machines until an order is
-acknowledged again; and the whole gateway, all its processes killed at once, until every pilot serves.
+`python -m wickspring.ctl times --seeds 20` shows median and worst, in ms, of: a version from its
+acknowledgement until every data plane applies it; the replication chain from the loss of a node until a
+configuration is acknowledged again; and the gateway, all its processes killed at once, until every data plane
+serves.
 """
 
 from __future__ import annotations
@@ -14,77 +15,115 @@
 
 import trio
 
-from wickspring.lab.emulation.local_gateway import LocalGateway, document
+from wickspring.lab.emulation.local_gateway import LocalGateway, gateway_config
 
-ORDERS = 3  # of each seed
-STEP_S = 0.005
-LATE_S = 15.0  # after which it is taken for never
-Times = dict[str, list[float]]
+CONFIG_CHANGES = 3  # of each seed
+CONFIG_PAUSE_S = 0.3  # at most, between changes
+REJOIN_S = (1.5, 2.0)  # for a restarted control-plane node
+POLL_S = 0.005
+TIMEOUT_S = 15.0
 
+# Names of the rows that operators see.
+PROPAGATION = "acknowledged to applied"
+REPAIR = "chain mended"
+RESTART = "serving after all were killed"
 
-async def _served(gateway: LocalGateway, data_plane: int, path: str, name: str) -> None:
-    """Wait until a pilot serves a path; each ask has an id of its own."""
-    with trio.fail_after(LATE_S):
-        number = 0
-        while (await gateway.ask(data_plane, path, f"{name}-{data_plane}-{number}"))[0] != 200:
-            number += 1
-            await trio.sleep(STEP_S)
 
+class RecoveryTimes:
+    """The times measured on one or more gateways, ms, by name."""
 
-async def _all_serve(gateway: LocalGateway, path: str, name: str) -> None:
-    async with trio.open_nursery() as nursery:
-        for data_plane in range(len(gateway.data_planes)):
-            nursery.start_soon(_served, gateway, data_plane, path, name)
+    def __init__(self) -> None:
+        self.times_ms: dict[str, list[float]] = {}
 
+    def add(self, name: str, started_at: float) -> None:
+        """Record the time since a moment of trio's clock."""
+        self.times_ms.setdefault(name, []).append(1000.0 * (trio.current_time() - started_at))
 
-async def _play(folder: Path, seed: int, net: int, times: Times) -> None:
-    random, gateway = Random(seed), LocalGateway(folder, net=net)
+    def summary(self) -> dict[str, dict[str, float]]:
+        """Return median, worst and number of each time."""
+        return {
+            name: {
+                "median_ms": round(statistics.median(times_ms), 1),
+                "worst_ms": round(max(times_ms), 1),
+                "of": len(times_ms),
+            }
+            for name, times_ms in self.times_ms.items()
+        }
 
-    def took(name: str, begun: float) -> None:
-        times.setdefault(name, []).append(1000.0 * (trio.current_time() - begun))
 
-    try:
+class RecoveryRun:
+    """One gateway on which each time is measured."""
+
+    def __init__(self, folder: Path, seed: int, net: int, times: RecoveryTimes) -> None:
+        self.gateway = LocalGateway(folder, net=net)
+        self.random = Random(seed)
+        self.times = times
+
+    async def run(self) -> None:
+        """Measure all times.
+
+        Raises trio.TooSlowError where one takes longer than `TIMEOUT_S`.
+        """
+        try:
+            async with trio.open_nursery() as nursery:
+                await self.gateway.launch(nursery, gateway_config(1))
+                for version in range(2, 2 + CONFIG_CHANGES):
+                    await self._measure_propagation(version)
+                await self._measure_repair()
+                await self._measure_restart()
+                nursery.cancel_scope.cancel()
+        finally:
+            self.gateway.stop()
+
+    async def _measure_propagation(self, version: int) -> None:
+        """Send a version with a path of its own and wait until every data plane serves the path."""
+        await self.gateway.replace_config(gateway_config(version, effectful_prefix=f"/do{version}/"))
+        started_at = trio.current_time()
+        await self._wait_until_all_serve(f"/do{version}/1", f"v{version}")
+        self.times.add(PROPAGATION, started_at)
+        await trio.sleep(self.random.uniform(0.0, CONFIG_PAUSE_S))
+
+    async def _measure_repair(self) -> None:
+        """Kill a control-plane node and wait until a configuration is acknowledged again."""
+        lost = self.random.choice(self.gateway.control_planes)
+        started_at = trio.current_time()
+        self.gateway.kill(lost)
+        with trio.fail_after(TIMEOUT_S):
+            while await self.gateway.replace_config(gateway_config(9)) != 200:
+                await trio.sleep(POLL_S)
+        self.times.add(REPAIR, started_at)
+        self.gateway.start(lost, first=False)
+        await trio.sleep(self.random.uniform(*REJOIN_S))
+
+    async def _measure_restart(self) -> None:
+        """Kill all processes, start them again and wait until every data plane serves."""
+        machines = (*self.gateway.control_planes, *self.gateway.data_planes)
+        for ip in machines:
+            self.gateway.kill(ip)
+        started_at = trio.current_time()
+        for ip in machines:
+            self.gateway.start(ip, first=False)
+        await self._wait_until_all_serve("/look/1", "back")
+        self.times.add(RESTART, started_at)
+
+    async def _wait_until_all_serve(self, path: str, name: str) -> None:
         async with trio.open_nursery() as nursery:
-            await gateway.launch(nursery, document(1))
-            for version in range(2, 2 + ORDERS):
-                await gateway.order(document(version, once=f"/do{version}/"))
-                begun = trio.current_time()
-                await _all_serve(gateway, f"/do{version}/1", f"v{version}")
-                took("acknowledged to applied", begun)
-                await trio.sleep(random.uniform(0.0, 0.3))
-            lost = random.choice(gateway.control_planes)
-            begun = trio.current_time()
-            gateway.kill(lost)
-            with trio.fail_after(LATE_S):
-                while await gateway.order(document(9)) != 200:
-                    await trio.sleep(STEP_S)
-            took("chain mended", begun)
-            gateway.start(lost, first=False)
-            await trio.sleep(random.uniform(1.5, 2.0))
-            every = (*gateway.control_planes, *gateway.data_planes)
-            for ip in every:
-                gateway.kill(ip)
-            begun = trio.current_time()
-            for ip in every:
-                gateway.start(ip, first=False)
-            await _all_serve(gateway, "/look/1", "back")
-            took("serving after all were killed", begun)
-            nursery.cancel_scope.cancel()
-    finally:
-        gateway.stop()
+            for data_plane in range(len(self.gateway.data_planes)):
+                nursery.start_soon(self._wait_until_served, data_plane, path, name)
+
+    async def _wait_until_served(self, data_plane: int, path: str, name: str) -> None:
+        """Send requests until a data plane serves a path; each has an attempt id of its own."""
+        number = 0
+        with trio.fail_after(TIMEOUT_S):
+            while (await self.gateway.request(data_plane, path, f"{name}-{data_plane}-{number}"))[0] != 200:
+                number += 1
+                await trio.sleep(POLL_S)
 
 
 def measure(seeds: int = 20, net: int = 17) -> dict[str, dict[str, float]]:
-    """Play so many seeds, one after another; middle and worst of each time, ms, and how many there were."""
-    times: Times = {}
+    """Run so many seeds, one after another; return median and worst of each time, and how many there are."""
+    times = RecoveryTimes()
     for seed in range(seeds):
         with tempfile.TemporaryDirectory() as folder:
-            trio.run(_play, Path(folder), seed, net, times)
-    return {
-        name: {
-            "median_ms": round(statistics.median(found), 1),
-            "worst_ms": round(max(found), 1),
-            "of": len(found),
-        }
-        for name, found in times.items()
-    }
+            trio.run(RecoveryRun(Path(folder), seed, net, times).run)
+    return times.summary()
--- a/wickspring/lab/simulation/request_path.py
+++ b/wickspring/lab/simulation/request_path.py
@@ -28,7 +28,10 @@
 from wickspring.dataplane import process as programs
 from wickspring.dataplane.process import DataPlane
 from wickspring.dataplane.upstream import NOT_RUN
-from wickspring.lab.emulation.local_gateway import HOST, KEY, PREFIX, document
+from wickspring.lab.emulation.local_gateway import API_KEY as KEY
+from wickspring.lab.emulation.local_gateway import HOST
+from wickspring.lab.emulation.local_gateway import PURE_PREFIX as PREFIX
+from wickspring.lab.emulation.local_gateway import gateway_config as document
 from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.net import host
 from wickspring.net.http1_front import Http1Connection
@@ -535,7 +538,7 @@
             nursery.start_soon(data_plane.timers.run)
             data_plane.tidy()
             timeout = f'"timeout_s": {self.timeout_s}'.encode()
-            routing_table = build_routing_table(document(1, once=ONCE).replace(b'"timeout_s": 2.0', timeout))
+            routing_table = build_routing_table(document(1, effectful_prefix=ONCE).replace(b'"timeout_s": 2.0', timeout))
             data_plane.control_client.routing_table, data_plane.control_client.fleet = routing_table, 1
             data_plane._charted(routing_table)
             for number, name in enumerate(self.peers):
