--- a/wickspring/lab/experiments/capacity_steps.py
+++ b/wickspring/lab/experiments/capacity_steps.py
@@ -150,7 +150,7 @@
 def _registry(endpoints: list[Endpoint]) -> EndpointRegistry:
     registry = EndpointRegistry(SILENCE_MS)
     for endpoint in endpoints:
-        registry.beat(0.0, endpoint)
+        registry.record_heartbeat(0.0, endpoint)
     return registry
 
 
@@ -163,8 +163,10 @@
 
 def _advise(registry: EndpointRegistry, load_tracker: LoadTracker, service: str) -> None:
     """Choose candidates for one request as a control-plane node does."""
-    ready = [endpoint for endpoint in registry.whole() if endpoint.service == service and endpoint.state == 0]
-    load_tracker.offers(0.0, "a", ready)
+    ready = [
+        endpoint for endpoint in registry.present() if endpoint.service == service and endpoint.state == 0
+    ]
+    load_tracker.advise(0.0, "a", ready)
 
 
 def _selector_digest(selector: EndpointSelector) -> int:
@@ -187,10 +189,10 @@
     packed = [endpoint.pack(0.0) for endpoint in endpoints]
     return {
         "whole_bytes": float(len(msgpack.packb(["whole", packed, {}]))),
-        "core_digest_ms": took_ms(lambda: endpoints_digest(registry.whole())),
+        "core_digest_ms": took_ms(lambda: endpoints_digest(registry.present())),
         "ingress_digest_ms": took_ms(lambda: _selector_digest(selector)),
         "advice_ms": took_ms(lambda: _advise(registry, load_tracker, service)),
-        "sweep_ms": took_ms(lambda: registry.sweep(1.0)),
+        "sweep_ms": took_ms(lambda: registry.expire(1.0)),
         "ingress_mb": held_mb(lambda: _selector(generate_endpoints(count))),
         "core_mb": held_mb(lambda: _registry(generate_endpoints(count))),
         "pick_us": took_us(lambda: selector.pick(0.0, service, "r", set()), calls=50),
@@ -273,7 +275,7 @@
     load_tracker = LoadTracker(1)
     body = generate_config(1, config_size)
     return {
-        "tick": profile(lambda: endpoints_digest(registry.whole()), 50),
+        "tick": profile(lambda: endpoints_digest(registry.present()), 50),
         "advice": profile(lambda: _advise(registry, load_tracker, endpoints[0].service), 50),
         "order": profile(lambda: validate_config(body), 1),
     }
--- a/wickspring/lab/simulation/request_path.py
+++ b/wickspring/lab/simulation/request_path.py
@@ -538,7 +538,9 @@
             nursery.start_soon(data_plane.timers.run)
             data_plane.tidy()
             timeout = f'"timeout_s": {self.timeout_s}'.encode()
-            routing_table = build_routing_table(document(1, effectful_prefix=ONCE).replace(b'"timeout_s": 2.0', timeout))
+            routing_table = build_routing_table(
+                document(1, effectful_prefix=ONCE).replace(b'"timeout_s": 2.0', timeout)
+            )
             data_plane.control_client.routing_table, data_plane.control_client.fleet = routing_table, 1
             data_plane._charted(routing_table)
             for number, name in enumerate(self.peers):
--- a/wickspring/lab/simulation/virtual_gateway.py
+++ b/wickspring/lab/simulation/virtual_gateway.py
@@ -93,11 +93,11 @@
                 self._settings(ip), nursery, self.random.getrandbits(32)
             )
             self.control_planes[ip] = control_plane
-            self.network.listen(ip, CORE, nursery, control_plane.connection)
-            self._start_task(nursery, REST, control_plane.timers.run)
-            self._start_task(nursery, "chain", control_plane.core.run)
-            self._start_task(nursery, "core ticks", control_plane.core.tick)
-            self._start_task(nursery, "upkeep", control_plane.upkeep)
+            self.network.listen(ip, CORE, nursery, control_plane.peer_server.serve)
+            self._start_task(nursery, REST, control_plane.api_server.timers.run)
+            self._start_task(nursery, "chain", control_plane.replication.run)
+            self._start_task(nursery, "core ticks", control_plane.replication.tick)
+            self._start_task(nursery, "upkeep", control_plane.maintenance.run)
 
         self._start_process(ip, CORE, start)
 
@@ -164,7 +164,7 @@
         number = int(server_id[2:8])  # of "i-NNNNNN-..."
         control_plane = self.control_planes[self.control_plane_ips[number % len(self.control_plane_ips)]]
         with self.meter.charge(CORE, "beats"):
-            control_plane.ask(StubCaller(), "POST", f"/servers/{server_id}/{operation}", {}, body)
+            control_plane.api_server.ask(StubCaller(), "POST", f"/servers/{server_id}/{operation}", {}, body)
 
     async def send_heartbeats(self, period_s: float) -> None:
         """Send the heartbeats of all servers, spread evenly over each period."""
@@ -192,7 +192,7 @@
 
         control_plane = self.control_planes[self.control_plane_ips[0]]
         with self.meter.charge(CORE, "configuration"):
-            control_plane.ask(StubCaller(on_status), "POST", "/config/replace", {}, body)
+            control_plane.api_server.ask(StubCaller(on_status), "POST", "/config/replace", {}, body)
         await finished.wait()
         return status
 
