--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -13,7 +13,13 @@
 import pytest
 import trio
 
-from tests.support.virtual_system import _WHO, CONTROL_PLANES, DATA_PLANES, Site, play
+from tests.support.virtual_system import (
+    CONTROL_PLANES,
+    CURRENT_MACHINE,
+    DATA_PLANES,
+    VirtualSystem,
+    run_virtual_system,
+)
 from wickspring.agent.store import Store
 from wickspring.common import messages
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
@@ -187,12 +193,12 @@
     return message
 
 
-def receiver(site: Site, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
+def receiver(system: VirtualSystem, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
     """Return what takes such a message today."""
     connection = PeerConnection(link, VirtualClock())
     connection.name, kind = one["sender"], one["kind"]
     session = PeerSession(connection)
-    control_plane, data_plane = site.control_planes[CONTROL_PLANES[0]], site.data_planes[DATA_PLANES[0]]
+    control_plane, data_plane = system.control_planes[CONTROL_PLANES[0]], system.data_planes[DATA_PLANES[0]]
     if one["to"] == CONTROL:
         if kind == "chain":
             members = tuple((f"10.1.0.{n}", "first") for n in (1, 2, 3))
@@ -222,30 +228,30 @@
 def test_its_receiver_takes_each_message(
     monkeypatch: pytest.MonkeyPatch, direction: tuple[str, str, str]
 ) -> None:
-    async def observation(site: Site) -> None:
-        data_plane = await site.start_pilot(DATA_PLANES[0])
-        await site.until_safe(CONTROL_PLANES[0], 1)
-        await site.until(
+    async def observation(system: VirtualSystem) -> None:
+        data_plane = await system.start_data_plane(DATA_PLANES[0])
+        await system.commit_config(CONTROL_PLANES[0], 1)
+        await system.wait_until(
             lambda: (
                 data_plane.control_client.informed and data_plane.control_client.routing_table.version == 1
             )
         )
-        _WHO.set(
+        CURRENT_MACHINE.set(
             CONTROL_PLANES[0] if direction[1] == CONTROL else DATA_PLANES[0]
         )  # who dials where a message asks for it
         for one in MESSAGES:
             if (one["from"], one["to"], one["transport"]) != direction:
                 continue
             link = Link()
-            receiver(site, one, link)(unpacked(one))
+            receiver(system, one, link)(unpacked(one))
             replies = REPLIES.get((one["from"], one["to"], one["kind"]))
             assert replies is None or replies & set(link.said), one["kind"]
             if (one["from"], one["kind"]) not in WITHOUT_ARGUMENTS:
                 with pytest.raises(DECODE_ERRORS):
-                    receiver(site, one, Link())(cut_short(one))
+                    receiver(system, one, Link())(cut_short(one))
         await trio.sleep(0.1)
 
-    play(monkeypatch, observation)
+    run_virtual_system(monkeypatch, observation)
 
 
 def test_messages_are_packed_to_the_same_bytes() -> None:
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -17,14 +17,15 @@
 from tests.support.virtual_system import (
     CONTROL_PLANES,
     DATA_PLANES,
-    Site,
-    beat,
+    CutDirection,
+    VirtualSystem,
+    config_text,
     deregister,
-    play,
-    read,
-    replace,
-    server,
-    text,
+    read_config,
+    ready_endpoint,
+    replace_config,
+    run_virtual_system,
+    send_heartbeat,
 )
 from wickspring.common import logs
 from wickspring.common import settings as settings_module
@@ -59,25 +60,25 @@
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 
 CUT_S = 20.0
-WAY = ["head", "middle", "tail", "spare", "restarted"]
+CUT_NODES = ["head", "middle", "tail", "spare", "restarted"]
 
 
 def snapshot_of(version: int) -> bytes:
     replica = Replica()
-    replica.take(Update(version, text(version)), 1)
+    replica.take(Update(version, config_text(version)), 1)
     return snapshot.pack(replica, 1)
 
 
 async def all_calls(control_plane: ControlPlane, version: int) -> dict[str, ApiResponse]:
     """Send one of each call that a lighthouse without contact must not answer for good."""
     return {
-        "new": await replace(control_plane, version),
-        "same again": await replace(control_plane, 2),
-        "same number, other text": await replace(control_plane, 2, "other"),
-        "lower": await replace(control_plane, 1),
-        "read": await read(control_plane),
-        "draining": await beat(control_plane, "i1", 50, "draining"),
-        "ready": await beat(control_plane, "i2", 50),
+        "new": await replace_config(control_plane, version),
+        "same again": await replace_config(control_plane, 2),
+        "same number, other text": await replace_config(control_plane, 2, "other"),
+        "lower": await replace_config(control_plane, 1),
+        "read": await read_config(control_plane),
+        "draining": await send_heartbeat(control_plane, "i1", 50, "draining"),
+        "ready": await send_heartbeat(control_plane, "i2", 50),
         "ended": await deregister(control_plane, "i3"),
         "snapshot taken": await SnapshotDownload(control_plane).call(ApiRequest("GET", "", b"")),
         "snapshot brought": await SnapshotRestore(control_plane).call(
@@ -86,35 +87,37 @@
     }
 
 
-def pick(site: Site, who: str) -> str:
-    chain = site.chain
+def pick(system: VirtualSystem, who: str) -> str:
+    chain = system.chain
     if who == "spare":
-        return next(ip for ip in site.control_planes if ip not in chain)
+        return next(ip for ip in system.control_planes if ip not in chain)
     return chain[{"head": 0, "middle": 1}.get(who, -1)]
 
 
-@pytest.mark.parametrize("way", ["both", "unheard", "deaf"])
-@pytest.mark.parametrize("who", WAY)
-def test_cut_off_twenty_seconds(monkeypatch: pytest.MonkeyPatch, who: str, way: str) -> None:
-    async def cut_off(site: Site) -> None:
-        assert (await replace(site.control_planes[CONTROL_PLANES[0]], 1)).status == 200
+@pytest.mark.parametrize("direction", ["both", "outbound", "inbound"])
+@pytest.mark.parametrize("who", CUT_NODES)
+def test_cut_off_twenty_seconds(monkeypatch: pytest.MonkeyPatch, who: str, direction: CutDirection) -> None:
+    async def cut_off(system: VirtualSystem) -> None:
+        assert (await replace_config(system.control_planes[CONTROL_PLANES[0]], 1)).status == 200
         for ip in DATA_PLANES:
-            await site.start_pilot(ip)
-        victim = pick(site, who)
-        others = [one for ip, one in site.control_planes.items() if ip != victim]
-        assert (await replace(others[0], 2)).status == 200
-        await site.until(
-            lambda: all(one.control_client.routing_table.version == 2 for one in site.data_planes.values())
+            await system.start_data_plane(ip)
+        victim = pick(system, who)
+        others = [one for ip, one in system.control_planes.items() if ip != victim]
+        assert (await replace_config(others[0], 2)).status == 200
+        await system.wait_until(
+            lambda: all(one.control_client.routing_table.version == 2 for one in system.data_planes.values())
         )
-        site.cut(victim, way=way, spare=DATA_PLANES)  # pilots, servers and operators reach both sides
+        system.cut(
+            victim, direction=direction, reachable=DATA_PLANES
+        )  # pilots, servers and operators reach both sides
         begun = trio.current_time()
         if who == "restarted":
-            site.kill(victim)
-            await site.start_light(victim)
-        control_plane = site.control_planes[victim]
+            system.kill(victim)
+            await system.start_control_plane(victim)
+        control_plane = system.control_planes[victim]
         await trio.sleep(2.0 * CONTACT_TIMEOUT_MS / 1000.0)
         assert control_plane.status().replication.contact == "none"
-        await site.until(
+        await system.wait_until(
             lambda: (
                 others[0].replication.in_contact
                 and others[0].components.config_distributor.routing_table.version == 2
@@ -128,54 +131,60 @@
             assert trio.current_time() == asked  # at once
             invalid = await ConfigReplace(control_plane).call(ApiRequest("POST", "", b"{}"))
             assert invalid.status == 400  # a fact of the text
-            assert (await replace(others[version % len(others)], version)).status == 200
-            assert (await replace(others[0], version, "other")).status == 409
-            await site.until(
+            assert (await replace_config(others[version % len(others)], version)).status == 200
+            assert (await replace_config(others[0], version, "other")).status == 409
+            await system.wait_until(
                 lambda number=version: all(  # type: ignore[misc]
-                    one.control_client.routing_table.version == number for one in site.data_planes.values()
+                    one.control_client.routing_table.version == number for one in system.data_planes.values()
                 ),
                 1.0,
             )
             version += 1
             await trio.sleep(2.5)
-        site.heal()
+        system.heal()
         assert (
-            await site.until(lambda: control_plane.components.contact.observe() is not QuorumContact.NONE)
+            await system.wait_until(
+                lambda: control_plane.components.contact.observe() is not QuorumContact.NONE
+            )
             < 4.0
         )
-        await site.until(
+        await system.wait_until(
             lambda: control_plane.components.config_distributor.routing_table.version == version - 1, 2.0
         )
         tried = trio.current_time()  # the chain takes it in again meanwhile
-        assert (await site.until_safe(victim, version)).status == 200 and trio.current_time() - tried < 3.0
-        assert (await replace(control_plane, version)).status == 200  # however often
-        assert (await replace(control_plane, 1)).status == 200  # and what is not above changes nothing
-        assert (await replace(control_plane, version, "other")).status == 409
-        assert (await read(control_plane)).body == text(version)
-        assert (await beat(control_plane, "i2", 60)).status == 200
-        await site.until(lambda: all(numbers[-1] == version for numbers in site.taken.values()))
-        for numbers in site.taken.values():
+        assert (
+            await system.commit_config(victim, version)
+        ).status == 200 and trio.current_time() - tried < 3.0
+        assert (await replace_config(control_plane, version)).status == 200  # however often
+        assert (await replace_config(control_plane, 1)).status == 200  # and what is not above changes nothing
+        assert (await replace_config(control_plane, version, "other")).status == 409
+        assert (await read_config(control_plane)).body == config_text(version)
+        assert (await send_heartbeat(control_plane, "i2", 60)).status == 200
+        await system.wait_until(
+            lambda: all(numbers[-1] == version for numbers in system.adopted_versions.values())
+        )
+        for numbers in system.adopted_versions.values():
             assert numbers == sorted(numbers) and len(set(numbers)) == len(numbers)
 
-    play(monkeypatch, cut_off, control_planes=4 if who == "spare" else 3)
+    run_virtual_system(monkeypatch, cut_off, control_planes=4 if who == "spare" else 3)
 
 
-def started_beside(site: Site, victim: str) -> None:
+def started_beside(system: VirtualSystem, victim: str) -> None:
     """Leave new pilots nobody to reach but one lighthouse."""
-    site.cut(victim, spare=DATA_PLANES)
-    site.cut(*DATA_PLANES, spare=(victim,))
+    system.cut(victim, reachable=DATA_PLANES)
+    system.cut(*DATA_PLANES, reachable=(victim,))
 
 
-async def leave_new_pilots_the_old(site: Site, restarted: bool) -> None:
+async def leave_new_pilots_the_old(system: VirtualSystem, restarted: bool) -> None:
     """Have r1 taken everywhere and r2 without one lighthouse, the only one that new pilots reach."""
     victim = CONTROL_PLANES[2]
-    assert (await replace(site.control_planes[victim], 1)).status == 200
+    assert (await replace_config(system.control_planes[victim], 1)).status == 200
     await trio.sleep(1.0)
-    started_beside(site, victim)
+    started_beside(system, victim)
     if restarted:
-        site.kill(victim)
-        await site.start_light(victim)
-    assert (await site.until_safe(CONTROL_PLANES[0], 2)).status == 200
+        system.kill(victim)
+        await system.start_control_plane(victim)
+    assert (await system.commit_config(CONTROL_PLANES[0], 2)).status == 200
 
 
 @pytest.mark.parametrize("restarted", [False, True])
@@ -184,20 +193,20 @@
 ) -> None:
     """With nobody in contact to hear of, it goes by the last known after a while, and never goes back."""
 
-    async def cut_off(site: Site) -> None:
-        await leave_new_pilots_the_old(site, restarted)
+    async def cut_off(system: VirtualSystem) -> None:
+        await leave_new_pilots_the_old(system, restarted)
         begun = trio.current_time()
-        data_plane = await site.start_pilot(DATA_PLANES[0])
-        took = await site.until(lambda: data_plane.control_client.routing_table.version == 1, 6.0)
+        data_plane = await system.start_data_plane(DATA_PLANES[0])
+        took = await system.wait_until(lambda: data_plane.control_client.routing_table.version == 1, 6.0)
         assert took >= ISOLATION_MS / 1000.0 and trio.current_time() - begun < 6.0
         assert data_plane.control_client.standing is (ConfigStatus.HELD if restarted else ConfigStatus.SAFE)
         assert not data_plane.control_client.in_contact
-        site.heal()
-        await site.until(lambda: data_plane.control_client.routing_table.version == 2)
-        await site.until(lambda: data_plane.control_client.standing is ConfigStatus.CURRENT, 0.5)
-        assert site.taken[DATA_PLANES[0]] == [1, 2]
+        system.heal()
+        await system.wait_until(lambda: data_plane.control_client.routing_table.version == 2)
+        await system.wait_until(lambda: data_plane.control_client.standing is ConfigStatus.CURRENT, 0.5)
+        assert system.adopted_versions[DATA_PLANES[0]] == [1, 2]
 
-    play(monkeypatch, cut_off)
+    run_virtual_system(monkeypatch, cut_off)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -206,38 +215,38 @@
 ) -> None:
     """Cables are up again at once; what the others said last was said twenty seconds ago."""
 
-    async def cut_off(site: Site) -> None:
-        victim, other = CONTROL_PLANES[2], site.control_planes[CONTROL_PLANES[0]]
-        control_plane = site.control_planes[victim]
-        assert (await replace(control_plane, 1)).status == 200
-        site.cut(victim)
-        assert (await site.until_safe(other.settings.ip, 2)).status == 200
+    async def cut_off(system: VirtualSystem) -> None:
+        victim, other = CONTROL_PLANES[2], system.control_planes[CONTROL_PLANES[0]]
+        control_plane = system.control_planes[victim]
+        assert (await replace_config(control_plane, 1)).status == 200
+        system.cut(victim)
+        assert (await system.commit_config(other.settings.ip, 2)).status == 200
         await trio.sleep(CUT_S)
-        site.heal()
+        system.heal()
         while control_plane.components.config_distributor.routing_table.version != 2:
             assert (
                 not control_plane.replication.in_contact or control_plane.updates.epoch >= other.updates.epoch
             )
             await trio.sleep(0.0005)
 
-    play(monkeypatch, cut_off, seed=seed)
+    run_virtual_system(monkeypatch, cut_off, seed=seed)
 
 
 def plays_first_news(monkeypatch: pytest.MonkeyPatch, restarted: bool) -> list[int]:
     """Start a pilot that hears one cut off at once, and after a second one in contact; what it goes by."""
     taken: list[int] = []
 
-    async def cut_off(site: Site) -> None:
-        await leave_new_pilots_the_old(site, restarted)
+    async def cut_off(system: VirtualSystem) -> None:
+        await leave_new_pilots_the_old(system, restarted)
         await trio.sleep(2.0)
-        data_plane = await site.start_pilot(DATA_PLANES[0])
+        data_plane = await system.start_data_plane(DATA_PLANES[0])
         await trio.sleep(0.9)
-        site.cuts -= {(DATA_PLANES[0], CONTROL_PLANES[0]), (CONTROL_PLANES[0], DATA_PLANES[0])}
-        await site.until(lambda: data_plane.control_client.routing_table.version == 2)
+        system.cuts -= {(DATA_PLANES[0], CONTROL_PLANES[0]), (CONTROL_PLANES[0], DATA_PLANES[0])}
+        await system.wait_until(lambda: data_plane.control_client.routing_table.version == 2)
         await trio.sleep(3.0)
-        taken.extend(site.taken[DATA_PLANES[0]])
+        taken.extend(system.adopted_versions[DATA_PLANES[0]])
 
-    play(monkeypatch, cut_off)
+    run_virtual_system(monkeypatch, cut_off)
     return taken
 
 
@@ -251,19 +260,19 @@
 def test_a_pilot_passes_what_it_knows_on_to_one_that_no_lighthouse_reaches(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def apart(site: Site) -> None:
+    async def apart(system: VirtualSystem) -> None:
         first, second = DATA_PLANES
-        assert (await replace(site.control_planes[CONTROL_PLANES[0]], 1)).status == 200
-        await site.start_pilot(first)
-        site.cut(second, spare=(first,))
-        alone = await site.start_pilot(second)
+        assert (await replace_config(system.control_planes[CONTROL_PLANES[0]], 1)).status == 200
+        await system.start_data_plane(first)
+        system.cut(second, reachable=(first,))
+        alone = await system.start_data_plane(second)
         alone.gossip.introduce([first])
-        await site.until(lambda: alone.control_client.routing_table.version == 1)
-        assert alone.state()[:2] == (1, digest_of(text(1))) and not alone.control_client.in_contact
-        assert (await replace(site.control_planes[CONTROL_PLANES[0]], 2)).status == 200
-        await site.until(lambda: alone.control_client.routing_table.version == 2)
+        await system.wait_until(lambda: alone.control_client.routing_table.version == 1)
+        assert alone.state()[:2] == (1, digest_of(config_text(1))) and not alone.control_client.in_contact
+        assert (await replace_config(system.control_planes[CONTROL_PLANES[0]], 2)).status == 200
+        await system.wait_until(lambda: alone.control_client.routing_table.version == 2)
 
-    play(monkeypatch, apart)
+    run_virtual_system(monkeypatch, apart)
 
 
 # Seeded defects: each must be seen by the scenario above it.
@@ -300,12 +309,12 @@
 def test_a_started_lighthouse_hands_out_nothing_of_its_disk_as_safe(
     monkeypatch: pytest.MonkeyPatch, defect: bool
 ) -> None:
-    async def restarted(site: Site) -> None:
+    async def restarted(system: VirtualSystem) -> None:
         victim = CONTROL_PLANES[1]
-        assert (await replace(site.control_planes[victim], 1)).status == 200
+        assert (await replace_config(system.control_planes[victim], 1)).status == 200
         await trio.sleep(1.0)
-        site.cut(victim)
-        site.kill(victim)
+        system.cut(victim)
+        system.kill(victim)
         if defect:
             begin = ControlPlane.restore
 
@@ -314,7 +323,7 @@
                 control_plane.on_committed(control_plane.replication.chain.replica)
 
             monkeypatch.setattr(ControlPlane, "restore", hasty)
-        control_plane, begun, heard = await site.start_light(victim), trio.current_time(), Heard()
+        control_plane, begun, heard = await system.start_control_plane(victim), trio.current_time(), Heard()
         session = PeerSession(cast(PeerConnection, heard))
         control_plane.peer_server.receive(
             session, ["hello", "pilot", DATA_PLANES[0], {"version": 0, "digest": b""}]
@@ -327,16 +336,16 @@
         seen = at - begun < ISOLATION_MS / 1000.0 or standing is not ConfigStatus.HELD
         assert seen == defect
 
-    play(monkeypatch, restarted)
+    run_virtual_system(monkeypatch, restarted)
 
 
 def in_light(monkeypatch: pytest.MonkeyPatch, test: Callable[[ControlPlane], Any]) -> None:
     """Play with one lighthouse whose core is told what to answer."""
 
-    async def run(site: Site) -> None:
-        await test(site.control_planes[CONTROL_PLANES[0]])
+    async def run(system: VirtualSystem) -> None:
+        await test(system.control_planes[CONTROL_PLANES[0]])
 
-    play(monkeypatch, run)
+    run_virtual_system(monkeypatch, run)
 
 
 def core_says(monkeypatch: pytest.MonkeyPatch, verdict: CommitOutcome, contact: list[bool]) -> None:
@@ -358,18 +367,18 @@
         contact = [True]
         core_says(monkeypatch, verdict, contact)
         usual = 200 if verdict is CommitOutcome.SAFE else 409
-        assert (await replace(control_plane, 3)).status == usual
+        assert (await replace_config(control_plane, 3)).status == usual
         contact[0] = False
         if defect:
             monkeypatch.setattr(QuorumContactMonitor, "observe", lambda *_: QuorumContact.SETTLED)
         begun = trio.current_time()
-        said = await replace(control_plane, 3)
+        said = await replace_config(control_plane, 3)
         assert said.status == (usual if defect else 503)
         if not defect:
             assert 0.5 < trio.current_time() - begun < 1.0  # a short gap is waited out
             await trio.sleep(1.0)
             begun = trio.current_time()
-            assert (await replace(control_plane, 3)).status == 503 and trio.current_time() == begun
+            assert (await replace_config(control_plane, 3)).status == 503 and trio.current_time() == begun
 
     in_light(monkeypatch, test)
 
@@ -381,7 +390,7 @@
         said: list[ApiResponse] = []
 
         async def order() -> None:
-            said.append(await replace(control_plane, 3))
+            said.append(await replace_config(control_plane, 3))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(order)
@@ -397,39 +406,42 @@
 
 
 def test_a_server_is_sent_on_and_only_to_what_is_in_reach(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def cut_off(site: Site) -> None:
-        control_plane = site.control_planes[CONTROL_PLANES[0]]
+    async def cut_off(system: VirtualSystem) -> None:
+        control_plane = system.control_planes[CONTROL_PLANES[0]]
         monkeypatch.setattr(
             control_plane.endpoints,
             "_settings",
             settings_module.parse_settings(SETTINGS.replace("zone=a", "zone=b")),
         )
         target = control_plane.endpoints.heartbeat_target("a")
-        assert target.encode() in (await beat(control_plane, "i1", 1)).body
+        assert target.encode() in (await send_heartbeat(control_plane, "i1", 1)).body
         lost = target.partition(":")[0]
         assert lost in CONTROL_PLANES[1:3]
-        site.cut(lost)
-        await site.until(lambda: not control_plane.replication.live(lost))
-        await site.until(lambda: control_plane.replication.in_contact)
-        said = await beat(control_plane, "i1", 2)
+        system.cut(lost)
+        await system.wait_until(lambda: not control_plane.replication.live(lost))
+        await system.wait_until(lambda: control_plane.replication.in_contact)
+        said = await send_heartbeat(control_plane, "i1", 2)
         assert said.status == 200 and target.encode() not in said.body
 
-    play(monkeypatch, cut_off)
+    run_virtual_system(monkeypatch, cut_off)
 
 
 def test_news_of_one_cut_off_undoes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """A server falls silent and another ends while one lighthouse, which pilots reach, is cut off."""
 
-    async def cut_off(site: Site) -> None:
-        victim, control_plane = site.control_planes[CONTROL_PLANES[2]], site.control_planes[CONTROL_PLANES[0]]
-        await replace(control_plane, 1)
-        data_plane = await site.start_pilot(DATA_PLANES[0])
+    async def cut_off(system: VirtualSystem) -> None:
+        victim, control_plane = (
+            system.control_planes[CONTROL_PLANES[2]],
+            system.control_planes[CONTROL_PLANES[0]],
+        )
+        await replace_config(control_plane, 1)
+        data_plane = await system.start_data_plane(DATA_PLANES[0])
         for id_ in ("silent", "ended", "well"):
-            assert (await beat(victim, id_, 40)).status == 200
-        await site.until(lambda: len(data_plane.choice.candidates) == 3)
-        site.cut(victim.settings.ip, spare=DATA_PLANES)
-        assert (await site.until_safe(CONTROL_PLANES[0], 2)).status == 200
-        assert (await beat(control_plane, "ended", 41, "draining")).status == 200
+            assert (await send_heartbeat(victim, id_, 40)).status == 200
+        await system.wait_until(lambda: len(data_plane.choice.candidates) == 3)
+        system.cut(victim.settings.ip, reachable=DATA_PLANES)
+        assert (await system.commit_config(CONTROL_PLANES[0], 2)).status == 200
+        assert (await send_heartbeat(control_plane, "ended", 41, "draining")).status == 200
         assert (await deregister(control_plane, "ended")).status == 200
         heard: list[Message] = []
         for session in victim.data_planes:
@@ -444,43 +456,43 @@
         while not data_plane.choice.candidates["silent"].lost:
             seq += 1
             assert seq < 60
-            assert (await beat(control_plane, "well", seq)).status == 200
+            assert (await send_heartbeat(control_plane, "well", seq)).status == 200
             await trio.sleep(1.0)
         for _ in range(8):  # the one cut off still lists them
             for session in victim.data_planes:
                 victim.endpoints.send_snapshot(session)
             seq += 1
-            await beat(control_plane, "well", seq)
+            await send_heartbeat(control_plane, "well", seq)
             await trio.sleep(1.0)
         assert data_plane.choice.candidates["silent"].lost and not data_plane.choice.takes("ended")
         assert not data_plane.choice.candidates["well"].lost
         assert any(isinstance(message, EndpointSnapshot) for message in heard)
         assert not any(isinstance(message, EndpointsLost | QuotaTotal) for message in heard)
-        site.heal()
-        await site.until(lambda: victim.components.contact.observe() is QuorumContact.SETTLED)
+        system.heal()
+        await system.wait_until(lambda: victim.components.contact.observe() is QuorumContact.SETTLED)
         assert not data_plane.choice.candidates["well"].lost and not data_plane.choice.takes("ended")
         assert data_plane.choice.candidates["silent"].lost
-        assert (await beat(victim, "well", seq + 1)).status == 200
+        assert (await send_heartbeat(victim, "well", seq + 1)).status == 200
         assert [one.id for one in victim.components.registry.present() if one.state == READY] == ["well"]
 
-    play(monkeypatch, cut_off)
+    run_virtual_system(monkeypatch, cut_off)
 
 
 def test_lists_that_are_not_fresh_bring_nobody_back() -> None:
     choice = EndpointSelector("a", 1)
-    choice.heard(0.0, server("i1", 4))
+    choice.heard(0.0, ready_endpoint("i1", 4))
     choice.silent(["i1"])
-    assert not choice.heard(1.0, server("i1", 9), fresh=False) and choice.candidates["i1"].lost
-    assert choice.heard(1.0, server("i2", 9), fresh=False) and not choice.candidates["i2"].lost
+    assert not choice.heard(1.0, ready_endpoint("i1", 9), fresh=False) and choice.candidates["i1"].lost
+    assert choice.heard(1.0, ready_endpoint("i2", 9), fresh=False) and not choice.candidates["i2"].lost
     choice.left({"i2": GONE})
-    choice.heard(2.0, server("i2", 99))
+    choice.heard(2.0, ready_endpoint("i2", 99))
     assert not choice.takes("i2")
-    assert choice.heard(3.0, server("i1", 10)) and not choice.candidates["i1"].lost
+    assert choice.heard(3.0, ready_endpoint("i1", 10)) and not choice.candidates["i1"].lost
 
 
 def test_a_beat_that_came_elsewhere_brings_a_server_back() -> None:
     registry = EndpointRegistry(1500.0)
-    registry.record_heartbeat(0.0, server("i1"))
+    registry.record_heartbeat(0.0, ready_endpoint("i1"))
     assert registry.expire(5000.0) == ["i1"] and not registry.present()
     assert [one.id for one in registry.record_liveness(5100.0, [("i1", 2), ("i9", 1)])] == ["i1"]
     assert [one.id for one in registry.present()] == ["i1"] and registry.expire(5200.0) == []
@@ -490,7 +502,7 @@
 
 
 def copy_of(version: int, mark: str, standing: ConfigStatus) -> ConfigCopy:
-    return ConfigCopy(version, digest_of(text(version, mark)), b"", standing)
+    return ConfigCopy(version, digest_of(config_text(version, mark)), b"", standing)
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -523,7 +535,7 @@
             mine.took(due)
         numbers.append(mine.version)
         if mine.standing is ConfigStatus.SAFE:
-            assert mine.digest == digest_of(text(mine.version, safe[mine.version]))
+            assert mine.digest == digest_of(config_text(mine.version, safe[mine.version]))
     assert numbers == sorted(numbers)
     mine.told(now, copy_of(newest, safe[newest], ConfigStatus.CURRENT))
     assert mine.version <= newest or mine.standing is ConfigStatus.HELD
@@ -535,31 +547,31 @@
     events: list[str] = []
     monkeypatch.setattr(logs, "log_event", lambda name, **_: events.append(name))
 
-    async def two_texts(site: Site) -> None:
-        control_plane = site.control_planes[CONTROL_PLANES[0]]
-        await replace(control_plane, 1)
-        data_plane = await site.start_pilot(DATA_PLANES[0])
-        await site.until(lambda: data_plane.control_client.routing_table.version == 1)
+    async def two_texts(system: VirtualSystem) -> None:
+        control_plane = system.control_planes[CONTROL_PLANES[0]]
+        await replace_config(control_plane, 1)
+        data_plane = await system.start_data_plane(DATA_PLANES[0])
+        await system.wait_until(lambda: data_plane.control_client.routing_table.version == 1)
         good = data_plane.control_client.packed
-        other = zlib.compress(text(1, "other"))
+        other = zlib.compress(config_text(1, "other"))
         connection = next(iter(control_plane.data_planes)).connection
         for standing, by_control_plane in ((ConfigStatus.SAFE, True), (ConfigStatus.CURRENT, False)):
-            told = ["chart", 1, other, digest_of(text(1, "other")), int(standing)]
+            told = ["chart", 1, other, digest_of(config_text(1, "other")), int(standing)]
             data_plane.control_client.take(connection, told, by_control_plane)
             assert data_plane.control_client.packed == good
         data_plane.control_client.take(
-            connection, ["chart", 1, other, digest_of(text(1)), int(ConfigStatus.CURRENT)]
+            connection, ["chart", 1, other, digest_of(config_text(1)), int(ConfigStatus.CURRENT)]
         )
         assert data_plane.control_client.packed == good  # not the text of its digest: half a copy is none
         data_plane.control_client.take(
-            connection, ["chart", 1, other, digest_of(text(1, "other")), int(ConfigStatus.CURRENT)]
+            connection, ["chart", 1, other, digest_of(config_text(1, "other")), int(ConfigStatus.CURRENT)]
         )
         assert data_plane.control_client.packed == other
-        await site.until(
+        await system.wait_until(
             lambda: data_plane.control_client.packed == good
         )  # its lighthouses have another still
 
-    play(monkeypatch, two_texts)
+    run_virtual_system(monkeypatch, two_texts)
     assert events.count("config_two_texts") == 2
 
 
--- a/tests/controlplane/test_quota_takeover.py
+++ b/tests/controlplane/test_quota_takeover.py
@@ -9,7 +9,7 @@
 import trio
 
 from tests.dataplane.test_policy import EXCESS, SLACK, SPAN_S, most_in_a_span
-from tests.support.virtual_system import CONTROL_PLANES, DATA_PLANES, Site, play
+from tests.support.virtual_system import CONTROL_PLANES, DATA_PLANES, VirtualSystem, run_virtual_system
 from wickspring.common.connection import SILENCE_TIMEOUT_MS
 from wickspring.common.quota_rule import quota_ceiling
 from wickspring.common.routing_table import Tenant
@@ -199,25 +199,25 @@
 
 
 def test_other_core_machines_hear_of_a_cut_off_gateway_and_its_share(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test(site: Site) -> None:
+    async def test(system: VirtualSystem) -> None:
         for ip in DATA_PLANES:
-            await site.start_pilot(ip)
-        owner, *others = (site.control_planes[ip] for ip in CONTROL_PLANES[:3])
-        assert (await site.until_safe(CONTROL_PLANES[0], 1)).status == 200
+            await system.start_data_plane(ip)
+        owner, *others = (system.control_planes[ip] for ip in CONTROL_PLANES[:3])
+        assert (await system.commit_config(CONTROL_PLANES[0], 1)).status == 200
         name, tenant = next(
             (name, one)
             for name, one in owner.components.config_distributor.routing_table.tenants.items()
             if one.rate > 0
         )
-        await site.until(
+        await system.wait_until(
             lambda: all(
-                one.data_planes.live_count == len(DATA_PLANES) for one in site.control_planes.values()
+                one.data_planes.live_count == len(DATA_PLANES) for one in system.control_planes.values()
             )
         )
         for step in range(200):
             now, pilot = owner.clock.now(), DATA_PLANES[step % 4 == 0]
             owner.components.quota_counter.record_spent(now, name, pilot, tenant.rate, tenant.burst)
-        site.cut(DATA_PLANES[1])
+        system.cut(DATA_PLANES[1])
         await trio.sleep(0.5)
         for one in others:
             assert one.components.quota_counter.usage[name].shares == {
@@ -225,25 +225,25 @@
                 DATA_PLANES[1]: 0.25,
             }
             assert not one.components.quota_counter.unresponsive_until
-        await site.until(
+        await system.wait_until(
             lambda: all(
                 list(one.components.quota_counter.unresponsive_until) == [DATA_PLANES[1]] for one in others
             )
         )
-        site.kill(CONTROL_PLANES[2])
-        begun_anew = await site.start_light(
+        system.kill(CONTROL_PLANES[2])
+        begun_anew = await system.start_control_plane(
             CONTROL_PLANES[2]
         )  # it has never heard the gateway that is cut off
-        await site.until(
+        await system.wait_until(
             lambda: list(begun_anew.components.quota_counter.unresponsive_until) == [DATA_PLANES[1]]
         )
-        site.heal()
-        await site.until(
+        system.heal()
+        await system.wait_until(
             lambda: (
                 not any(
-                    one.components.quota_counter.unresponsive_until for one in site.control_planes.values()
+                    one.components.quota_counter.unresponsive_until for one in system.control_planes.values()
                 )
             )
         )
 
-    play(monkeypatch, test)
+    run_virtual_system(monkeypatch, test)
--- a/tests/controlplane/test_status.py
+++ b/tests/controlplane/test_status.py
@@ -6,7 +6,14 @@
 
 import pytest
 
-from tests.support.virtual_system import CONTROL_PLANES, DATA_PLANES, Site, beat, play, replace
+from tests.support.virtual_system import (
+    CONTROL_PLANES,
+    DATA_PLANES,
+    VirtualSystem,
+    replace_config,
+    run_virtual_system,
+    send_heartbeat,
+)
 from wickspring.controlplane.api.calls import ApiRequest
 from wickspring.controlplane.api.status import Status
 
@@ -43,12 +50,12 @@
 
 
 def test_status_keeps_its_names(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def read_status(site: Site) -> None:
-        control_plane = site.control_planes[CONTROL_PLANES[0]]
-        assert (await replace(control_plane, 3)).status == 200
-        assert (await beat(control_plane, "i1", 1)).status == 200
-        data_plane = await site.start_pilot(DATA_PLANES[0])
-        await site.until(lambda: data_plane.control_client.routing_table.version == 3)
+    async def read_status(system: VirtualSystem) -> None:
+        control_plane = system.control_planes[CONTROL_PLANES[0]]
+        assert (await replace_config(control_plane, 3)).status == 200
+        assert (await send_heartbeat(control_plane, "i1", 1)).status == 200
+        data_plane = await system.start_data_plane(DATA_PLANES[0])
+        await system.wait_until(lambda: data_plane.control_client.routing_table.version == 3)
         control_plane.components.quota_counter.acquire(control_plane.clock.now(), "t", "p", 5.0, 5.0)
         control_plane.replication.states.pop(CONTROL_PLANES[2])  # as before its first report
         response = await Status(control_plane).call(ApiRequest("GET", "/status", b""))
@@ -66,4 +73,4 @@
         assert status["servers"][0]["state"] == "ready"
         assert list(status["counts"]["t"]) == ["in_span", "left"] and status["counts"]["t"]["in_span"] == 1
 
-    play(monkeypatch, read_status)
+    run_virtual_system(monkeypatch, read_status)
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -1,4 +1,7 @@
-"""Real lighthouses and pilots in one process and virtual time: memory for cables, disks and datagrams."""
+"""Real control planes and data planes in one process and in virtual time.
+
+Connections, disks and datagrams are kept in memory; connections between machines can be cut.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from contextvars import ContextVar
 from random import Random
-from typing import Any
+from typing import Any, Literal
 
 import pytest
 import trio
@@ -28,26 +31,31 @@
 from wickspring.dataplane import process as dataplane_process
 from wickspring.dataplane.process import DataPlane
 from wickspring.lab.simulation.clock import VirtualClock
-from wickspring.lab.simulation.memory_link import MemoryLink
 from wickspring.net import host
 
 CONTROL_PLANES = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.0.4")
 DATA_PLANES = ("10.1.1.1", "10.1.1.2")
-_WHO: ContextVar[str] = ContextVar("machine")
+CURRENT_MACHINE: ContextVar[str] = ContextVar("machine")  # the address of the one whose code is running
+CHANNEL_SIZE = 100_000  # messages that wait to be received
+COMMIT_ATTEMPTS = 20
+COMMIT_RETRY_DELAY_S = 0.25
+POLL_S = 0.01
+
+CutDirection = Literal["both", "outbound", "inbound"]
 
 
-class Book:
-    """A disk that outlives its machine's lives."""
+class MemoryStore:
+    """A disk that outlives the processes of its machine."""
 
     def __init__(self) -> None:
-        self.kept: tuple[dict[str, Any], Replica] | None = None
+        self.saved: tuple[dict[str, Any], Replica] | None = None
         self.servers: list[Any] = []
 
     def load(self) -> tuple[dict[str, Any], Replica] | None:
-        return None if self.kept is None else (self.kept[0], self.kept[1].copy())
+        return None if self.saved is None else (self.saved[0], self.saved[1].copy())
 
     def save(self, durable: dict[str, Any], replica: Replica) -> None:
-        self.kept = durable, replica.copy()
+        self.saved = durable, replica.copy()
 
     def load_servers(self) -> list[Any]:
         return self.servers
@@ -56,237 +64,297 @@
         self.servers = servers
 
 
-class Datagrams:
-    """One pilot's datagrams."""
+class MemorySocket:
+    """One end of a connection."""
+
+    def __init__(self, system: VirtualSystem, local_ip: str, remote_ip: str) -> None:
+        self.system = system
+        self.local_ip = local_ip
+        self.remote_ip = remote_ip
+        self.to_inbox, self.inbox = trio.open_memory_channel[bytes](CHANNEL_SIZE)
+        self.peer = self
+
+    @property
+    def is_cut(self) -> bool:
+        return (self.local_ip, self.remote_ip) in self.system.cuts
+
+
+class MemoryLink:
+    """What a connection reads from and writes to."""
+
+    def __init__(self, sock: MemorySocket, _: trio.Nursery) -> None:
+        self.sock = sock
+        self.broken = False
+        sock.system.links.append(self)
+
+    def send(self, data: bytes) -> None:
+        if not self.broken and not self.sock.is_cut:
+            self.sock.peer.to_inbox.send_nowait(data)
 
-    def __init__(self, site: Site, ip: str) -> None:
-        self.site, self.ip = site, ip
-        self.put, self.got = trio.open_memory_channel[tuple[bytes, str]](100_000)
-        site.wires[ip] = self
+    async def receive(self) -> bytes:
+        data = b"" if self.broken else await self.sock.inbox.receive()
+        self.broken |= not data
+        return data
+
+    def finish(self) -> None:
+        self.send(b"")
+
+    def close(self) -> None:
+        if not self.broken:
+            self.send(b"")
+            self.broken = True
+            self.sock.to_inbox.send_nowait(b"")
+
+
+class MemoryDatagrams:
+    """The datagram socket of one data plane."""
+
+    def __init__(self, system: VirtualSystem, ip: str) -> None:
+        self.system = system
+        self.ip = ip
+        self.to_inbox, self.inbox = trio.open_memory_channel[tuple[bytes, str]](CHANNEL_SIZE)
+        system.datagram_sockets[ip] = self
 
     def send(self, ip: str, data: bytes) -> None:
-        if ip in self.site.wires and (self.ip, ip) not in self.site.cuts:
-            self.site.wires[ip].put.send_nowait((data, self.ip))
+        receiver = self.system.datagram_sockets.get(ip)
+        if receiver is not None and (self.ip, ip) not in self.system.cuts:
+            receiver.to_inbox.send_nowait((data, self.ip))
 
     async def receive(self) -> tuple[bytes, str]:
-        return await self.got.receive()
+        return await self.inbox.receive()
 
     def close(self) -> None:
         pass
 
 
-class Site:
-    """All machines of one test."""
+class VirtualSystem:
+    """All machines of one test, and the network between them."""
 
     def __init__(self, nursery: trio.Nursery, random: Random) -> None:
-        self.nursery, self.random = nursery, random
-        self.books = {ip: Book() for ip in CONTROL_PLANES}
+        self.nursery = nursery
+        self.random = random
+        self.stores = {ip: MemoryStore() for ip in CONTROL_PLANES}
         self.control_planes: dict[str, ControlPlane] = {}
         self.data_planes: dict[str, DataPlane] = {}
-        self.taken: dict[str, list[int]] = {}  # numbers that each pilot has gone by
+        self.adopted_versions: dict[str, list[int]] = {}  # of configurations, by data plane
         self.scopes: dict[str, trio.CancelScope] = {}
         self.links: list[MemoryLink] = []
-        self.wires: dict[str, Datagrams] = {}
-        self.cuts: set[tuple[str, str]] = set()
+        self.datagram_sockets: dict[str, MemoryDatagrams] = {}
+        self.cuts: set[tuple[str, str]] = set()  # sender and receiver
 
-    # The net.
+    # The network.
 
-    async def connect(self, address: tuple[str, int], wait_ms: float) -> MemoryLink | None:
-        mine, theirs = _WHO.get(), address[0]
-        if {(mine, theirs), (theirs, mine)} & self.cuts or theirs not in self.scopes:
-            await trio.sleep(wait_ms / 1000.0)
+    async def connect(self, address: tuple[str, int], timeout_ms: float) -> MemorySocket | None:
+        local_ip = CURRENT_MACHINE.get()
+        remote_ip = address[0]
+        is_cut = {(local_ip, remote_ip), (remote_ip, local_ip)} & self.cuts
+        if is_cut or remote_ip not in self.scopes:
+            await trio.sleep(timeout_ms / 1000.0)
             return None
-        here = MemoryLink(mine, theirs, lambda: (mine, theirs) not in self.cuts)
-        there = MemoryLink(theirs, mine, lambda: (theirs, mine) not in self.cuts)
-        here.attach(there)
-        self.links += [here, there]
-        clock = VirtualClock()
-
-        async def serve() -> None:
-            _WHO.set(theirs)
-            end = PeerConnection(there, clock)  # type: ignore[arg-type]
-            if theirs in self.control_planes:
-                await self.control_planes[theirs].peer_server.serve(end)
-            else:
-                await self.data_planes[theirs].gossip.serve(end)
-
-        self.nursery.start_soon(serve)
-        return here
-
-    def cut(self, *ips: str, way: str = "both", spare: tuple[str, ...] = ()) -> None:
-        """Cut these off from all others but the spared, both ways or one."""
+        local_end = MemorySocket(self, local_ip, remote_ip)
+        remote_end = MemorySocket(self, remote_ip, local_ip)
+        local_end.peer = remote_end
+        remote_end.peer = local_end
+        self.nursery.start_soon(self._serve, remote_end)
+        return local_end
+
+    async def _serve(self, sock: MemorySocket) -> None:
+        """Serve the accepted end of a connection as the process on its machine does."""
+        ip = sock.local_ip
+        CURRENT_MACHINE.set(ip)
+        link = MemoryLink(sock, self.nursery)
+        connection = PeerConnection(link, VirtualClock())  # type: ignore[arg-type]
+        if ip in self.control_planes:
+            await self.control_planes[ip].peer_server.serve(connection)
+        else:
+            await self.data_planes[ip].gossip.serve(connection)
+
+    def cut(self, *ips: str, direction: CutDirection = "both", reachable: tuple[str, ...] = ()) -> None:
+        """Cut machines off from all others but the reachable ones.
+
+        A cut that is `outbound` lets them receive, and one that is `inbound` lets them send.
+        """
         for ip in ips:
-            for other in {*CONTROL_PLANES, *DATA_PLANES} - {*ips, *spare}:
-                self.cuts |= {(ip, other)} if way != "deaf" else set()
-                self.cuts |= {(other, ip)} if way != "unheard" else set()
+            for other in {*CONTROL_PLANES, *DATA_PLANES} - {*ips, *reachable}:
+                if direction != "inbound":
+                    self.cuts.add((ip, other))
+                if direction != "outbound":
+                    self.cuts.add((other, ip))
 
     def heal(self) -> None:
+        """Let all machines reach each other again."""
         self.cuts.clear()
 
     # Machines.
 
-    async def start_light(self, ip: str, first: bool = False) -> ControlPlane:
+    async def start_control_plane(self, ip: str, is_first_start: bool = False) -> ControlPlane:
         settings = SETTINGS.replace("ip=10.1.0.30", f"ip={ip}").replace("edge-a-1", ip)
         settings = settings.replace("bind.front_http=10.1.0.30:8782", f"bind.control_addr={ip}:8783")
         settings = settings.replace("bind.ready_addr=10.1.0.30:8789\n", "")
-        await self._start(ip, settings + f"data_dir={ip}\n", first, self._light)
+        await self._start(ip, settings + f"data_dir={ip}\n", is_first_start, self._run_control_plane)
         return self.control_planes[ip]
 
-    async def start_pilot(self, ip: str) -> DataPlane:
+    async def start_data_plane(self, ip: str) -> DataPlane:
         settings = SETTINGS.replace("ip=10.1.0.30", f"ip={ip}").replace("edge-a-1", ip)
-        await self._start(ip, settings, False, self._pilot)
+        await self._start(ip, settings, False, self._run_data_plane)
         return self.data_planes[ip]
 
     async def _start(
         self,
         ip: str,
-        settings: str,
-        first: bool,
-        make: Callable[[settings_module.NodeSettings, trio.Nursery], None],
+        settings_text: str,
+        is_first_start: bool,
+        run: Callable[[settings_module.NodeSettings, trio.Nursery], None],
     ) -> None:
         seeds = ",".join(f"{seed}:8783" for seed in CONTROL_PLANES[:3])
-        settings = settings.replace("10.1.0.33:8783,10.2.0.25:8783", seeds)
-        told = settings_module.parse_settings(
-            settings.replace("is_first_start=true", f"is_first_start={str(first).lower()}")
+        settings_text = settings_text.replace("10.1.0.33:8783,10.2.0.25:8783", seeds)
+        first_start_line = f"is_first_start={str(is_first_start).lower()}"
+        settings = settings_module.parse_settings(
+            settings_text.replace("is_first_start=true", first_start_line)
         )
+        started = trio.Event()
 
         async def live() -> None:
-            _WHO.set(ip)
+            CURRENT_MACHINE.set(ip)
             with trio.CancelScope() as self.scopes[ip]:
                 async with trio.open_nursery() as nursery:
-                    make(told, nursery)
-                    made.set()
+                    run(settings, nursery)
+                    started.set()
                     await trio.sleep_forever()
 
-        made = trio.Event()
         self.nursery.start_soon(live)
-        await made.wait()
+        await started.wait()
 
-    def _light(self, told: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
-        control_plane = self.control_planes[told.ip] = ControlPlane(
-            told, nursery, self.random.getrandbits(32)
-        )
-        for task in (
-            control_plane.replication.run,
-            control_plane.replication.tick,
-            control_plane.maintenance.run,
-        ):
-            nursery.start_soon(task)
-
-    def _pilot(self, told: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
-        made = self.data_planes[told.ip] = DataPlane(told, nursery, self.random.getrandbits(32))
-        numbers = self.taken[told.ip] = []
-        charted = made.control_client._charted
-
-        def noted(routing_table: Any) -> None:
-            numbers.append(routing_table.version)
-            charted(routing_table)
-
-        made.control_client._charted = noted
-        for task in (made.control_client.tick, made.gossip.run):
-            nursery.start_soon(task)
+    def _run_control_plane(self, settings: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
+        control_plane = ControlPlane(settings, nursery, self.random.getrandbits(32))
+        self.control_planes[settings.ip] = control_plane
+        nursery.start_soon(control_plane.replication.run)
+        nursery.start_soon(control_plane.replication.tick)
+        nursery.start_soon(control_plane.maintenance.run)
+
+    def _run_data_plane(self, settings: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
+        data_plane = DataPlane(settings, nursery, self.random.getrandbits(32))
+        self.data_planes[settings.ip] = data_plane
+        self._record_adopted_versions(data_plane)
+        nursery.start_soon(data_plane.control_client.tick)
+        nursery.start_soon(data_plane.gossip.run)
+
+    def _record_adopted_versions(self, data_plane: DataPlane) -> None:
+        versions = self.adopted_versions[data_plane.settings.ip] = []
+        on_routing_table = data_plane.control_client._charted
+
+        def record(routing_table: Any) -> None:
+            versions.append(routing_table.version)
+            on_routing_table(routing_table)
+
+        data_plane.control_client._charted = record
 
     def kill(self, ip: str) -> None:
+        """End a machine's process at once; its disk stays."""
         self.scopes.pop(ip).cancel()
         self.control_planes.pop(ip, None)
-        for link in [link for link in self.links if link.local == ip]:
+        for link in [link for link in self.links if link.sock.local_ip == ip]:
             link.close()
 
+    # Waiting.
+
     @property
     def chain(self) -> list[str]:
-        """Return the chain of the newest view that anybody knows."""
-        best = max(
-            (one.replication.chain.view for one in self.control_planes.values()), key=lambda view: view.epoch
-        )
-        return [ip for ip, _ in best.chain]
-
-    async def settled(self) -> None:
-        """Wait until all lighthouses are in contact, and have been for long enough."""
-        await self.until(
+        """Return the chain of the newest view that any control plane knows."""
+        views = [control_plane.replication.chain.view for control_plane in self.control_planes.values()]
+        newest = max(views, key=lambda view: view.epoch)
+        return [ip for ip, _ in newest.chain]
+
+    async def wait_until_settled(self) -> None:
+        """Wait until all control planes have been in contact with a quorum for long enough."""
+        await self.wait_until(
             lambda: all(
-                one.components.contact.observe().name == "SETTLED" for one in self.control_planes.values()
+                control_plane.components.contact.observe().name == "SETTLED"
+                for control_plane in self.control_planes.values()
             )
         )
 
-    async def until_safe(self, ip: str, version: int) -> ApiResponse:
+    async def commit_config(self, ip: str, version: int) -> ApiResponse:
         """Send a configuration again until it is acknowledged, as an operator does."""
-        for _ in range(20):
-            said = await replace(self.control_planes[ip], version)
-            if said.status == 200:
+        for _ in range(COMMIT_ATTEMPTS):
+            response = await replace_config(self.control_planes[ip], version)
+            if response.status == 200:
                 break
-            await trio.sleep(0.25)
-        return said
+            await trio.sleep(COMMIT_RETRY_DELAY_S)
+        return response
 
     @staticmethod
-    async def until(what: Callable[[], bool], most_s: float = 20.0) -> float:
-        """Wait until something holds; the seconds that took."""
-        begun = trio.current_time()
-        while not what():
-            assert trio.current_time() - begun < most_s, "it does not come about"
-            await trio.sleep(0.01)
-        return trio.current_time() - begun
+    async def wait_until(condition: Callable[[], bool], timeout_s: float = 20.0) -> float:
+        """Wait until a condition holds; return the seconds that took."""
+        started_at = trio.current_time()
+        while not condition():
+            assert trio.current_time() - started_at < timeout_s, "the condition does not come to hold"
+            await trio.sleep(POLL_S)
+        return trio.current_time() - started_at
 
 
-# Calls.
+# Calls of servers and operators.
 
 
-def text(version: int, mark: str = "") -> bytes:
-    """Return a configuration of a number; another mark is another text."""
+def config_text(version: int, mark: str = "") -> bytes:
+    """Return a configuration of a version; another mark makes another text."""
     return json.dumps(document(generation=f"r{version}", note=mark)).encode()
 
 
-async def replace(control_plane: ControlPlane, version: int, mark: str = "") -> ApiResponse:
-    return await ConfigReplace(control_plane).call(ApiRequest("POST", "", text(version, mark)))
+async def replace_config(control_plane: ControlPlane, version: int, mark: str = "") -> ApiResponse:
+    request = ApiRequest("POST", "", config_text(version, mark))
+    return await ConfigReplace(control_plane).call(request)
 
 
-async def read(control_plane: ControlPlane) -> ApiResponse:
+async def read_config(control_plane: ControlPlane) -> ApiResponse:
     return await ConfigRead(control_plane).call(ApiRequest("GET", "", b""))
 
 
-async def beat(
-    control_plane: ControlPlane, id_: str, seq: int, state: str = "ready", zone: str = "a"
+async def send_heartbeat(
+    control_plane: ControlPlane, endpoint_id: str, sequence: int, state: str = "ready", zone: str = "a"
 ) -> ApiResponse:
-    told = {
+    body = {
         "address": "10.1.2.9:8080",
         "build_info": {"service": "s", "zone": zone, "capacity": 2},
-        "condition": {"state": state, "call_seq": seq},
+        "condition": {"state": state, "call_seq": sequence},
     }
-    return await Heartbeat(control_plane).call(ApiRequest("POST", "", json.dumps(told).encode(), {"id": id_}))
+    request = ApiRequest("POST", "", json.dumps(body).encode(), {"id": endpoint_id})
+    return await Heartbeat(control_plane).call(request)
 
 
-async def deregister(control_plane: ControlPlane, id_: str) -> ApiResponse:
-    return await Deregister(control_plane).call(ApiRequest("POST", "", b"", {"id": id_}))
+async def deregister(control_plane: ControlPlane, endpoint_id: str) -> ApiResponse:
+    return await Deregister(control_plane).call(ApiRequest("POST", "", b"", {"id": endpoint_id}))
 
 
-def server(id_: str, seq: int = 1) -> Endpoint:
-    return Endpoint(id_, "s", "10.1.2.9:8080", "a", 2, 0, seq)
+def ready_endpoint(endpoint_id: str, sequence: int = 1) -> Endpoint:
+    return Endpoint(endpoint_id, "s", "10.1.2.9:8080", "a", 2, 0, sequence)
 
 
-def play(
+def run_virtual_system(
     monkeypatch: pytest.MonkeyPatch,
-    test: Callable[[Site], Awaitable[None]],
+    test: Callable[[VirtualSystem], Awaitable[None]],
     control_planes: int = 3,
     seed: int = 1,
 ) -> None:
-    """Play a test with so many lighthouses, all settled, in virtual time."""
+    """Run a test with so many control planes, all settled, in virtual time."""
 
-    async def inline(what: Callable[..., Any], *args: Any) -> Any:
-        return what(*args)
+    async def run_inline(function: Callable[..., Any], *arguments: Any) -> Any:
+        return function(*arguments)
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            site = Site(nursery, Random(seed))
-            monkeypatch.setattr(controlplane_process, "ReplicaStore", lambda folder: site.books[folder])
-            monkeypatch.setattr(dataplane_process, "Udp", lambda ip, port: Datagrams(site, ip))
+            system = VirtualSystem(nursery, Random(seed))
+            monkeypatch.setattr(controlplane_process, "ReplicaStore", lambda folder: system.stores[folder])
+            monkeypatch.setattr(dataplane_process, "Udp", lambda ip, port: MemoryDatagrams(system, ip))
             for module in (connection_module, gossip):
-                monkeypatch.setattr(module, "connect", site.connect)
-                monkeypatch.setattr(module, "Link", lambda link, _: link)
+                monkeypatch.setattr(module, "connect", system.connect)
+                monkeypatch.setattr(module, "Link", MemoryLink)
             for ip in CONTROL_PLANES[:control_planes]:
-                await site.start_light(ip, first=ip in CONTROL_PLANES[:3])
-            await site.settled()
-            await test(site)
+                await system.start_control_plane(ip, is_first_start=ip in CONTROL_PLANES[:3])
+            await system.wait_until_settled()
+            await test(system)
             nursery.cancel_scope.cancel()
 
     monkeypatch.setattr(host, "Clock", VirtualClock)
-    monkeypatch.setattr(trio.to_thread, "run_sync", inline)
+    monkeypatch.setattr(trio.to_thread, "run_sync", run_inline)
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
