--- a/wickspring/common/connection.py
+++ b/wickspring/common/connection.py
@@ -1,7 +1,8 @@
-"""Cables between the system's own processes: msgpack messages, one after another, over TCP.
+"""Connections between processes of the system: msgpack messages, one after another, over TCP.
 
-A message is a list whose first part names it. Whoever holds the calling end dials again when a cable is
-silent for too long: after a cut, bytes that were under way may come seconds late or never.
+A message is an array whose first element is its name (`common.messages`). The side that connects also
+reconnects: it closes a connection on which nothing has arrived for `SILENCE_TIMEOUT_MS`, since after a
+network partition the bytes under way may arrive seconds late or never.
 """
 
 from __future__ import annotations
@@ -17,22 +18,24 @@
 from wickspring.common import logs
 from wickspring.common.errors import GatewayError
 from wickspring.common.messages.base import Message as TypedMessage
-from wickspring.common.messages.base import MessageDecoder
+from wickspring.common.messages.base import MessageDecoder, WireMessage
 from wickspring.net.clock import Clock
 from wickspring.net.link import Link, connect
 
-MAX_MESSAGE_BYTES = 4 << 20  # bytes of one message, and of all that waits to be read
-MAX_REASON_CHARACTERS = 120  # characters of a reason in the log
+MAX_MESSAGE_BYTES = 4 << 20  # of one message, and of all that waits to be read
+MAX_REASON_CHARACTERS = 120  # of a reason in the log
 CONNECT_TIMEOUT_MS = 400.0
-SILENCE_TIMEOUT_MS = 1300.0  # after which the other side is taken for out of reach
-HEARTBEAT_MS = 420.0  # how often something is said, so that silence means something
-RECONNECT_DELAY_MS = (120.0, 320.0)
-
-Message = list[Any]  # untyped; the callers that still use it are on their way to `common.messages`
-
+SILENCE_TIMEOUT_MS = 1300.0  # without a message, after which the other side counts as unreachable
+SILENCE_CHECKS_PER_TIMEOUT = 4
+HEARTBEAT_MS = 420.0  # between two heartbeats, several of which fit into the timeout
+RECONNECT_DELAY_MS = (120.0, 320.0)  # drawn evenly between the two
+ACCEPT_RETRY_S = 0.02  # after an error such as running out of descriptors
+NEVER_MS = -1e12
+
+Message = WireMessage  # untyped; for callers that have not moved to `common.messages` yet
 MessageT = TypeVar("MessageT", bound=TypedMessage)
 
-# What reading a message may raise that is none of this system's, or is spoilt: nothing else is caught for it.
+# What decoding or handling a foreign or damaged message may raise. Nothing else is caught for it.
 DECODE_ERRORS = (
     ValueError,
     TypeError,
@@ -46,66 +49,91 @@
 
 
 class PeerConnection:
-    """One end of a connected cable."""
-
-    def __init__(self, link: Link, clock: Clock) -> None:
-        self.link, self.clock = link, clock
-        self.heard_at = clock.now()
-        self.name = ""  # of the process at the other end, once it has said hello
-        self.about: dict[str, Any] = {}  # what it said of itself
+    """One end of an open connection."""
+
+    def __init__(self, link: Link, clock: Clock, peer_address: str = "") -> None:
+        self.link = link
+        self.clock = clock
+        self.last_received_at_ms = clock.now()
+        self.peer_address = peer_address  # IP of the process at the other end, once it is known
+        self.about: dict[str, Any] = {}  # for callers that do not keep their own state of a connection yet
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_MESSAGE_BYTES, strict_map_key=False)
 
-    def send(self, *message: object) -> None:
-        """Send a typed message, or the parts of an untyped one; a broken connection drops it."""
-        first = message[0]
-        self.link.send(first.encode() if isinstance(first, TypedMessage) else msgpack.packb(message))
+    @property
+    def name(self) -> str:
+        """Return `peer_address`, by its earlier name."""
+        return self.peer_address
+
+    @name.setter
+    def name(self, address: str) -> None:
+        self.peer_address = address
+
+    @property
+    def heard_at(self) -> float:
+        """Return `last_received_at_ms`, by its earlier name."""
+        return self.last_received_at_ms
 
     @property
     def live(self) -> bool:
-        """Tell whether the other side has been heard of late."""
-        return not self.link.broken and self.clock.now() - self.heard_at < SILENCE_TIMEOUT_MS
+        """Tell whether the connection is open and something has arrived within `SILENCE_TIMEOUT_MS`."""
+        silence_ms = self.clock.now() - self.last_received_at_ms
+        return not self.link.broken and silence_ms < SILENCE_TIMEOUT_MS
+
+    def send(self, *message: object) -> None:
+        """Send a typed message, or the parts of an untyped one; on a broken connection it is dropped."""
+        first = message[0]
+        self.link.send(first.encode() if isinstance(first, TypedMessage) else msgpack.packb(message))
 
     @overload
-    async def read(self, take: Callable[[PeerConnection, Message], None]) -> None: ...
+    async def read(self, on_message: Callable[[PeerConnection, Message], None]) -> None: ...
 
     @overload
     async def read(
-        self, take: Callable[[PeerConnection, MessageT], None], decoder: MessageDecoder[MessageT]
+        self, on_message: Callable[[PeerConnection, MessageT], None], decoder: MessageDecoder[MessageT]
     ) -> None: ...
 
     async def read(
-        self, take: Callable[[PeerConnection, Any], None], decoder: MessageDecoder[Any] | None = None
+        self,
+        on_message: Callable[[PeerConnection, Any], None],
+        decoder: MessageDecoder[Any] | None = None,
     ) -> None:
-        """Hand over each message until the connection ends; one that cannot be read ends it.
+        """Pass each message to `on_message` until the connection ends.
 
-        With a decoder messages come typed, and those whose names it does not know are passed over.
+        Messages whose name the decoder does not know are ignored. What is not a message, or raises one of
+        `DECODE_ERRORS` when it is decoded or handled, ends the reading; the latter is logged.
         """
         while True:
             data = await self.link.receive()
             if not data:
                 return
-            self.heard_at = self.clock.now()
+            self.last_received_at_ms = self.clock.now()
             try:
                 self._unpacker.feed(data)
                 for wire_message in self._unpacker:
-                    if not isinstance(wire_message, list) or not wire_message:
-                        return
-                    if not isinstance(wire_message[0], str):
+                    if not _is_message(wire_message):
                         return
                     message = wire_message if decoder is None else decoder.decode(wire_message)
                     if message is not None:
-                        take(self, message)
+                        on_message(self, message)
             except DECODE_ERRORS as error:
-                logs.log_event("message_bad", sender=self.name, reason=repr(error)[:MAX_REASON_CHARACTERS])
+                self._log_bad_message(error)
                 return
 
+    def _log_bad_message(self, error: Exception) -> None:
+        reason = repr(error)[:MAX_REASON_CHARACTERS]
+        logs.log_event("message_bad", sender=self.peer_address, reason=reason)
+
     def close(self) -> None:
-        """End it."""
+        """Close the connection."""
         self.link.close()
 
 
+def _is_message(value: object) -> bool:
+    return isinstance(value, list) and bool(value) and isinstance(value[0], str)
+
+
 class ReconnectingClient:
-    """The calling end of a cable to one address: dials, and dials again."""
+    """Keeps a connection to one address, and connects again when it ends."""
 
     def __init__(
         self,
@@ -118,22 +146,27 @@
         lost: Callable[[ReconnectingClient], None] = lambda _: None,
         decoder: MessageDecoder[Any] | None = None,
     ) -> None:
-        self.address, self.clock, self.nursery, self.random = address, clock, nursery, random
-        self._greet, self._take, self._lost = greet, take, lost
-        self._decoder = decoder
+        self.address = address
+        self.clock = clock
+        self.nursery = nursery
+        self.random = random
         self.connection: PeerConnection | None = None
-        self.tried_at = -1e12
+        self.tried_at = NEVER_MS
         self.closed = False
-        self._scope = trio.CancelScope()
-        self._hurried = trio.Event()
+        self._greet = greet
+        self._take = take
+        self._lost = lost
+        self._decoder = decoder
+        self._cancel_scope = trio.CancelScope()
+        self._reconnect_now = trio.Event()
 
     @property
     def live(self) -> bool:
-        """Tell whether the other side is in reach as far as is known."""
+        """Tell whether a connection is open and something has arrived on it recently."""
         return self.connection is not None and self.connection.live
 
     def send(self, *message: object) -> bool:
-        """Say something; False where nobody will hear it."""
+        """Send a message; False where there is no connection to send it on."""
         connection = self.connection
         if connection is None or connection.link.broken:
             return False
@@ -141,32 +174,42 @@
         return True
 
     def close(self) -> None:
-        """End it for good."""
+        """Close the connection and stop `run`."""
         self.closed = True
-        self._scope.cancel()
+        self._cancel_scope.cancel()
+
+    def reconnect_now(self) -> None:
+        """Connect without further delay unless connected: the other side has just shown that it is there."""
+        if self.connection is None:
+            self._reconnect_now.set()
+
+    def hurry(self) -> None:
+        """Do as `reconnect_now`, by its earlier name."""
+        self.reconnect_now()
 
     async def run(self) -> None:
-        """Keep a cable up until closed."""
-        with self._scope:
+        """Connect, and connect again, until closed."""
+        with self._cancel_scope:
             while not self.closed:
                 sock = await connect(self.address, CONNECT_TIMEOUT_MS)
                 self.tried_at = self.clock.now()
                 if sock is not None:
                     await self._use(sock)
-                with trio.move_on_after(self.random.uniform(*RECONNECT_DELAY_MS) / 1000.0):
-                    await self._hurried.wait()
-                self._hurried = trio.Event()
+                await self._wait_before_reconnecting()
 
-    def hurry(self) -> None:
-        """Dial at once where no cable is up: the other side has just shown that it is there."""
-        if self.connection is None:
-            self._hurried.set()
+    async def _wait_before_reconnecting(self) -> None:
+        delay_ms = self.random.uniform(*RECONNECT_DELAY_MS)
+        with trio.move_on_after(delay_ms / 1000.0):
+            await self._reconnect_now.wait()
+        self._reconnect_now = trio.Event()
 
     async def _use(self, sock: socket.socket) -> None:
-        connection = self.connection = PeerConnection(Link(sock, self.nursery), self.clock)
+        """Read from a new connection until it ends or nothing arrives any more."""
+        connection = PeerConnection(Link(sock, self.nursery), self.clock)
+        self.connection = connection
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._watch, connection)
+                nursery.start_soon(_close_when_silent, connection)
                 self._greet(connection)
                 if self._decoder is None:
                     await connection.read(self._take)
@@ -178,10 +221,12 @@
             self.connection = None
             self._lost(self)
 
-    async def _watch(self, connection: PeerConnection) -> None:
-        while connection.live:
-            await trio.sleep(SILENCE_TIMEOUT_MS / 4000.0)
-        connection.close()
+
+async def _close_when_silent(connection: PeerConnection) -> None:
+    interval_s = SILENCE_TIMEOUT_MS / 1000.0 / SILENCE_CHECKS_PER_TIMEOUT
+    while connection.live:
+        await trio.sleep(interval_s)
+    connection.close()
 
 
 async def accept_connections(
@@ -190,13 +235,13 @@
     nursery: trio.Nursery,
     serve: Callable[[PeerConnection], Awaitable[None]],
 ) -> None:
-    """Accept cables for as long as the process lives."""
+    """Accept connections until cancelled, and start `serve` in the nursery for each."""
     while True:
         try:
             sock, _ = listener.accept()
         except BlockingIOError:
             await trio.lowlevel.wait_readable(listener)
         except OSError:
-            await trio.sleep(0.02)
+            await trio.sleep(ACCEPT_RETRY_S)
         else:
             nursery.start_soon(serve, PeerConnection(Link(sock, nursery), clock))
