--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -22,7 +22,7 @@
 from tests.agent.test_config import example
 from wickspring import cli, config
 from wickspring.agent import processes, wire
-from wickspring.agent.keeper import Keeper
+from wickspring.agent.instance_controller import InstanceController
 from wickspring.agent.node import Node
 from wickspring.agent.store import Process, Store, StoreError
 from wickspring.agent.tls import who
@@ -541,13 +541,13 @@
         text = path.read_text()
         async with trio.open_nursery() as nursery:
             node._nursery = nursery
-            for keeper in node.keepers.values():
-                nursery.start_soon(keeper.run)
+            for controller in node.controllers.values():
+                nursery.start_soon(controller.run)
             await trio.testing.wait_all_tasks_blocked()
             path.write_text(text[: text.index('[[instance]]\nname = "n1"')])
             node.reread()
-            assert sorted(node.keepers) == sorted(node.home.records) == ["n0"]
-            await trio.sleep(1.2)  # past the next look of every keeper
+            assert sorted(node.controllers) == sorted(node.home.records) == ["n0"]
+            await trio.sleep(1.2)  # past the next look of every controller
             nursery.cancel_scope.cancel()
         node.store.close()
         path.write_text(text)
@@ -556,7 +556,7 @@
         held.store.close()
         path.write_text(text[: text.index('[[instance]]\nname = "n1"')])
         again = Node(load_fleet(path), "a0")  # a new agent, and the file has changed meanwhile
-        assert sorted(again.keepers) == sorted(again.home.records) == ["n0", "n1"]
+        assert sorted(again.controllers) == sorted(again.home.records) == ["n0", "n1"]
         with pytest.raises(WireError, match="no agent is called a9"):
             await again.exchange("a9", wire.Show())
 
@@ -577,7 +577,7 @@
     async def main() -> None:
         node = Node(load_fleet(fleet_file(tmp_path)), "a0")
         told = list[tuple[str, bool, int, int]]()
-        node.keepers["n0"].told = lambda *words: told.append(words)  # type: ignore[method-assign]
+        node.controllers["n0"].receive_report = lambda *words: told.append(words)  # type: ignore[method-assign]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(node._listen_notify)
             with trio.fail_after(10):
@@ -610,7 +610,7 @@
     try:
         while not pid_file.exists():
             pass
-        born = processes.born(started.pid)
+        born = processes.start_ticks(started.pid)
         assert processes.find(started.pid, born, "tok", pid_file) == (started.pid, born)
         assert processes.find(0, 0, "tok", pid_file) == (
             started.pid,
@@ -633,7 +633,7 @@
         try:
             while not pid_file.exists():
                 pass
-            born = processes.born(started.pid)
+            born = processes.start_ticks(started.pid)
             assert all(
                 processes.find(started.pid, born, "tok", pid_file) == (started.pid, born) for _ in range(20)
             )
@@ -653,21 +653,23 @@
         stubborn = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE)
         assert stubborn.stdout is not None
         stubborn.stdout.readline()
-        keeper: Keeper = node.keepers["n0"]
-        life = processes.Life(stubborn.pid, processes.born(stubborn.pid), "t", "1", 0, told_ready=True)
-        keeper.current = life
+        controller: InstanceController = node.controllers["n0"]
+        process = processes.InstanceProcess(
+            stubborn.pid, processes.start_ticks(stubborn.pid), "t", "1", 0, reported_ready=True
+        )
+        controller.current = process
         node.home = home.observe(node.home, "n0", Seen())
         held = node.home.records["n0"]
         stop = msgspec.structs.replace(held, want=Want(False, "1", 2))
         node.home = msgspec.structs.replace(node.home, records=node.home.records.insert("n0", stop))
         now = node.now()
-        keeper.step(now)
-        assert life.alive
+        controller.step(now)
+        assert process.alive
         assert node.home.records["n0"].seen.state == "draining"
-        keeper.step(now + 60.0)
+        controller.step(now + 60.0)
         with trio.fail_after(20):
-            await life.wait()
-        keeper.step(now + 61.0)
+            await process.wait()
+        controller.step(now + 61.0)
         assert node.home.records["n0"].seen.state == "stopped"
         assert "killed" in node.home.records["n0"].seen.note
         stubborn.stdout.close()
@@ -713,7 +715,7 @@
     async def main() -> None:
         node = Node(fleet, "a0")
         node.home = Home("a0")  # no processes in this test
-        node.keepers.clear()
+        node.controllers.clear()
         address = fleet.agent("a0").address
         async with trio.open_nursery() as nursery:
             host, _, port = address.rpartition(":")
--- /dev/null
+++ b/wickspring/agent/instance_controller.py
@@ -0,0 +1,391 @@
+"""Reconciles one instance with what is wanted of it: starts, replaces, drains and watches its processes.
+
+A replacement overlaps its predecessor if the fleet file says so: the successor listens on the same address,
+and the predecessor is drained once the successor is ready. A successor that does not become ready is given
+up, and the predecessor goes on serving. `InstanceController.step` makes all decisions and never waits.
+"""
+
+from __future__ import annotations
+
+import logging
+import math
+import secrets
+from collections.abc import Callable
+from pathlib import Path
+
+import msgspec
+import trio
+
+from wickspring.agent import processes
+from wickspring.agent.instance_launch import UnknownBuildError, plan_launch
+from wickspring.agent.processes import InstanceProcess
+from wickspring.agent.store import Process, Store, StoreError
+from wickspring.fleet.file import Fleet, FleetInstance
+from wickspring.fleet.model import Record, Seen, Want
+from wickspring.logs import kv
+
+log = logging.getLogger(__name__)
+
+REPORT_TIMEOUT_S = 3.0  # a process without a report for this long is called silent
+ADOPTION_GRACE_S = 2.0  # for an adopted process to report its state
+MIN_PAUSE_S = 0.05
+MAX_STEP_S = 1.0  # between two looks
+STORE_RETRY_S = 1.0  # until a start that could not be stored is tried again
+MAX_BACKOFF_DOUBLINGS = 16
+
+
+class InstanceController:
+    """The processes of one instance. Times are seconds of the clock `now`."""
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        instance: FleetInstance,
+        folder: Path,
+        store: Store,
+        notify: Path,
+        *,
+        record: Callable[[], Record],
+        report: Callable[[Seen], None],
+        now: Callable[[], float],
+    ) -> None:
+        self.fleet = fleet
+        self.instance = instance
+        self.folder = folder
+        self.store = store
+        self.notify = notify
+        self.record = record
+        self.report = report
+        self.now = now
+        self.current: InstanceProcess | None = None
+        self.successor: InstanceProcess | None = None
+        self.draining: list[InstanceProcess] = []
+        self.starts = 0
+        self.failures = 0  # in a row
+        self.last_exit: int | None = None
+        self.note = ""
+        self.pause_until = 0.0
+        self.ready_at = 0.0
+        self.changed = trio.Event()
+        self.scope = trio.CancelScope()  # once cancelled, its processes go on without a controller
+        self._nursery: trio.Nursery | None = None
+
+    @property
+    def processes(self) -> list[InstanceProcess]:
+        """Return all processes of the instance, the draining ones included."""
+        candidates = (self.current, self.successor, *self.draining)
+        return [process for process in candidates if process is not None]
+
+    def wake(self) -> None:
+        """Have the controller step at once."""
+        self.changed.set()
+
+    async def run(self) -> None:
+        """Control the instance until cancelled; its processes go on after that."""
+        with self.scope:
+            await self._run()
+
+    async def _run(self) -> None:
+        async with trio.open_nursery() as nursery:
+            self._nursery = nursery
+            for process in self.processes:
+                nursery.start_soon(self._watch, process)
+            while True:
+                self.changed = trio.Event()
+                due = self.step(self.now())
+                with trio.move_on_after(max(0.0, due - self.now())):
+                    await self.changed.wait()
+
+    async def _watch(self, process: InstanceProcess) -> None:
+        await process.wait()
+        self.wake()
+
+    # Adoption and reports.
+
+    def adopt(self, stored: list[Process]) -> None:
+        """Adopt the processes that an earlier agent left running."""
+        found = [process for process in map(self._find, stored) if process is not None]
+        found.sort(key=lambda process: process.start_ticks)
+        if found:
+            self.current = found[0]
+        if len(found) > 1:
+            self.successor = found[-1]
+            self.draining = found[1:-1]
+
+    def _find(self, stored: Process) -> InstanceProcess | None:
+        pid, start_ticks = processes.find(stored.pid, stored.born, stored.token, self._pid_file(stored.token))
+        if not pid:
+            self._forget(stored.token)
+            return None
+        process = InstanceProcess(
+            pid, start_ticks, stored.token, stored.build, stored.generation, adopted=True
+        )
+        process.started_at = process.last_report_at = self.now()
+        fields = {"name": self.instance.name, "pid": pid, "build": stored.build}
+        log.info("adopted", extra=kv(**fields))
+        return process
+
+    def receive_report(self, token: str, ready: bool, served: int, failed: int) -> None:
+        """Take in what the process with a token reports of itself."""
+        for process in self.processes:
+            if process.token != token:
+                continue
+            changed = process.reported_ready != ready
+            process.reported_ready = ready
+            process.last_report_at = self.now()
+            process.served = served
+            process.failed = failed
+            if changed:
+                self.wake()
+            else:
+                self._report(self.now(), self.record())
+
+    # Decisions.
+
+    def step(self, now: float) -> float:
+        """Do what is due now; return when to look again at the latest."""
+        record = self.record()
+        self._remove_ended(now, record.want.run)
+        due = self._kill_overdue(now)
+        if record.want.run:
+            due = min(due, self._reconcile(now, record.want))
+        else:
+            self._stop(now)
+        self._report(now, record)
+        return min(due, now + MAX_STEP_S)
+
+    def _remove_ended(self, now: float, wanted: bool) -> None:
+        for process in self.processes:
+            if not process.ended.is_set():
+                continue
+            self._forget(process.token)
+            if process in self.draining:
+                self.draining.remove(process)
+            else:
+                self._remove_serving(process)
+                if wanted:
+                    steady = process.reported_ready and self._is_steady(process, now)
+                    self._failed(now, f"ended with {process.exit_code}", steady)
+            self.last_exit = process.exit_code
+        if self.current is None:
+            self._promote_successor()
+
+    def _remove_serving(self, process: InstanceProcess) -> None:
+        if process is self.current:
+            self.current = None
+        if process is self.successor:
+            self.successor = None
+
+    def _promote_successor(self) -> None:
+        self.current = self.successor
+        self.successor = None
+
+    def _is_steady(self, process: InstanceProcess, now: float) -> bool:
+        return now - process.started_at > self.fleet.file.steady_s
+
+    def _failed(self, now: float, note: str, steady: bool = False) -> None:
+        """Note a failure, and pause before the next start: longer with each failure in a row."""
+        self.failures = 1 if steady else self.failures + 1
+        file = self.fleet.file
+        doublings = min(self.failures - 1, MAX_BACKOFF_DOUBLINGS)
+        pause = min(file.backoff_most_s, file.backoff_first_s * 2.0**doublings)
+        self.pause_until = now + max(pause, MIN_PAUSE_S)
+        self.note = note
+        fields = {"name": self.instance.name, "reason": note, "failures": self.failures, "pause": pause}
+        log.warning("instance_failed", extra=kv(**fields))
+
+    def _kill_overdue(self, now: float) -> float:
+        """Kill processes that have not drained in time; return when the next is due."""
+        due = math.inf
+        drain_within_s = self.fleet.file.rules.drain_within_s
+        for process in self.draining:
+            deadline = process.draining_since + drain_within_s
+            if now >= deadline:
+                self.note = f"killed: it had not drained after {drain_within_s:g} s"
+                processes.terminate(process, force=True)
+            else:
+                due = min(due, deadline)
+        return due
+
+    def _drain(self, process: InstanceProcess | None, now: float, force: bool = False) -> None:
+        if process is not None and process not in self.draining:
+            process.draining_since = now
+            processes.terminate(process, force)
+            self.draining.append(process)
+
+    def _stop(self, now: float) -> None:
+        self._drain(self.current, now)
+        self._drain(self.successor, now)
+        self.current = None
+        self.successor = None
+        self.failures = 0
+        self.pause_until = 0.0
+
+    def _reconcile(self, now: float, want: Want) -> float:
+        """Come closer to what is wanted of a running instance; return when to look again."""
+        if self._awaits_adopted(now):
+            assert self.current is not None
+            return self.current.started_at + ADOPTION_GRACE_S
+        if self._replace(now, want):
+            return now
+        self._give_up_late_starts(now)
+        current = self.current
+        if current is not None and current.reported_ready and current.runs(want):
+            if self.failures and self._is_steady(current, now):
+                self.failures = 0
+                self.note = ""
+            return math.inf
+        starting = current if current is not None and current.runs(want) else self.successor
+        if starting is not None:
+            return starting.started_at + self.fleet.file.rules.ready_within_s
+        return self._start(now, want)
+
+    def _awaits_adopted(self, now: float) -> bool:
+        """Tell whether the current process was adopted and may still report that it is ready."""
+        current = self.current
+        if current is None or not current.adopted or current.reported_ready:
+            return False
+        return now < current.started_at + ADOPTION_GRACE_S
+
+    def _replace(self, now: float, want: Want) -> bool:
+        """Drain what runs another build than wanted; True where a successor has taken over."""
+        if self.successor is not None and not self.successor.runs(want):
+            self._drain(self.successor, now)
+            self.successor = None
+        if self.current is None:
+            return False
+        if self.current.runs(want):
+            self._drain(self.successor, now)
+            self.successor = None
+            return False
+        if not (self.fleet.file.overlap and self.current.reported_ready):
+            self._drain(self.current, now)
+            self._promote_successor()
+            return self.current is not None
+        if self.successor is None or not self.successor.reported_ready:
+            return False
+        self._drain(self.current, now)
+        self._promote_successor()
+        self.failures = 0
+        self.note = ""
+        return True
+
+    def _give_up_late_starts(self, now: float) -> None:
+        """Kill what was started here and did not become ready in time."""
+        ready_within_s = self.fleet.file.rules.ready_within_s
+        for process in (self.current, self.successor):
+            if process is None or process.reported_ready or process.adopted:
+                continue
+            if now >= process.started_at + ready_within_s:
+                self._failed(now, f"not ready after {ready_within_s:g} s")
+                self._drain(process, now, force=True)
+                self._remove_serving(process)
+
+    def _start(self, now: float, want: Want) -> float:
+        """Start a process unless a pause holds it up; return when to look again."""
+        if now < self.pause_until:
+            return self.pause_until
+        if self.current is None and self.draining and not self.fleet.file.overlap:
+            return now + MIN_PAUSE_S  # its address is not free yet
+        process = self._launch(now, want)
+        if process is None:
+            return self.pause_until
+        if self.current is None:
+            self.current = process
+        else:
+            self.successor = process
+        return now + self.fleet.file.rules.ready_within_s
+
+    # Processes.
+
+    def _pid_file(self, token: str) -> Path:
+        return self.folder / f"{self.instance.name}.{token}.pid"
+
+    def _launch(self, now: float, want: Want) -> InstanceProcess | None:
+        """Start a process; None where that failed, with the pause set until the next attempt."""
+        name = self.instance.name
+        token = secrets.token_hex(8)
+        intent = Process(name, token, 0, 0, want.build, want.generation)
+        try:
+            plan = plan_launch(self.fleet, self.instance, want.build, self.notify)
+            # Stored before the process exists: an agent killed now finds it by its pid file.
+            self.store.keep(processes=[intent])
+            log_file, pid_file = self.folder / f"{name}.log", self._pid_file(token)
+            started = processes.launch(plan.command, plan.folder, plan.environment, log_file, pid_file, token)
+        except UnknownBuildError as error:
+            self._failed(now, str(error))
+            return None
+        except StoreError as error:
+            self.note = str(error)
+            self.pause_until = now + STORE_RETRY_S
+            return None
+        except OSError as error:
+            self._forget(token)
+            self._failed(now, f"cannot be started: {error}")
+            return None
+        process = InstanceProcess(
+            started.pid, processes.start_ticks(started.pid), token, want.build, want.generation
+        )
+        process.started_at = process.last_report_at = now
+        self._note_start(process, intent)
+        return process
+
+    def _note_start(self, process: InstanceProcess, intent: Process) -> None:
+        try:
+            stored = msgspec.structs.replace(intent, pid=process.pid, born=process.start_ticks)
+            self.store.keep(processes=[stored])
+        except StoreError as error:
+            self.note = str(error)
+        self.starts += 1
+        fields = {"build": process.build, "generation": process.generation}
+        log.info("started", extra=kv(name=self.instance.name, pid=process.pid, **fields))
+        if self._nursery is not None:
+            self._nursery.start_soon(self._watch, process)
+
+    def _forget(self, token: str) -> None:
+        self._pid_file(token).unlink(missing_ok=True)
+        try:
+            self.store.keep(ended=[token])
+        except StoreError as error:
+            self.note = str(error)  # a row too many does no harm: no process has its token
+
+    # Reports.
+
+    def _state(self, now: float, record: Record) -> str:
+        """Return the state in the words of `Seen.state`."""
+        if not record.want.run:
+            return "draining" if self.draining else "stopped"
+        if self.current is None:
+            return "waiting" if now < self.pause_until else "starting"
+        if not self.current.reported_ready:
+            return "starting"
+        return "silent" if now - self.current.last_report_at > REPORT_TIMEOUT_S else "ready"
+
+    def _report(self, now: float, record: Record) -> None:
+        state = self._state(now, record)
+        if state != "ready":
+            self.ready_at = 0.0
+        elif not self.ready_at:
+            self.ready_at = now
+        seen = Seen(
+            state=state,
+            build=record.seen.build,
+            generation=record.seen.generation,
+            version=record.want.version,
+            ready_at=self.ready_at,
+            starts=self.starts,
+            failures=self.failures,
+            last_exit=self.last_exit,
+            note=self.note,
+        )
+        process = self.current
+        if process is not None:
+            seen = msgspec.structs.replace(
+                seen,
+                build=process.build,
+                generation=process.generation,
+                pid=process.pid,
+                requests=process.served,
+                failed=process.failed,
+            )
+        self.report(seen)
--- a/wickspring/agent/node.py
+++ b/wickspring/agent/node.py
@@ -16,7 +16,7 @@
 
 from wickspring import __version__
 from wickspring.agent import control, wire
-from wickspring.agent.keeper import Keeper
+from wickspring.agent.instance_controller import InstanceController
 from wickspring.agent.store import Store, StoreError
 from wickspring.agent.tls import who
 from wickspring.agent.wire import Answer, Peer
@@ -66,7 +66,7 @@
         self.operations: dict[str, Operation] = {one.id: one for one in self.store.operations()}
         agents = [one.name for one in fleet.file.agent]
         self.view = View(name, agents, now(), fleet.file.rules, os.getpid())
-        self.keepers: dict[str, Keeper] = {}
+        self.controllers: dict[str, InstanceController] = {}
         self._nursery: trio.Nursery | None = None
         self._register()
 
@@ -85,15 +85,15 @@
             self._put(home.forget(self.home, name))
             if name in self.home.records:
                 log.warning("not_in_the_file", extra=kv(name=name, reason="it runs on; drain it first"))
-        for name in [name for name in self.keepers if name not in self.home.records]:
-            self.keepers.pop(name).scope.cancel()
+        for name in [name for name in self.controllers if name not in self.home.records]:
+            self.controllers.pop(name).scope.cancel()
         kept = self.store.processes()
         for name in self.home.records:
-            keeper = self.keepers.get(name)
-            if keeper is None:
+            controller = self.controllers.get(name)
+            if controller is None:
                 # One that the file names no more is kept as well: what runs must be there to be drained.
                 one = own.get(name, FleetInstance(name, self.me.name, config=""))
-                keeper = self.keepers[name] = Keeper(
+                controller = self.controllers[name] = InstanceController(
                     self.fleet,
                     one,
                     self.folder,
@@ -103,11 +103,11 @@
                     report=partial(self._seen, name),
                     now=self.now,
                 )
-                keeper.adopt([process for process in kept if process.name == name])
+                controller.adopt([process for process in kept if process.name == name])
                 if self._nursery is not None:
-                    self._nursery.start_soon(keeper.run)
-            keeper.fleet, keeper.instance = self.fleet, own.get(name, keeper.instance)
-            keeper.poke()
+                    self._nursery.start_soon(controller.run)
+            controller.fleet, controller.instance = self.fleet, own.get(name, controller.instance)
+            controller.wake()
 
     def _record(self, name: str) -> Record:
         return self.home.records[name]
@@ -136,8 +136,8 @@
             self.store.keep(records=changed, gone=gone, slots=slots, events=[(now, text) for text in events])
         self.home = after
         for record in changed:
-            if record.name in self.keepers:
-                self.keepers[record.name].poke()
+            if record.name in self.controllers:
+                self.controllers[record.name].wake()
 
     def records(self) -> rollout.Records:
         """Return the whole fleet as heard of, and the own instances as they are."""
@@ -364,9 +364,9 @@
                 figures = dict(word.partition("=")[::2] for word in pairs.get("STATUS", "").split())
                 said = [figures.get(key, "") for key in ("served", "refused", "failed")]
                 ends = [int(text) if text.isascii() and text.isdigit() else 0 for text in said]
-                for keeper in self.keepers.values():
+                for controller in self.controllers.values():
                     ready = pairs.get("READY") == "1"
-                    keeper.told(pairs.get("X_TOKEN", ""), ready, sum(ends), ends[2])
+                    controller.receive_report(pairs.get("X_TOKEN", ""), ready, sum(ends), ends[2])
 
     async def _serve_tcp(self, stream: trio.SocketStream) -> None:
         peer = Peer("agent", agent=True, role="operate")  # without TLS, on loopback alone
@@ -409,11 +409,11 @@
                 nursery.start_soon(self._listen_notify)
                 nursery.start_soon(partial(trio.serve_listeners, self._serve_tcp, listeners))
                 nursery.start_soon(partial(trio.serve_listeners, self._serve_local, [local]))
-                for keeper in self.keepers.values():
-                    nursery.start_soon(keeper.run)
+                for controller in self.controllers.values():
+                    nursery.start_soon(controller.run)
                 nursery.start_soon(self.gossip)
                 nursery.start_soon(self.coordinate)
-                log.info("agent_up", extra=kv(name=self.me.name, instances=len(self.keepers)))
+                log.info("agent_up", extra=kv(name=self.me.name, instances=len(self.controllers)))
                 if started is not None:
                     started()
                 async for signum in signals:
@@ -424,7 +424,7 @@
                 for peer in self.view.peers(3):
                     with trio.move_on_after(0.5):
                         await self._round(peer)
-                log.info("agent_leaves", extra=kv(name=self.me.name, running=len(self.keepers)))
+                log.info("agent_leaves", extra=kv(name=self.me.name, running=len(self.controllers)))
                 nursery.cancel_scope.cancel()
         (self.folder / "local").unlink(missing_ok=True)
         self.store.close()
@@ -441,4 +441,4 @@
         except (ConfigError, StoreError) as error:
             log.error("reread_failed", extra=kv(reason=error))
             return
-        log.info("reread", extra=kv(instances=len(self.keepers)))
+        log.info("reread", extra=kv(instances=len(self.controllers)))
--- a/wickspring/agent/processes.py
+++ b/wickspring/agent/processes.py
@@ -1,8 +1,8 @@
-"""Processes of instances: started so that they outlive the agent, known again by pid and start time.
+"""Processes of instances: started so that they outlive the agent, identified by pid and start time.
 
-A process is started by way of a small shell that writes its pid into a file before it becomes the program: an
-agent killed at any moment finds there what it had started. Its end is seen on a pidfd, which works for
-processes that another agent, now dead, was the parent of.
+A process is started through a small shell that writes its pid to a file before it executes the program, so
+an agent that was killed at any moment finds there what it had started. The end of a process is awaited on a
+pidfd (pidfd_open(2)), which works for processes whose parent was another agent as well.
 """
 
 from __future__ import annotations
@@ -18,14 +18,16 @@
 
 import trio
 
-EXEC_S = 0.25  # s at most that a process takes to become another program, on the most crowded of machines
-_LOOK_S = 0.001  # s between two looks meanwhile
+from wickspring.fleet.model import Want
+
+EXEC_TIMEOUT_S = 0.25  # for execve(2) to take effect, on a machine under heavy load
+EXEC_POLL_S = 0.001
 
 _SHELL = 'echo $$ > "$0.new" && mv "$0.new" "$0" && exec "$@"'
 
 
-def born(pid: int) -> int:
-    """Return when a process started, in ticks since the machine did; 0 where there is none (or a zombie)."""
+def start_ticks(pid: int) -> int:
+    """Return when a process started, in clock ticks since boot (proc(5)); 0 if there is none, or a zombie."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     except OSError:
@@ -36,42 +38,46 @@
 def has_token(pid: int, token: str) -> bool:
     """Tell whether a process was started with this token.
 
-    The system shows an empty environment while a process becomes another program: that says nothing yet.
+    The kernel shows an empty environment during execve(2), so an empty one is read again.
     """
-    until = time.monotonic() + EXEC_S
+    deadline = time.monotonic() + EXEC_TIMEOUT_S
     try:
         while not (environment := Path(f"/proc/{pid}/environ").read_bytes()):
-            if not born(pid) or time.monotonic() > until:
+            if not start_ticks(pid) or time.monotonic() > deadline:
                 return False
-            time.sleep(_LOOK_S)
+            time.sleep(EXEC_POLL_S)
     except OSError:
         return False
     return f"GW_TOKEN={token}".encode() in environment.split(b"\0")
 
 
 @dataclass(slots=True, eq=False)
-class Life:
-    """One process of an instance, started here or found again."""
+class InstanceProcess:
+    """One process of an instance, started here or adopted. Times are seconds of the agent's clock."""
 
     pid: int
-    born: int
+    start_ticks: int  # with the pid its identity: pids are used again
     token: str
     build: str
     generation: int
     adopted: bool = False
-    told_ready: bool = False  # by its own word
-    told_at: float = 0.0
+    reported_ready: bool = False
+    last_report_at: float = 0.0
     served: int = 0
     failed: int = 0
     exit_code: int | None = None
     ended: trio.Event = field(default_factory=trio.Event)
-    began_at: float = 0.0
+    started_at: float = 0.0
     draining_since: float = 0.0
 
+    def runs(self, want: Want) -> bool:
+        """Tell whether it is of the wanted build and generation."""
+        return (self.build, self.generation) == (want.build, want.generation)
+
     @property
     def alive(self) -> bool:
         """Tell whether it runs."""
-        return not self.ended.is_set() and born(self.pid) == self.born
+        return not self.ended.is_set() and start_ticks(self.pid) == self.start_ticks
 
     def send(self, signum: int) -> None:
         """Send a signal, if it is still the same process."""
@@ -86,7 +92,7 @@
         except OSError:  # it has ended already
             pidfd = -1
         try:
-            if pidfd >= 0 and born(self.pid) == self.born:
+            if pidfd >= 0 and start_ticks(self.pid) == self.start_ticks:
                 await trio.lowlevel.wait_readable(pidfd)
         finally:
             if pidfd >= 0:
@@ -104,13 +110,13 @@
 
 
 def launch(
-    words: list[str], folder: Path, env: dict[str, str], log: Path, pid_file: Path, token: str
+    arguments: list[str], folder: Path, env: dict[str, str], log: Path, pid_file: Path, token: str
 ) -> subprocess.Popen[bytes]:
     """Start a process in a session of its own, its output in a file."""
     pid_file.unlink(missing_ok=True)
     with log.open("ab") as out:
         return subprocess.Popen(
-            ["/bin/sh", "-c", _SHELL, str(pid_file), *words],
+            ["/bin/sh", "-c", _SHELL, str(pid_file), *arguments],
             cwd=folder,
             env={**env, "GW_TOKEN": token},
             stdin=subprocess.DEVNULL,
@@ -120,20 +126,20 @@
         )
 
 
-def find(pid: int, started: int, token: str, pid_file: Path) -> tuple[int, int]:
-    """Find a process again; return its pid and start, or zeros where it runs no more.
+def find(pid: int, known_ticks: int, token: str, pid_file: Path) -> tuple[int, int]:
+    """Find a process that was started earlier; return its pid and start ticks, or zeros if it has ended.
 
-    Where the agent was killed between the start and its note, the pid comes from the process's own file.
+    If the agent was killed before it stored the pid (0 here), the process's own pid file has it.
     """
     if not pid:
         with suppress(OSError, ValueError):
             pid = int(pid_file.read_text())
-    now = born(pid) if pid else 0
-    if not now or (started and now != started) or not has_token(pid, token):
+    ticks = start_ticks(pid) if pid else 0
+    if not ticks or (known_ticks and ticks != known_ticks) or not has_token(pid, token):
         return 0, 0
-    return pid, now
+    return pid, ticks
 
 
-def end(life: Life, hard: bool = False) -> None:
-    """Ask a process to drain, or end it."""
-    life.send(signal.SIGKILL if hard else signal.SIGTERM)
+def terminate(process: InstanceProcess, force: bool = False) -> None:
+    """Ask a process to drain (SIGTERM), or kill it."""
+    process.send(signal.SIGKILL if force else signal.SIGTERM)
