--- a/wickspring/ctl/__main__.py
+++ b/wickspring/ctl/__main__.py
@@ -113,19 +113,19 @@
 
         It has two data planes, three control planes and six servers.
         """
-        from wickspring.lab.emulation.local_gateway import up
+        from wickspring.lab.emulation.local_gateway import run_toy
 
-        up(seconds)
+        run_toy(seconds)
 
     def drill(self, name: str = "", seed: int = 1, seconds: float = 9.0, file: str = "") -> str:
         """Play a drill on loopback and check the rules; without a name, list the drills."""
-        from wickspring.lab.experiments.drill import DRILLS, play
+        from wickspring.lab.experiments.drill import DRILLS, run_drill
 
         if not name:
             return "\n".join(DRILLS)
         if name not in DRILLS:
             return f"no drill {name}; there are {', '.join(DRILLS)}"
-        text = json.dumps(play(name, seed, seconds), indent=JSON_INDENT)
+        text = json.dumps(run_drill(name, seed, seconds), indent=JSON_INDENT)
         if file:
             Path(file).write_text(text + "\n")
         return text
