--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -14,6 +14,8 @@
 
 from wickspring.ctl import client
 from wickspring.ctl.__main__ import Commands, main
+from wickspring.ctl.drills import DRILL_NAMES
+from wickspring.lab.experiments.drill import DRILLS
 
 STATUS: dict[str, Any] = {
     "node": "light-127.0.1.1",
@@ -254,15 +256,26 @@
 
 
 def test_a_drill_without_a_known_name_lists_them() -> None:
-    names = Commands().drill().splitlines()
-    assert {
-        "calm",
-        "orders",
-        "lights-one-by-one",
-        "all-lights",
-        "all-lights-hot",
-        "pilots",
-        "liars",
-        "drains",
-    } <= set(names)
-    assert Commands().drill("none-such").startswith("no drill none-such; there are calm, orders")
+    names = [line.split() for line in Commands().drill().splitlines()]
+    assert [name for name, _ in names] == list(DRILL_NAMES)
+    assert [former.strip("()") for _, former in names] == list(DRILLS)
+    assert Commands().drill("none-such").startswith("no drill none-such; there are no-fault, config-changes")
+
+
+@pytest.mark.parametrize(("name", "former"), DRILL_NAMES.items())
+def test_a_drill_runs_by_its_standard_and_its_former_name(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path, name: str, former: str
+) -> None:
+    runs: list[tuple[str, int, float]] = []
+
+    def run_drill(drill: str, seed: int, seconds: float) -> dict[str, str]:
+        runs.append((drill, seed, seconds))
+        return {"drill": drill}
+
+    monkeypatch.setattr("wickspring.lab.experiments.drill.run_drill", run_drill)
+    file = tmp_path / "result.json"
+    expected = f'{{\n "drill": "{former}"\n}}'
+    assert Commands().drill(name, seed=3, seconds=1.0, file=str(file)) == expected
+    assert Commands().drill(former, seed=3, seconds=1.0) == expected
+    assert runs == [(former, 3, 1.0)] * 2
+    assert file.read_text() == f"{expected}\n"
--- a/wickspring/ctl/__main__.py
+++ b/wickspring/ctl/__main__.py
@@ -15,6 +15,7 @@
 import msgspec
 
 from wickspring.ctl.client import NoControlPlaneError, RefusedError, call, call_ok
+from wickspring.ctl.drills import DRILL_NAMES, describe_drills, stored_drill_name
 from wickspring.ctl.reports import (
     ReplaceReport,
     RestoreReport,
@@ -118,14 +119,15 @@
         run_toy(seconds)
 
     def drill(self, name: str = "", seed: int = 1, seconds: float = 9.0, file: str = "") -> str:
-        """Play a drill on loopback and check the rules; without a name, list the drills."""
+        """Run a drill on loopback and check the rules; without a name, list the drills."""
         from wickspring.lab.experiments.drill import DRILLS, run_drill
 
         if not name:
-            return "\n".join(DRILLS)
-        if name not in DRILLS:
-            return f"no drill {name}; there are {', '.join(DRILLS)}"
-        text = json.dumps(run_drill(name, seed, seconds), indent=JSON_INDENT)
+            return describe_drills()
+        stored_name = stored_drill_name(name)
+        if stored_name not in DRILLS:
+            return f"no drill {name}; there are {', '.join(DRILL_NAMES)}"
+        text = json.dumps(run_drill(stored_name, seed, seconds), indent=JSON_INDENT)
         if file:
             Path(file).write_text(text + "\n")
         return text
