--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -25,7 +25,7 @@
 from wickspring.controlplane.replication.view import View
 from wickspring.dataplane.process import DataPlane
 from wickspring.lab.faults.core_faults import Chaos
-from wickspring.membership.anti_entropy import Digest
+from wickspring.membership.anti_entropy import Digest, EntryVersion
 
 ODD: list[Any] = [
     None,
@@ -213,8 +213,8 @@
 def test_a_pilot_takes_whatever_comes_over_cables_and_datagrams() -> None:
     random = Random(6)
     server = Endpoint("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
-    digest = Digest("127.0.9.9", {"127.0.9.9": (1.0, 2, 3)}, "", "")
-    probe = [digest.low, digest.high, digest.heard]
+    digest = Digest("127.0.9.9", {"127.0.9.9": EntryVersion(1.0, 2, 3)}, "", "")
+    probe = [digest.low, digest.high, digest.versions]
     messages: list[list[Any]] = [
         ["sum", 1, 3, 9, 20],
         ["moved", 1],
--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -382,9 +382,9 @@
                 other = next(one for one in views if one.agent == name)
                 if other.agent in cut:
                     continue
-                news = other.answer(view.digest())
+                news = other.delta(view.digest())
                 view.hear(news, now)
-                other.hear(view.follow(news.wants), now)
+                other.hear(view.requested_entries(news.requested), now)
     return now
 
 
@@ -412,16 +412,16 @@
 def test_older_words_are_passed_over_and_a_new_life_outdoes_an_old_one() -> None:
     one, other = View("a0", ["a0", "a1"], NOW, RULES), View("a1", ["a0", "a1"], NOW, RULES)
     other.tick(Content((record("n0"),)))
-    old = other.answer(one.digest())
+    old = other.delta(one.digest())
     one.hear(old, NOW)
     other.tick(Content(()))
-    one.hear(other.answer(one.digest()), NOW + 1.0)
+    one.hear(other.delta(one.digest()), NOW + 1.0)
     assert not one.records()
     one.hear(old, NOW + 2.0)
     assert not one.records()
     again = View("a1", ["a0", "a1"], NOW + 9.0, RULES)
     again.tick(Content((record("n1"),)))
-    one.hear(again.answer(one.digest()), NOW + 9.0)
+    one.hear(again.delta(one.digest()), NOW + 9.0)
     assert list(one.records()) == ["n1"]
 
 
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -39,20 +39,20 @@
 # Gossip among many.
 
 
-def talk(one: Membership[MemberInfo], other: Membership[MemberInfo], now: float) -> None:
-    """Have two members talk, as links do."""
+def exchange(one: Membership[MemberInfo], other: Membership[MemberInfo], now: float) -> None:
+    """Have two members exchange a round, as links do."""
     for member in (one, other):
         member.now = max(member.now, now)
-    doubts = one.doubts(other.owner, 6)
-    fresh = one.fresh(4)
-    news = other.answer(one.digest(8), 16)
-    other.hear(fresh)
-    other.doubted(doubts)
-    other.reached(one.owner)
-    one.hear((*news.entries, *other.fresh(4)))
-    one.doubted(other.doubts(one.owner, 6))
-    one.reached(other.owner)
-    other.hear(one.follow(news.wants, 16).entries)
+    suspicions = one.take_suspicions(other.owner, 6)
+    updates = one.take_pending(4)
+    delta = other.delta(one.digest(8), 16)
+    other.merge_entries(updates)
+    other.merge_suspicions(suspicions)
+    other.record_contact(one.owner)
+    one.merge_entries((*delta.entries, *other.take_pending(4)))
+    one.merge_suspicions(other.take_suspicions(one.owner, 6))
+    one.record_contact(other.owner)
+    other.merge_entries(one.requested_entries(delta.requested, 16).entries)
 
 
 class Fleet:
@@ -80,88 +80,90 @@
                     continue
                 mine = self.members[name]
                 mine.tick(self.now)
-                target = mine.target() or self.names[0]
+                target = mine.next_probe_target() or self.names[0]
                 if target == name:
                     continue
                 if self.reaches(name, target):
-                    talk(mine, self.members[target], self.now)
-                elif any(self.reaches(name, h) and self.reaches(h, target) for h in mine.helpers(target)):
-                    mine.vouched(target)
+                    exchange(mine, self.members[target], self.now)
+                elif any(
+                    self.reaches(name, h) and self.reaches(h, target) for h in mine.select_helpers(target)
+                ):
+                    mine.record_indirect_contact(target)
                 else:
-                    mine.unreached(target)
+                    mine.suspect(target)
 
 
-def test_a_stretch_of_the_names_and_changes_handed_on_bring_every_entry_to_all() -> None:
+def test_digest_ranges_and_piggybacked_changes_bring_every_entry_to_all() -> None:
     fleet = Fleet(60)
     fleet.rounds(24)
     assert all(len(one.entries) == 60 for one in fleet.members.values())
-    sizes = [len(one.digest(8).heard) for one in fleet.members.values()]
+    sizes = [len(one.digest(8).versions) for one in fleet.members.values()]
     assert max(sizes) <= 9  # whatever the members: eight and the own
-    fleet.members["n007"].write(MemberInfo("moved"))
+    fleet.members["n007"].update_own(MemberInfo("moved"))
     fleet.rounds(9)
-    heard = sum(one.about("n007") == MemberInfo("moved") for one in fleet.members.values())
+    heard = sum(one.info_of("n007") == MemberInfo("moved") for one in fleet.members.values())
     assert heard == 60
 
 
-def test_a_stretch_covers_names_that_only_the_other_knows() -> None:
+def test_a_digest_range_covers_names_that_only_the_other_side_knows() -> None:
     one, other = AntiEntropyTable("b", 1.0, "b"), AntiEntropyTable("e", 1.0, "e")
     for name in "acdfgh":
-        other.learn([AntiEntropyTable(name, 1.0, name).own])
+        other.merge([AntiEntropyTable(name, 1.0, name).own])
     found = set[str]()
     for _ in range(14):
-        news = other.answer(one.digest(2), 2)
-        one.learn(news.entries)
-        found |= {entry.owner for entry in news.entries}
+        delta = other.delta(one.digest(2), 2)
+        one.merge(delta.entries)
+        found |= {entry.owner for entry in delta.entries}
     assert found == set("acdefgh")
 
 
-def test_a_dead_member_is_given_up_and_one_that_only_one_cannot_reach_is_not() -> None:
+def test_a_dead_member_is_declared_dead_and_one_that_only_one_cannot_reach_is_not() -> None:
     fleet = Fleet(12)
     fleet.rounds(20)
     fleet.dead.add("n005")
     fleet.cut |= {("n001", "n002"), ("n002", "n001")}
     fleet.rounds(40)
     living = [one for name, one in fleet.members.items() if name != "n005"]
-    assert all(one.standing("n005") is MemberState.GONE for one in living)
-    assert fleet.members["n001"].standing("n002") is not MemberState.GONE
-    assert all(one.standing("n002") is MemberState.ALIVE for one in living[3:])
+    assert all(one.state_of("n005") is MemberState.DEAD for one in living)
+    assert fleet.members["n001"].state_of("n002") is not MemberState.DEAD
+    assert all(one.state_of("n002") is MemberState.ALIVE for one in living[3:])
     fleet.dead.clear()
-    fleet.members["n005"] = fleet.begin("n005", fleet.now, 99)  # a new life outdoes the doubts
+    fleet.members["n005"] = fleet.begin("n005", fleet.now, 99)  # a new life refutes the suspicions
     fleet.rounds(20)
-    assert all(one.standing("n005") is MemberState.ALIVE for one in fleet.members.values())
+    assert all(one.state_of("n005") is MemberState.ALIVE for one in fleet.members.values())
 
 
-def test_halves_that_were_cut_find_each_other_and_nobody_is_forgotten() -> None:
+def test_the_halves_of_a_partition_find_each_other_and_nobody_is_forgotten() -> None:
     fleet = Fleet(10)
     fleet.rounds(20)
     half, rest = fleet.names[:5], fleet.names[5:]
     fleet.cut = {(one, other) for one in half for other in rest}
     fleet.rounds(40)
-    assert all(fleet.members[one].standing(other) is MemberState.GONE for one in half for other in rest)
-    assert all(fleet.members[one].standing(other) is MemberState.ALIVE for one in half for other in half)
+    assert all(fleet.members[one].state_of(other) is MemberState.DEAD for one in half for other in rest)
+    assert all(fleet.members[one].state_of(other) is MemberState.ALIVE for one in half for other in half)
     fleet.cut.clear()
     fleet.rounds(40)
     assert all(
-        one.standing(other) is MemberState.ALIVE for one in fleet.members.values() for other in fleet.names
+        one.state_of(other) is MemberState.ALIVE for one in fleet.members.values() for other in fleet.names
     )
 
 
-def test_who_was_stopped_gives_the_others_time_and_answers_what_was_said_of_it() -> None:
+def test_a_member_that_was_stopped_gives_the_others_time_and_refutes_suspicions() -> None:
     fleet = Fleet(6)
     fleet.rounds(15)
     one = fleet.members["n000"]
-    one.unreached("n001")
-    assert one.standing("n001") is MemberState.DOUBTED
+    one.suspect("n001")
+    assert one.state_of("n001") is MemberState.SUSPECTED
     one.tick(fleet.now + 60.0)  # stopped for a minute: that says nothing of n001
-    assert one.standing("n001") is MemberState.DOUBTED
+    assert one.state_of("n001") is MemberState.SUSPECTED
     other = fleet.members["n001"]
-    before = other.own.newness
-    talk(one, other, fleet.now + 60.0)
-    assert other.own.newness > before  # it was told of the doubt, and has outdone it
-    assert one.standing("n001") is MemberState.ALIVE
+    before = other.own.version
+    exchange(one, other, fleet.now + 60.0)
+    assert other.own.version > before  # it was sent the suspicion, and has refuted it
+    assert one.state_of("n001") is MemberState.ALIVE
     old = Membership("n001", 5.0, MemberInfo("x"), 0.5, 1, 0.0)
-    old.doubted([Suspicion("n001", 9.0, 3, "n002")])  # of a life by a clock that was ahead
-    assert old.own.newness > (9.0, 3)
+    old.merge_suspicions([Suspicion("n001", 9.0, 3, "n002")])  # of a life by a clock that was ahead
+    assert old.own.version > (9.0, 3)
 
 
 # Counts.
--- a/wickspring/agent/node.py
+++ b/wickspring/agent/node.py
@@ -171,7 +171,7 @@
         if isinstance(message, wire.Gossip):
             if not peer.agent:
                 return Answer(error="only agents gossip")
-            return Answer(news=self.view.answer(message.digest))
+            return Answer(news=self.view.delta(message.digest))
         if isinstance(message, wire.Push):
             if not peer.agent:
                 return Answer(error="only agents gossip")
@@ -198,7 +198,9 @@
             program = entry.content.program if entry is not None and entry.content is not None else ""
             health = self.view.health(one.name, now).value
             agents.append(
-                wire.AgentView(one.name, one.hall, health, program, entry.beat if entry is not None else 0)
+                wire.AgentView(
+                    one.name, one.hall, health, program, entry.heartbeat if entry is not None else 0
+                )
             )
         history: tuple[wire.HistoryLine, ...] = ()
         if message.history:
@@ -347,8 +349,8 @@
             if news is None:
                 return
             self.view.hear(news, self.now())
-            if news.wants:
-                await self.exchange(peer, wire.Push(self.view.follow(news.wants)))
+            if news.requested:
+                await self.exchange(peer, wire.Push(self.view.requested_entries(news.requested)))
         except WireError:
             return  # its silence is what the view judges it by
 
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -20,7 +20,7 @@
 from wickspring.common import logs
 from wickspring.common.connection import DECODE_ERRORS, Message, PeerConnection
 from wickspring.common.settings_file import parse_ip
-from wickspring.membership.anti_entropy import Digest, Entry
+from wickspring.membership.anti_entropy import Digest, Entry, EntryVersion
 from wickspring.membership.swim import MemberInfo, Membership, Suspicion
 from wickspring.net.clock import Clock
 from wickspring.net.datagrams import Datagrams
@@ -88,12 +88,12 @@
     def introduce(self, ips: list[str]) -> None:
         """Talk to these pilots, which a lighthouse has named."""
         for ip in ips:
-            if ip != self.ip and self.members.about(ip) is None:
+            if ip != self.ip and self.members.info_of(ip) is None:
                 self._probe(ip)
 
     def pass_on(self, kind: str, told: Any) -> None:
         """Tell a piece of news to a few others."""
-        living = self.members.living()
+        living = self.members.active_members()
         for name in self.random.sample(living, min(MATES, len(living))):
             self._send(name, kind, told)
 
@@ -108,7 +108,7 @@
         told = []
         for one in entries[:ENTRIES]:
             left = None if one.content is None else one.content.left
-            told.append([one.owner, one.incarnation, one.beat, one.number, left])
+            told.append([one.owner, one.incarnation, one.heartbeat, one.content_version, left])
         return told
 
     def _hear(self, told: list[Any]) -> None:
@@ -116,16 +116,19 @@
             Entry(parse_ip(o), float(i), int(b), int(n), None if left is None else MemberInfo(o, bool(left)))
             for o, i, b, n, left in told
         ]
-        self.members.hear(entries)
+        self.members.merge_entries(entries)
 
     def _doubts(self, ip: str) -> list[Any]:
-        return [[one.name, one.incarnation, one.beat, one.by] for one in self.members.doubts(ip, DOUBTS)]
+        return [
+            [one.name, one.incarnation, one.heartbeat, one.accuser]
+            for one in self.members.take_suspicions(ip, DOUBTS)
+        ]
 
     def _probe(self, ip: str, answered: Callable[[], None] = lambda: None) -> int:
         self._number += 1
         self._waits[self._number] = answered
         digest = self.members.digest(NAMED)
-        heard = [digest.low, digest.high, digest.heard]
+        heard = [digest.low, digest.high, digest.versions]
         self._send(ip, "probe", self._number, heard, list(self.holds.state()), self._doubts(ip))
         return self._number
 
@@ -136,8 +139,8 @@
             await trio.sleep(ROUND_S * self.random.uniform(0.8, 1.2))
             for name in self.members.tick(self.clock.now() / 1000.0):
                 logs.log_event("pilot_gone", data_plane=name, left=self.members.size)
-            self.members.write(MemberInfo(self.ip), beat=False)
-            target = self.members.target()
+            self.members.update_own(MemberInfo(self.ip), heartbeat=False)
+            target = self.members.next_probe_target()
             if target is not None:
                 self.nursery.start_soon(self._ask, target)
 
@@ -149,18 +152,18 @@
             await answered.wait()
         self._waits.pop(number, None)
         if answered.is_set():
-            self.members.reached(ip)
+            self.members.record_contact(ip)
             return
-        for helper in self.members.helpers(ip):
+        for helper in self.members.select_helpers(ip):
             self._number += 1
             self._waits[self._number] = answered.set
             self._send(helper, "reach", self._number, ip)
         with trio.move_on_after(2 * WORD_S):
             await answered.wait()
         if answered.is_set():
-            self.members.vouched(ip)
+            self.members.record_indirect_contact(ip)
         else:
-            self.members.unreached(ip)
+            self.members.suspect(ip)
 
     async def _reach(self, asker: str, number: int, ip: str) -> None:
         answered = trio.Event()
@@ -185,9 +188,9 @@
         name = message[0]
         if name == "probe":
             _, _, number, (low, high, heard), state, doubts = message
-            known = {str(k): (float(v[0]), int(v[1]), int(v[2])) for k, v in heard.items()}
-            news = self.members.answer(Digest(ip, known, low, high), ENTRIES)
-            entries = (*news.entries, *self.members.fresh(ENTRIES - len(news.entries)))
+            known = {str(k): EntryVersion(float(v[0]), int(v[1]), int(v[2])) for k, v in heard.items()}
+            news = self.members.delta(Digest(ip, known, low, high), ENTRIES)
+            entries = (*news.entries, *self.members.take_pending(ENTRIES - len(news.entries)))
             self._send(ip, "word", number, self._entries(entries), list(self.holds.state()), self._doubts(ip))
             self._hear([[ip, *heard[ip], False]] if ip in heard else [])
             self._doubted(doubts)
@@ -210,7 +213,7 @@
             self.holds.take(PeerConnection(_NOWHERE, self.clock), [name, message[2]])
 
     def _doubted(self, doubts: list[Any]) -> None:
-        self.members.doubted(Suspicion(str(n), float(i), int(b), str(by)) for n, i, b, by in doubts)
+        self.members.merge_suspicions(Suspicion(str(n), float(i), int(b), str(by)) for n, i, b, by in doubts)
 
     # Gaps.
 
--- a/wickspring/fleet/views.py
+++ b/wickspring/fleet/views.py
@@ -1,7 +1,7 @@
 """What every agent knows of the fleet, spread by gossip, and who of the agents is dead, slow or well.
 
-The gossip is that of `gossip/book.py`, with a digest of all: an agent's entry holds a beat that it raises at
-every round, and its instances and operations.
+The gossip is that of `membership/anti_entropy.py`, with a digest of all: an agent's entry holds a heartbeat
+that it raises at every round, and its instances and operations.
 
 Whether an agent lives is judged by its beats, by whichever way they come (phi accrual: how unlikely so long a
 pause is, given the pauses seen). A slow agent's beats come late and go on; a dead one's stop. Nothing is ever
@@ -20,7 +20,7 @@
 from rpds import HashTrieMap
 
 from wickspring.fleet.model import Operation, Record, Rules
-from wickspring.membership.anti_entropy import AntiEntropyTable, Entry, News
+from wickspring.membership.anti_entropy import AntiEntropyTable, Delta, Entry
 from wickspring.membership.failure_detector import PhiAccrualDetector
 
 JUDGED_SHARE = 0.2  # of a round, for which a judgement holds
@@ -46,7 +46,7 @@
     left: bool = False  # it was ended on purpose
 
 
-AgentNews = News[Content]
+AgentNews = Delta[Content]
 
 
 class View(AntiEntropyTable[Content]):
@@ -68,7 +68,7 @@
         self.entries = self._whole
         self._records = None
 
-    def takes(self, name: str) -> bool:
+    def accepts(self, name: str) -> bool:
         """Tell whether there is such an agent."""
         return name in self.agents
 
@@ -76,7 +76,7 @@
 
     def tick(self, content: Content) -> None:
         """Raise the own beat, with new content where it differs."""
-        self.write(content)
+        self.update_own(content)
 
     def peers(self, count: int = 2) -> list[str]:
         """Choose whom to talk to in this round."""
@@ -85,12 +85,12 @@
 
     def hear(self, news: AgentNews, now: float) -> None:
         """Take entries in; each that is news is a beat of its agent."""
-        for old, entry in self.learn(news.entries):
+        for old, entry in self.merge(news.entries):
             pulse = self._pulses.get(entry.owner)
             if pulse is None or (old is not None and entry.incarnation > old.incarnation):
                 self._pulses[entry.owner] = PhiAccrualDetector(now)
             else:
-                pulse.beat(now)
+                pulse.record_heartbeat(now)
 
     # Readings.
 
@@ -108,7 +108,7 @@
             return Health.DEAD
         if phi >= self.rules.suspect_phi:
             return Health.SUSPECT
-        return Health.SLOW if pulse.slow(self.rules.gossip_s) else Health.ALIVE
+        return Health.SLOW if pulse.is_slow(self.rules.gossip_s) else Health.ALIVE
 
     def dead(self, now: float) -> frozenset[str]:
         """Return the agents that were heard of once and are not any more."""
--- a/wickspring/lab/simulation/gossip.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -168,17 +168,21 @@
         result["news_all_s"] = await fleet.until(1.0, lambda one: one.version == 2)
         ended = random.choice(all_).ip
         fleet.net.dead.add(ended)
-        result["gone_half_s"] = await fleet.until(0.5, lambda one: ended not in one.talk.members.living())
-        rest = await fleet.until(1.0, lambda one: ended not in one.talk.members.living())
+        result["gone_half_s"] = await fleet.until(
+            0.5, lambda one: ended not in one.talk.members.active_members()
+        )
+        rest = await fleet.until(1.0, lambda one: ended not in one.talk.members.active_members())
         result["gone_all_s"] = rest if rest < 0 else round(result["gone_half_s"] + rest, 2)
         unheard = random.choice(fleet.living)
         fleet.net.mute.add(unheard.ip)
         rest = await fleet.until(
-            1.0, lambda one: one is unheard or unheard.ip not in one.talk.members.living()
+            1.0, lambda one: one is unheard or unheard.ip not in one.talk.members.active_members()
         )
         result["unheard_gone_s"] = rest
         fleet.net.mute.clear()
-        back = await fleet.until(1.0, lambda one: one is unheard or unheard.ip in one.talk.members.living())
+        back = await fleet.until(
+            1.0, lambda one: one is unheard or unheard.ip in one.talk.members.active_members()
+        )
         result["unheard_back_s"] = back
         nursery.cancel_scope.cancel()
 
--- a/wickspring/lab/simulation/large_fleet.py
+++ b/wickspring/lab/simulation/large_fleet.py
@@ -22,6 +22,7 @@
 from wickspring.lab.reports.record import Record as Sights
 from wickspring.lab.reports.result import Result
 from wickspring.lab.simulation.ingress_site import Timeline
+from wickspring.membership.anti_entropy import Digest
 
 BASE = 1_000_000.0  # seconds; the agents' clock at the beginning
 HOP_MS = (0.5, 3.0)
@@ -68,16 +69,17 @@
             other = self.fleet.agents[peer]
             self.fleet.send(other, partial(self._round, other, self.view.digest()))
 
-    def _round(self, other: VirtualAgent, digest: object) -> None:
-        news = other.view.answer(digest)  # type: ignore[arg-type]
+    def _round(self, other: VirtualAgent, digest: Digest) -> None:
+        """Have another agent answer a digest, and send it the entries that it requests."""
+        delta = other.view.delta(digest)
 
-        def back() -> None:
-            self.view.hear(news, self.fleet.now)
-            if news.wants:
-                follow = self.view.follow(news.wants)
-                self.fleet.send(other, lambda: other.view.hear(follow, self.fleet.now))
+        def on_delta() -> None:
+            self.view.hear(delta, self.fleet.now)
+            if delta.requested:
+                requested = self.view.requested_entries(delta.requested)
+                self.fleet.send(other, lambda: other.view.hear(requested, self.fleet.now))
 
-        self.fleet.send(self, back)
+        self.fleet.send(self, on_delta)
 
     # Requests.
 
@@ -176,13 +178,13 @@
         """Do something again and again, from a moment drawn."""
         self.timeline.every(ms, self.random.random(), action)
 
-    def send(self, to: VirtualAgent, action: object) -> None:
+    def send(self, to: VirtualAgent, action: Callable[[], None]) -> None:
         """Send a message; one to a dead agent is lost."""
         self.messages += 1
 
         def arrive() -> None:
             if to.alive:
-                action()  # type: ignore[operator]
+                action()
 
         self.timeline.at(self.timeline.now + self.random.uniform(*HOP_MS), arrive)
 
--- a/wickspring/lab/simulation/large_peers.py
+++ b/wickspring/lab/simulation/large_peers.py
@@ -68,7 +68,7 @@
 
     def _round(self) -> None:
         self.party.tick(self.fleet.now)
-        target = self.party.members.target()
+        target = self.party.members.next_probe_target()
         if self.party.knocks(target):
             self.talk(self.fleet.seed_of(self.number), True)
         if target is not None:
@@ -98,18 +98,18 @@
         fleet, members = self.fleet, self.party.members
 
         def asked() -> None:
-            helpers = members.helpers(name)
+            helpers = members.select_helpers(name)
             if any(fleet.reaches(self.name, one) and fleet.reaches(one, name) for one in helpers):
-                members.vouched(name)
+                members.record_indirect_contact(name)
             else:
-                members.unreached(name)
+                members.suspect(name)
 
         fleet.timeline.at(fleet.timeline.now + LOST_MS + HELPERS_MS, asked)
 
     def talk(self, name: str, gossip: bool) -> bool:
         """Make one talk; False where it is lost."""
         fleet = self.fleet
-        word = self.party.word(fleet.now, name if self.party.members.about(name) else "", gossip)
+        word = self.party.word(fleet.now, name if self.party.members.info_of(name) else "", gossip)
         self.given += len(msgspec.json.encode(word)) + 1
         if not fleet.reaches(self.name, name):
             fleet.timeline.at(fleet.timeline.now + LOST_MS, partial(self.party.lost, name, word))
--- a/wickspring/membership/__init__.py
+++ b/wickspring/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Words of many members, spread by push and pull; who is a member, well or gone. No I/O and no clock."""
+"""Membership of many processes: anti-entropy, SWIM and failure detection, without I/O or a clock."""
--- a/wickspring/membership/anti_entropy.py
+++ b/wickspring/membership/anti_entropy.py
@@ -1,14 +1,14 @@
-"""Every member's own word as one member holds it, spread by push and pull. No I/O and no clock.
+"""A replicated table in which each member writes one entry, spread by push-pull gossip. No I/O, no clock.
 
-A member's entry is its own to write: a beat that it raises, and a content whose number it raises when it
-differs. A round begins with a digest (incarnation, beat and content number by member) and is answered with
-the entries that are newer, and the names of those that the other has newer. So a change reaches n members in
-about log2 n rounds, and what has not changed costs a few bytes.
+A member's entry is its own to write: it raises the entry's heartbeat, and the content's version where the
+content differs. A round begins with a digest (incarnation, heartbeat and content version by member) and is
+answered by a delta: the entries that are newer, and the names of those that the other side has newer. So a
+change reaches n members in about log2 n rounds, and what has not changed costs a few bytes.
 
-Among few members the digest names all. Among many it names those of a stretch of the names, in their order
-round a ring, and the stretch moves on with each round: what a digest of all would cost grows with the
-members, and this does not. A change is also handed on by itself, a few times that grow with the logarithm
-of the members, so that it need not wait until the stretch comes round.
+Among few members the digest names all. Among many it names those of a range of the sorted names, and the
+range moves on round a ring with each round: the cost of a digest of all would grow with the members, this one
+does not. A change is also piggybacked by itself a number of times that grows with the logarithm of the
+members, so that it need not wait until the range comes round.
 """
 
 from __future__ import annotations
@@ -16,41 +16,62 @@
 import math
 from bisect import bisect_right, insort
 from collections.abc import Iterable, Mapping
-from typing import Generic, TypeVar, cast
+from typing import Generic, NamedTuple, TypeVar, cast
 
 import msgspec
 
-C = TypeVar("C")
+Content = TypeVar("Content")
 
-HANDED_ON = 0.5  # times log2 of the members that a change is handed on
-FRESH_MOST = 512  # changes that wait to be handed on; older ones go with the stretch
+PIGGYBACK_FACTOR = 0.5  # times log2 of the members: how often a change is piggybacked
+MAX_PENDING_UPDATES = 512  # changes that wait to be piggybacked; older ones go with the digest's range
 
 
-class Entry(msgspec.Struct, Generic[C], frozen=True, rename={"owner": "agent"}):
-    """A member's own word."""
+class EntryVersion(NamedTuple):
+    """What a digest says of one entry."""
+
+    incarnation: float
+    heartbeat: int
+    content_version: int
+
+
+# The names in `rename` below are those of the messages on the wire.
+
+
+class Entry(
+    msgspec.Struct,
+    Generic[Content],
+    frozen=True,
+    rename={"owner": "agent", "heartbeat": "beat", "content_version": "number"},
+):
+    """A member's own entry."""
 
     owner: str
-    incarnation: float = 0.0  # when the member began: a later one outdoes an earlier one's beats
-    beat: int = 0
-    number: int = 0  # of its content
-    content: C | None = None  # None where only the beat is told
+    incarnation: float = 0.0  # when the member started: a later one supersedes an earlier one's heartbeats
+    heartbeat: int = 0
+    content_version: int = 0
+    content: Content | None = None  # None where only the heartbeat is sent
 
     @property
-    def newness(self) -> tuple[float, int]:
-        """Compare entries of one member by this."""
-        return self.incarnation, self.beat
+    def version(self) -> tuple[float, int]:
+        """Return what entries of one member are ordered by."""
+        return self.incarnation, self.heartbeat
+
+    @property
+    def digest(self) -> EntryVersion:
+        """Return what a digest says of this entry."""
+        return EntryVersion(self.incarnation, self.heartbeat, self.content_version)
 
 
-class Digest(msgspec.Struct, frozen=True):
-    """What a round begins with: incarnation, beat and content number by member."""
+class Digest(msgspec.Struct, frozen=True, rename={"versions": "heard"}):
+    """The first message of a round: entry versions by member."""
 
     sender: str
-    heard: dict[str, tuple[float, int, int]]
-    low: str = ""  # the stretch of names that `heard` is whole for, from here
+    versions: dict[str, EntryVersion]
+    low: str = ""  # the range of names for which `versions` is complete, from here
     high: str = ""  # to before here, round the ring; both empty: all names
 
     def covers(self, name: str) -> bool:
-        """Tell whether a name lies in the stretch."""
+        """Tell whether a name lies in the range."""
         if not self.low and not self.high:
             return True
         if self.low < self.high:
@@ -58,134 +79,157 @@
         return name >= self.low or name < self.high
 
 
-class News(msgspec.Struct, Generic[C], frozen=True):
-    """What a round answers with: entries that the other lacks, and the members it has newer ones of."""
+class Delta(msgspec.Struct, Generic[Content], frozen=True, rename={"requested": "wants"}):
+    """The answer to a digest: entries that the sender is missing, and the members it has newer entries of."""
 
-    entries: tuple[Entry[C], ...] = ()
-    wants: tuple[str, ...] = ()
+    entries: tuple[Entry[Content], ...] = ()
+    requested: tuple[str, ...] = ()
 
 
-class AntiEntropyTable(Generic[C]):
+class AntiEntropyTable(Generic[Content]):
     """One member's copy of all entries."""
 
-    def __init__(self, owner: str, incarnation: float, content: C) -> None:
+    def __init__(self, owner: str, incarnation: float, content: Content) -> None:
         self.owner = owner
-        self.entries: Mapping[str, Entry[C]] = {}
+        self.entries: Mapping[str, Entry[Content]] = {}
         self._names: list[str] = []  # sorted
-        self._cursor = owner  # where the next stretch begins
-        self._fresh: dict[str, int] = {}  # changes to hand on, and how often yet
+        self._cursor = owner  # where the next digest's range begins
+        self._pending: dict[str, int] = {}  # changes to piggyback, and how many times are left
         self._put(Entry(owner, incarnation, content=content))
 
+    # Writes.
+
     @property
-    def own(self) -> Entry[C]:
+    def own(self) -> Entry[Content]:
         """Return the own entry."""
         return self.entries[self.owner]
 
-    def write(self, content: C, beat: bool = True) -> bool:
-        """Raise the own beat, with new content where it differs; without `beat` only where it does."""
+    def update_own(self, content: Content, heartbeat: bool = True) -> bool:
+        """Raise the own heartbeat, with new content where it differs; return whether it differs.
+
+        Without `heartbeat`, content that does not differ writes nothing.
+        """
         own = self.own
         changed = own.content != content
-        if changed or beat:
-            self._put(Entry(self.owner, own.incarnation, own.beat + 1, own.number + changed, content))
+        if changed or heartbeat:
+            content_version = own.content_version + changed
+            self._put(Entry(self.owner, own.incarnation, own.heartbeat + 1, content_version, content))
         return changed
 
-    def outdo(self, incarnation: float, beat: int) -> None:
-        """Make the own entry newer than what others hold of it: of an earlier life, or a false word."""
+    def refute(self, incarnation: float, heartbeat: int) -> None:
+        """Make the own entry newer than what others have of it: an earlier life's, or a false suspicion."""
         own = self.own
-        if (incarnation, beat) >= own.newness:
-            begun = own.incarnation if incarnation <= own.incarnation else incarnation + 1.0
-            self._put(Entry(self.owner, begun, max(beat, own.beat) + 1, own.number + 1, own.content))
+        if (incarnation, heartbeat) < own.version:
+            return
+        newer = own.incarnation if incarnation <= own.incarnation else incarnation + 1.0
+        newer_heartbeat = max(heartbeat, own.heartbeat) + 1
+        self._put(Entry(self.owner, newer, newer_heartbeat, own.content_version + 1, own.content))
 
-    def _put(self, entry: Entry[C]) -> None:
-        entries = cast(dict[str, Entry[C]], self.entries)
-        if entry.owner not in entries:
-            insort(self._names, entry.owner)
-        entries[entry.owner] = entry
-        self.hand_on(entry.owner)
-
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Forget a member."""
-        if cast(dict[str, Entry[C]], self.entries).pop(name, None) is not None:
+        if self._mutable_entries.pop(name, None) is not None:
             self._names.remove(name)
-            self._fresh.pop(name, None)
+            self._pending.pop(name, None)
+
+    def piggyback(self, name: str) -> None:
+        """Let an entry be sent with the next rounds."""
+        self._pending.pop(name, None)
+        self._pending[name] = math.ceil(PIGGYBACK_FACTOR * math.log2(len(self._names) + 2))
+        while len(self._pending) > MAX_PENDING_UPDATES:
+            del self._pending[next(iter(self._pending))]
+
+    @property
+    def _mutable_entries(self) -> dict[str, Entry[Content]]:
+        return cast(dict[str, Entry[Content]], self.entries)
 
-    def hand_on(self, name: str) -> None:
-        """Have an entry handed on in the next rounds."""
-        self._fresh.pop(name, None)
-        self._fresh[name] = math.ceil(HANDED_ON * math.log2(len(self._names) + 2))
-        while len(self._fresh) > FRESH_MOST:
-            del self._fresh[next(iter(self._fresh))]
+    def _put(self, entry: Entry[Content]) -> None:
+        if entry.owner not in self.entries:
+            insort(self._names, entry.owner)
+        self._mutable_entries[entry.owner] = entry
+        self.piggyback(entry.owner)
 
     # Rounds.
 
-    def digest(self, most: int = 0) -> Digest:
-        """Begin a round; with `most`, for a stretch of so many known names, another with each round."""
-        names, low, high = list(self.entries), "", ""
-        if most and most < len(self._names):
-            at = bisect_right(self._names, self._cursor) % len(self._names)
-            names = [self._names[(at + step) % len(self._names)] for step in range(most)]
-            low, high = self._cursor + "\0", names[-1] + "\0"  # also whom this side does not know between
+    def digest(self, limit: int = 0) -> Digest:
+        """Begin a round; with a `limit`, for a range of so many names, the next one with each round."""
+        names = list(self.entries)
+        low = high = ""
+        if limit and limit < len(self._names):
+            start = bisect_right(self._names, self._cursor) % len(self._names)
+            names = [self._names[(start + step) % len(self._names)] for step in range(limit)]
+            # From behind the last range: names that this side does not know may lie between.
+            low = self._cursor + "\0"
+            high = names[-1] + "\0"
             self._cursor = names[-1]
-        told = ((name, self.entries[name]) for name in names)
-        heard = {name: (one.incarnation, one.beat, one.number) for name, one in told}
-        own = self.own  # always, so that whoever does not know this member asks for its entry
-        heard[self.owner] = own.incarnation, own.beat, own.number
-        return Digest(self.owner, heard, low, high)
-
-    def answer(self, digest: Digest, most: int = 0) -> News[C]:
-        """Answer a digest, with at most so many entries where `most` is given."""
-        news, wants = list[Entry[C]](), list[str]()
+        versions = {name: self.entries[name].digest for name in names}
+        versions[self.owner] = self.own.digest  # always, so that who does not know this member asks for it
+        return Digest(self.owner, versions, low, high)
+
+    def delta(self, digest: Digest, limit: int = 0) -> Delta[Content]:
+        """Answer a digest, with at most `limit` entries unless it is 0."""
+        newer = list[Entry[Content]]()
         for name, own in self.entries.items():
-            theirs = digest.heard.get(name)
+            theirs = digest.versions.get(name)
             if theirs is None and not digest.covers(name):
                 continue
-            if theirs is None or own.newness > (theirs[0], theirs[1]):
-                news.append(self._since(own, theirs))
-        for name, (incarnation, beat, _) in digest.heard.items():
+            if theirs is None or own.version > (theirs.incarnation, theirs.heartbeat):
+                newer.append(self._without_known_content(own, theirs))
+        requested = list[str]()
+        for name, version in digest.versions.items():
             mine = self.entries.get(name)
-            if self.takes(name) and (mine is None or (incarnation, beat) > mine.newness):
-                wants.append(name)
-        return News(tuple(news[:most] if most else news), tuple(wants))
-
-    def follow(self, wants: Iterable[str], most: int = 0) -> News[C]:
-        """Send what the other wants."""
-        entries = [one for name in wants if (one := self.entries.get(name)) is not None]
-        return News(tuple(entries[:most] if most else entries))
-
-    def fresh(self, most: int) -> tuple[Entry[C], ...]:
-        """Return changes to hand on, those handed on least first."""
-        chosen = sorted(self._fresh, key=lambda name: -self._fresh[name])[:most]
+            if self.accepts(name) and (
+                mine is None or (version.incarnation, version.heartbeat) > mine.version
+            ):
+                requested.append(name)
+        return Delta(tuple(newer[:limit] if limit else newer), tuple(requested))
+
+    def requested_entries(self, names: Iterable[str], limit: int = 0) -> Delta[Content]:
+        """Return the entries that the other side has requested."""
+        entries = [entry for name in names if (entry := self.entries.get(name)) is not None]
+        return Delta(tuple(entries[:limit] if limit else entries))
+
+    def take_pending(self, limit: int) -> tuple[Entry[Content], ...]:
+        """Return changes to piggyback, those sent least often first, and count them as sent once more."""
+        chosen = sorted(self._pending, key=lambda name: -self._pending[name])[:limit]
         for name in chosen:
-            self._fresh[name] -= 1
-            if self._fresh[name] <= 0:
-                del self._fresh[name]
+            self._pending[name] -= 1
+            if self._pending[name] <= 0:
+                del self._pending[name]
         return tuple(self.entries[name] for name in chosen)
 
     @staticmethod
-    def _since(own: Entry[C], theirs: tuple[float, int, int] | None) -> Entry[C]:
-        same = theirs is not None and theirs[0] == own.incarnation and theirs[2] == own.number
-        return msgspec.structs.replace(own, content=None) if same else own
-
-    def takes(self, name: str) -> bool:
-        """Tell whether entries of this member are kept."""
+    def _without_known_content(own: Entry[Content], theirs: EntryVersion | None) -> Entry[Content]:
+        known = (
+            theirs is not None
+            and theirs.incarnation == own.incarnation
+            and theirs.content_version == own.content_version
+        )
+        return msgspec.structs.replace(own, content=None) if known else own
+
+    def accepts(self, name: str) -> bool:
+        """Tell whether entries of this member are stored; subclasses may restrict it."""
         return bool(name)
 
-    def learn(self, entries: Iterable[Entry[C]]) -> list[tuple[Entry[C] | None, Entry[C]]]:
-        """Take entries in, and return those that were news, each with the one before it.
+    def merge(self, entries: Iterable[Entry[Content]]) -> list[tuple[Entry[Content] | None, Entry[Content]]]:
+        """Store the entries that are newer; return them, each with its predecessor or None.
 
-        What is older than the own knowledge is passed over, and so is a word about this member itself.
+        Older entries are ignored, and so are entries of this member itself.
         """
-        taken = []
+        merged = []
         for entry in entries:
-            if entry.owner == self.owner or not self.takes(entry.owner):
+            if entry.owner == self.owner or not self.accepts(entry.owner):
                 continue
-            old = self.entries.get(entry.owner)
-            if old is not None and entry.newness <= old.newness:
+            previous = self.entries.get(entry.owner)
+            if previous is not None and entry.version <= previous.version:
                 continue
             if entry.content is None:
-                if old is None or (old.incarnation, old.number) != (entry.incarnation, entry.number):
-                    continue  # a beat alone, and its content has not come this way yet
-                entry = msgspec.structs.replace(entry, content=old.content)
+                if previous is None or not _same_content(previous, entry):
+                    continue  # a heartbeat alone, of content that has not arrived here yet
+                entry = msgspec.structs.replace(entry, content=previous.content)
             self._put(entry)
-            taken.append((old, entry))
-        return taken
+            merged.append((previous, entry))
+        return merged
+
+
+def _same_content(one: Entry[Content], other: Entry[Content]) -> bool:
+    return (one.incarnation, one.content_version) == (other.incarnation, other.content_version)
--- a/wickspring/membership/swim.py
+++ b/wickspring/membership/swim.py
@@ -1,15 +1,15 @@
-"""Who is a member, and who of them is well, doubted or gone. No I/O and no clock; times are seconds.
-
-SWIM (Das, Gupta, Motivala, 2002) with the changes of Lifeguard (Dadgar, Phillips, Currey, 2018): in each
-round one member is talked to, in a shuffled order in which each has its turn. One that does not answer is
-asked after through a few others, so that a path cut one way alone tells nothing; one that none of them
-reaches is doubted. The doubt is handed on, and the doubted outdoes it by a newer entry of its own, since
-whoever doubts it tells it so at the next talk. A doubt that nobody answers in time ends in "gone"; more
-doubters shorten that time, and a member that finds itself late, or nobody answering it, gives the others
-more.
-
-"Gone" takes nothing from anybody: it says whom not to wait for. Rights and counts go by their own times. The
-gone are tried again now and then, so the halves of a fleet that was cut find each other.
+"""SWIM membership: who is a member, and who is alive, suspected or dead. No I/O, no clock; times in seconds.
+
+SWIM (Das, Gupta, Motivala, 2002) with extensions of Lifeguard (Dadgar, Phillips, Currey, 2018). In each round
+one member is probed, in a shuffled order in which each has its turn. One that does not answer is probed
+indirectly through a few helpers, so that a path cut one way proves nothing; one that no helper reaches is
+suspected. The suspicion is piggybacked on later messages, and the suspect refutes it by a newer entry of its
+own, since whoever suspects it says so at the next exchange. A suspicion that is not refuted in time ends in
+"dead"; more accusers shorten that time, and a member whose local health is poor (late, or unanswered by
+everybody) gives the others more.
+
+"Dead" withdraws nothing from a member: it says whom not to wait for. Rights and counts expire by their own
+times. Dead members are probed again now and then, so that the halves of a partition find each other.
 """
 
 from __future__ import annotations
@@ -25,226 +25,271 @@
 
 from wickspring.membership.anti_entropy import AntiEntropyTable, Entry
 
-HELPERS = 3  # members that are asked to reach one that did not answer
-DOUBT_ROUNDS, DOUBT_GROWS = 3.0, 3.0  # rounds that a doubt lasts at least; more by log10 of the members
-LATE_MOST = 4  # steps by which a member that is late itself gives the others more time
-GONE_ODDS = 0.25  # of a round, in which one of the gone is tried again
-FORGET_S = 600.0  # after which one that is gone is forgotten
-NEAR_ROUNDS = 2.0  # since an answer, for which the word of others against a member counts for nothing
-DOUBTS_MOST = 64  # that wait to be handed on
+INDIRECT_PROBE_HELPERS = 3
+MIN_SUSPICION_ROUNDS = 3.0
+SUSPICION_ROUNDS_PER_LOG10 = 3.0  # more by log10 of the members
+MAX_LOCAL_HEALTH_SCORE = 4  # steps by which a member in poor health gives the others more time
+LATE_TICK_ROUNDS = 3.0  # between two ticks from which this member itself was stopped or starved
+DEAD_PROBE_PROBABILITY = 0.25  # of a round, in which a dead member is probed
+FORGET_S = 600.0  # after which a dead member is removed
+TRUSTED_CONTACT_ROUNDS = 2.0  # since a contact, in which others' suspicions of a member are ignored
+MAX_PENDING_SUSPICIONS = 64
 
 
 class MemberState(Enum):
-    """How a member is, as far as is known here."""
+    """The state of a member as far as is known here.
+
+    The values are shown to operators and compared by their scripts, so older words stay in them.
+    """
 
     ALIVE = "alive"
-    DOUBTED = "doubted"
-    GONE = "gone"
-    LEFT = "left"
+    SUSPECTED = "doubted"
+    DEAD = "gone"
+    LEFT = "left"  # stopped on purpose
+
+
+ACTIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECTED)
 
 
 class MemberInfo(msgspec.Struct, frozen=True, array_like=True):
-    """The least that a member tells of itself."""
+    """What each member says of itself at least; the order of the fields is fixed by the wire."""
 
     address: str = ""
-    left: bool = False  # it was ended on purpose
+    left: bool = False
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
-    """A word that somebody could not be reached; an entry of its own that is newer answers it."""
+    """A report that a member could not be reached; a newer entry of the member refutes it.
+
+    The order of the fields is fixed by the wire.
+    """
 
     name: str
     incarnation: float
-    beat: int
-    by: str
+    heartbeat: int
+    accuser: str
 
 
-A = TypeVar("A", bound=MemberInfo)
+Info = TypeVar("Info", bound=MemberInfo)
 
 
 @dataclass(slots=True)
 class _MemberRecord:
     """What is known of one other member."""
 
-    standing: MemberState
+    state: MemberState
     since: float
-    by: set[str] = field(default_factory=set)  # who doubts it
-    reached_at: float = -math.inf
+    accusers: set[str] = field(default_factory=set)
+    last_contact_at: float = -math.inf
+
+    def change_state(self, state: MemberState, now: float) -> None:
+        self.state = state
+        self.since = now
+
+    @property
+    def active(self) -> bool:
+        return self.state in ACTIVE_STATES
 
 
-class Membership(AntiEntropyTable[A]):
-    """One member's view of all."""
+@dataclass(slots=True)
+class _PendingSuspicion:
+    """A suspicion to be piggybacked so many more times."""
+
+    suspicion: Suspicion
+    sends_left: int
+
+
+class Membership(AntiEntropyTable[Info]):
+    """One member's view of all members."""
 
     def __init__(
-        self, owner: str, incarnation: float, about: A, period_s: float, seed: int, now: float = 0.0
+        self, owner: str, incarnation: float, info: Info, period_s: float, seed: int, now: float = 0.0
     ) -> None:
-        self.period_s, self.random = period_s, Random(seed)
+        self.period_s = period_s
+        self.random = Random(seed)
         self.now = now
-        self.late = 0  # how late this member itself has been of late
-        self._seen: dict[str, _MemberRecord] = {}
-        self._turns: list[str] = []
-        self._doubts: dict[str, tuple[Suspicion, int]] = {}  # to be handed on, and how often yet
-        self._ticked = now
-        super().__init__(owner, incarnation, about)
+        self.local_health_score = 0  # Lifeguard's: 0 is healthy
+        self._records: dict[str, _MemberRecord] = {}
+        self._probe_order: list[str] = []
+        self._pending_suspicions: dict[str, _PendingSuspicion] = {}
+        self._last_tick_at = now
+        super().__init__(owner, incarnation, info)
 
-    # Readings.
+    # Queries.
 
-    def standing(self, name: str) -> MemberState:
-        """Tell how a member is."""
+    def state_of(self, name: str) -> MemberState:
+        """Return the state of a member; an unknown one is dead."""
         if name == self.owner:
             return MemberState.ALIVE
-        seen = self._seen.get(name)
-        return seen.standing if seen is not None else MemberState.GONE
+        record = self._records.get(name)
+        return record.state if record is not None else MemberState.DEAD
 
-    def living(self) -> list[str]:
-        """Return the other members that are not gone, by name."""
-        well = (MemberState.ALIVE, MemberState.DOUBTED)
-        return sorted(name for name, seen in self._seen.items() if seen.standing in well)
+    def active_members(self) -> list[str]:
+        """Return the other members that are alive or suspected, by name."""
+        return sorted(name for name, record in self._records.items() if record.active)
 
-    def reached_s(self, name: str) -> float:
-        """Return seconds since this member and another last talked."""
-        seen = self._seen.get(name)
-        return math.inf if seen is None else max(0.0, self.now - seen.reached_at)
+    def seconds_since_contact(self, name: str) -> float:
+        """Return seconds since the last exchange between this member and another."""
+        record = self._records.get(name)
+        return math.inf if record is None else max(0.0, self.now - record.last_contact_at)
 
-    def about(self, name: str) -> A | None:
-        """Return what a member tells of itself."""
+    def info_of(self, name: str) -> Info | None:
+        """Return what a member says of itself."""
         entry = self.entries.get(name)
         return entry.content if entry is not None else None
 
     @property
     def size(self) -> int:
-        """How many members are not gone, this one among them."""
-        return 1 + len(self.living())
+        """Return how many members are alive or suspected, this one among them."""
+        return 1 + len(self.active_members())
 
-    # Rounds.
+    # Probes.
 
     def tick(self, now: float) -> list[str]:
-        """Let time pass; return those that have just been given up."""
-        step, self.now = now - self._ticked, now
-        self._ticked = now
-        if step > 3.0 * self.period_s:  # stopped, or without a processor: its silence tells nothing of others
-            self.late = min(LATE_MOST, self.late + 1)
-            for seen in self._seen.values():
-                if seen.standing is MemberState.DOUBTED:
-                    seen.since = now
-        lost = []
-        for name, seen in list(self._seen.items()):
-            if seen.standing is MemberState.DOUBTED and now >= seen.since + self._patience(len(seen.by)):
-                seen.standing, seen.since = MemberState.GONE, now
-                lost.append(name)
-            elif seen.standing in (MemberState.GONE, MemberState.LEFT) and now >= seen.since + FORGET_S:
-                del self._seen[name]
-                self.drop(name)
-        return lost
-
-    def _patience(self, doubters: int) -> float:
-        rounds = max(DOUBT_ROUNDS, DOUBT_GROWS * math.log10(self.size + 1))
-        return self.period_s * rounds * (1.0 + 1.0 / max(1, doubters)) * (1 + self.late)
-
-    def target(self) -> str | None:
-        """Choose whom to talk to in this round; None where nobody is known."""
-        gone = [name for name, seen in self._seen.items() if seen.standing is MemberState.GONE]
-        if gone and self.random.random() < GONE_ODDS:
-            return self.random.choice(gone)
+        """Advance the time; return the members that have just been declared dead."""
+        elapsed_s = now - self._last_tick_at
+        self.now = now
+        self._last_tick_at = now
+        if elapsed_s > LATE_TICK_ROUNDS * self.period_s:
+            self._restart_suspicions()
+        dead = []
+        for name, record in list(self._records.items()):
+            if record.state is MemberState.SUSPECTED:
+                if now >= record.since + self._suspicion_timeout_s(len(record.accusers)):
+                    record.change_state(MemberState.DEAD, now)
+                    dead.append(name)
+            elif not record.active and now >= record.since + FORGET_S:
+                del self._records[name]
+                self.remove(name)
+        return dead
+
+    def _restart_suspicions(self) -> None:
+        """Give suspects their full time again: this member was stopped, so its silence proves nothing."""
+        self._worsen_local_health()
+        for record in self._records.values():
+            if record.state is MemberState.SUSPECTED:
+                record.since = self.now
+
+    def _worsen_local_health(self) -> None:
+        self.local_health_score = min(MAX_LOCAL_HEALTH_SCORE, self.local_health_score + 1)
+
+    def _suspicion_timeout_s(self, accusers: int) -> float:
+        rounds = max(MIN_SUSPICION_ROUNDS, SUSPICION_ROUNDS_PER_LOG10 * math.log10(self.size + 1))
+        return self.period_s * rounds * (1.0 + 1.0 / max(1, accusers)) * (1 + self.local_health_score)
+
+    def next_probe_target(self) -> str | None:
+        """Choose whom to probe in this round; None where nobody is known."""
+        dead = [name for name, record in self._records.items() if record.state is MemberState.DEAD]
+        if dead and self.random.random() < DEAD_PROBE_PROBABILITY:
+            return self.random.choice(dead)
         while True:
-            while self._turns:
-                name = self._turns.pop()
-                if self.standing(name) in (MemberState.ALIVE, MemberState.DOUBTED) and name in self._seen:
+            while self._probe_order:
+                record = self._records.get(name := self._probe_order.pop())
+                if record is not None and record.active:
                     return name
-            self._turns = self.living()
-            self.random.shuffle(self._turns)
-            if not self._turns:
-                return self.random.choice(gone) if gone else None
-
-    def helpers(self, name: str) -> list[str]:
-        """Choose whom to ask to reach a member."""
-        others = [one for one in self.living() if one != name and self.standing(one) is MemberState.ALIVE]
-        return self.random.sample(others, min(HELPERS, len(others)))
-
-    def reached(self, name: str) -> None:
-        """Note that a member and this one have talked."""
-        self.late = max(0, self.late - 1)
-        seen = self._seen.get(name)
-        if seen is not None:
-            seen.reached_at = self.now
-            if seen.standing is not MemberState.LEFT:
-                self._well(name)
-
-    def vouched(self, name: str) -> None:
-        """Note that a helper has reached a member that did not answer this one."""
-        if self.standing(name) is MemberState.DOUBTED:
-            self._well(name)
-
-    def _well(self, name: str) -> None:
-        seen = self._seen[name]
-        if seen.standing is not MemberState.ALIVE:
-            seen.standing, seen.since = MemberState.ALIVE, self.now
-        seen.by.clear()
-        self._doubts.pop(name, None)
-
-    def unreached(self, name: str) -> None:
-        """Note that neither this member nor any helper reaches another: it is doubted, and that is handed on.
-
-        One whom no helper answers either may be cut off itself, and gives all others more time.
+            self._probe_order = self.active_members()
+            self.random.shuffle(self._probe_order)
+            if not self._probe_order:
+                return self.random.choice(dead) if dead else None
+
+    def select_helpers(self, name: str) -> list[str]:
+        """Choose whom to ask for an indirect probe of a member."""
+        others = [
+            other
+            for other in self.active_members()
+            if other != name and self.state_of(other) is MemberState.ALIVE
+        ]
+        return self.random.sample(others, min(INDIRECT_PROBE_HELPERS, len(others)))
+
+    def record_contact(self, name: str) -> None:
+        """Record an exchange between a member and this one."""
+        self.local_health_score = max(0, self.local_health_score - 1)
+        record = self._records.get(name)
+        if record is not None:
+            record.last_contact_at = self.now
+            if record.state is not MemberState.LEFT:
+                self._set_alive(name)
+
+    def record_indirect_contact(self, name: str) -> None:
+        """Record that a helper has reached a member that did not answer this one."""
+        if self.state_of(name) is MemberState.SUSPECTED:
+            self._set_alive(name)
+
+    def _set_alive(self, name: str) -> None:
+        record = self._records[name]
+        if record.state is not MemberState.ALIVE:
+            record.change_state(MemberState.ALIVE, self.now)
+        record.accusers.clear()
+        self._pending_suspicions.pop(name, None)
+
+    # Suspicions.
+
+    def suspect(self, name: str) -> None:
+        """Suspect a member that neither this one nor a helper reaches, and let the suspicion be piggybacked.
+
+        A member that no helper answers either may be cut off itself: its local health worsens.
         """
         entry = self.entries.get(name)
-        if entry is None or name not in self._seen:
+        if entry is None or name not in self._records:
             return
-        if not self.helpers(name):
-            self.late = min(LATE_MOST, self.late + 1)
-        self._doubt(Suspicion(name, entry.incarnation, entry.beat, self.owner))
+        if not self.select_helpers(name):
+            self._worsen_local_health()
+        self._add_suspicion(Suspicion(name, entry.incarnation, entry.heartbeat, self.owner))
 
-    def _doubt(self, doubt: Suspicion) -> None:
-        seen = self._seen[doubt.name]
-        if seen.standing not in (MemberState.ALIVE, MemberState.DOUBTED):
+    def _add_suspicion(self, suspicion: Suspicion) -> None:
+        record = self._records[suspicion.name]
+        if not record.active:
+            return
+        if record.state is MemberState.ALIVE:
+            record.change_state(MemberState.SUSPECTED, self.now)
+        if suspicion.accuser in record.accusers:
             return
-        if seen.standing is MemberState.ALIVE:
-            seen.standing, seen.since = MemberState.DOUBTED, self.now
-        if doubt.by not in seen.by:
-            seen.by.add(doubt.by)
-            self._doubts[doubt.name] = doubt, math.ceil(math.log2(len(self.entries) + 2))
-            while len(self._doubts) > DOUBTS_MOST:
-                del self._doubts[next(iter(self._doubts))]
-
-    def doubted(self, doubts: Iterable[Suspicion]) -> None:
-        """Take in what others say of who could not be reached; of this member, answer it."""
-        for doubt in doubts:
-            if doubt.name == self.owner:
-                self.outdo(doubt.incarnation, doubt.beat)
+        record.accusers.add(suspicion.accuser)
+        sends = math.ceil(math.log2(len(self.entries) + 2))
+        self._pending_suspicions[suspicion.name] = _PendingSuspicion(suspicion, sends)
+        while len(self._pending_suspicions) > MAX_PENDING_SUSPICIONS:
+            del self._pending_suspicions[next(iter(self._pending_suspicions))]
+
+    def merge_suspicions(self, suspicions: Iterable[Suspicion]) -> None:
+        """Take in what others suspect; a suspicion of this member is refuted."""
+        for suspicion in suspicions:
+            if suspicion.name == self.owner:
+                self.refute(suspicion.incarnation, suspicion.heartbeat)
+                continue
+            entry = self.entries.get(suspicion.name)
+            record = self._records.get(suspicion.name)
+            if entry is None or record is None:
                 continue
-            entry, seen = self.entries.get(doubt.name), self._seen.get(doubt.name)
-            if entry is None or seen is None or entry.newness > (doubt.incarnation, doubt.beat):
+            if entry.version > (suspicion.incarnation, suspicion.heartbeat):
                 continue
-            if self.now - seen.reached_at > NEAR_ROUNDS * self.period_s:
-                self._doubt(doubt)
-
-    def doubts(self, to: str, most: int) -> tuple[Suspicion, ...]:
-        """Return doubts to hand on, and always one against who is talked to, so that it can answer."""
-        told = []
-        for name, (doubt, left) in list(self._doubts.items())[:most]:
-            told.append(doubt)
-            if left <= 1:
-                del self._doubts[name]
-            else:
-                self._doubts[name] = doubt, left - 1
-        seen, entry = self._seen.get(to), self.entries.get(to)
-        if seen is not None and entry is not None and seen.standing is not MemberState.ALIVE:
-            told.append(Suspicion(to, entry.incarnation, entry.beat, self.owner))
-        return tuple(told)
-
-    def hear(self, entries: Iterable[Entry[A]]) -> list[Entry[A]]:
-        """Take entries in, and return those that were news."""
-        entries = tuple(entries)
-        for entry in entries:
-            if entry.owner == self.owner and entry.newness > self.own.newness:
-                self.outdo(entry.incarnation, entry.beat)  # an earlier life, by a clock that was ahead
-        news = []
-        for _, entry in self.learn(entries):
-            left = entry.content is not None and entry.content.left
-            seen = self._seen.setdefault(entry.owner, _MemberRecord(MemberState.ALIVE, self.now))
-            if left:
-                seen.standing, seen.since = MemberState.LEFT, self.now
-            elif seen.standing is not MemberState.ALIVE:
-                self._well(entry.owner)
-            news.append(entry)
-        return news
+            if self.now - record.last_contact_at > TRUSTED_CONTACT_ROUNDS * self.period_s:
+                self._add_suspicion(suspicion)
+
+    def take_suspicions(self, receiver: str, limit: int) -> tuple[Suspicion, ...]:
+        """Return suspicions to piggyback, and always one of the receiver itself, so that it can refute it."""
+        taken = []
+        for name, pending in list(self._pending_suspicions.items())[:limit]:
+            taken.append(pending.suspicion)
+            pending.sends_left -= 1
+            if pending.sends_left <= 0:
+                del self._pending_suspicions[name]
+        record = self._records.get(receiver)
+        entry = self.entries.get(receiver)
+        if record is not None and entry is not None and record.state is not MemberState.ALIVE:
+            taken.append(Suspicion(receiver, entry.incarnation, entry.heartbeat, self.owner))
+        return tuple(taken)
+
+    def merge_entries(self, entries: Iterable[Entry[Info]]) -> list[Entry[Info]]:
+        """Store the entries that are newer, update the states of their members, and return them."""
+        received = tuple(entries)
+        for entry in received:
+            if entry.owner == self.owner and entry.version > self.own.version:
+                self.refute(entry.incarnation, entry.heartbeat)  # an earlier life, by a clock that was ahead
+        newer = [entry for _, entry in self.merge(received)]
+        for entry in newer:
+            record = self._records.setdefault(entry.owner, _MemberRecord(MemberState.ALIVE, self.now))
+            if entry.content is not None and entry.content.left:
+                record.change_state(MemberState.LEFT, self.now)
+            elif record.state is not MemberState.ALIVE:
+                self._set_alive(entry.owner)
+        return newer
--- a/wickspring/net/peers.py
+++ b/wickspring/net/peers.py
@@ -176,7 +176,9 @@
         self.party.leave(self.clock.now(), succeeded)
         with trio.move_on_after(LEAVE_S):
             async with trio.open_nursery() as nursery:
-                for name in self.random.sample(self.members.living(), min(3, len(self.members.living()))):
+                for name in self.random.sample(
+                    self.members.active_members(), min(3, len(self.members.active_members()))
+                ):
                     nursery.start_soon(self._talk, name, True)
 
     # Times.
@@ -194,7 +196,7 @@
         now = self._now()
         for name in self.party.tick(self.clock.now()):
             log.warning("peer_gone", extra=kv(name=name, living=self.members.size))
-        target = self.members.target()
+        target = self.members.next_probe_target()
         if self.config.seeds and now >= self._seeds_at and self.party.knocks(target):
             nursery.start_soon(self._knock, self.random.choice(self.config.seeds))
         if target is not None and self._affords():
@@ -256,7 +258,7 @@
     # Names and addresses.
 
     def _address(self, name: str) -> str:
-        about = self.members.about(name)
+        about = self.members.info_of(name)
         return self.config.route.get(name) or (about.address if about is not None else "")
 
     # Talking.
@@ -265,7 +267,7 @@
         """Talk to a member; have others try where it does not answer."""
         if self._address(name) in self._busy or await self._talk(name, gossip):
             return  # a talk that is out tells by itself
-        helpers = self.members.helpers(name)
+        helpers = self.members.select_helpers(name)
         vouched = False
 
         async def ask(helper: str) -> None:
@@ -277,9 +279,9 @@
             for helper in helpers:
                 nursery.start_soon(ask, helper)
         if vouched:
-            self.members.vouched(name)
+            self.members.record_indirect_contact(name)
         else:
-            self.members.unreached(name)
+            self.members.suspect(name)
 
     async def _talk(self, name: str, gossip: bool) -> bool:
         """Make one talk; False where nothing came back."""
@@ -453,7 +455,7 @@
         if told is not None and message.sender not in told:
             return Reply(error=f"the certificate does not name {message.sender!r}")
         if isinstance(message, Reach):
-            if self.members.reached_s(message.name) < self.config.round_s:
+            if self.members.seconds_since_contact(message.name) < self.config.round_s:
                 return Reply(reached=True)
             word = self.party.word(self.clock.now(), "", False)
             reply = await self._exchange(message.name, word)
--- a/wickspring/peer_state/participant.py
+++ b/wickspring/peer_state/participant.py
@@ -88,7 +88,7 @@
 
     def _tell(self, about: About) -> None:
         self.about = about
-        self.members.write(about, beat=False)
+        self.members.update_own(about, heartbeat=False)
 
     # Whom to talk to.
 
@@ -117,7 +117,7 @@
     def pressed(self) -> list[str]:
         """Return those to be told at once of what has just become known, once."""
         pressing, self._pressing = self._pressing, False
-        some = self.members.living() if pressing else []
+        some = self.members.active_members() if pressing else []
         return self.random.sample(some, min(TOLD_AT_ONCE, len(some)))
 
     def named(self, slot: int) -> str | None:
@@ -128,7 +128,7 @@
             if (entry := self.members.entries.get(name)) is not None
             and entry.content is not None
             and entry.content.slot == slot
-            and self.members.standing(name) in (MemberState.ALIVE, MemberState.DOUBTED)
+            and self.members.state_of(name) in (MemberState.ALIVE, MemberState.SUSPECTED)
         ]
         return max(found, key=lambda entry: entry.incarnation).owner if found else None
 
@@ -136,21 +136,21 @@
 
     def word(self, now: float, to: str, gossip: bool) -> Talk:
         """Return what to begin a talk with; to somebody unknown (a seed) there is gossip alone to say."""
-        about = self.members.about(to) if to else None
+        about = self.members.info_of(to) if to else None
         return Talk(
             self.name,
             self.about.slot,
             self.about.slots,
             self.shares.ledger.life,
             self.members.digest(DIGEST_MOST + len(self.members.entries).bit_length()) if gossip else None,
-            self.members.fresh(ENTRIES_MOST) if gossip else (),
-            self.members.doubts(to, DOUBTS_MOST) if gossip else (),
+            self.members.take_pending(ENTRIES_MOST) if gossip else (),
+            self.members.take_suspicions(to, DOUBTS_MOST) if gossip else (),
             self.shares.say(now, to, about.slot) if about is not None else Parts(),
         )
 
     def lost(self, to: str, word: Talk) -> None:
         """Note that a word may not have been heard."""
-        about = self.members.about(to)
+        about = self.members.info_of(to)
         if about is not None:
             self.shares.lost(about.slot, word.parts)
 
@@ -161,7 +161,7 @@
 
     def follow(self, word: Talk, wants: Iterable[str]) -> Talk:
         """Return the entries that the other has asked for."""
-        entries = self.members.follow(wants, ENTRIES_MOST).entries
+        entries = self.members.requested_entries(wants, ENTRIES_MOST).entries
         return Talk(word.sender, word.slot, word.slots, word.life, entries=entries)
 
     def answer(self, now: float, talk: Talk) -> Reply:
@@ -177,12 +177,12 @@
         parts = self.shares.answer(now, talk.sender, talk.slot, talk.life, talk.parts)
         entries: tuple[Entry[About], ...] = ()
         wants: tuple[str, ...] = ()
-        doubts = self.members.doubts(talk.sender, DOUBTS_MOST) if talk.digest is not None else ()
+        doubts = self.members.take_suspicions(talk.sender, DOUBTS_MOST) if talk.digest is not None else ()
         if talk.digest is not None:
-            news = self.members.answer(talk.digest, 2 * ENTRIES_MOST)
-            known = {entry.owner for entry in news.entries} | {talk.sender}
-            fresh = (entry for entry in self.members.fresh(ENTRIES_MOST) if entry.owner not in known)
-            entries, wants = (*news.entries, *fresh), news.wants[: 2 * ENTRIES_MOST]
+            delta = self.members.delta(talk.digest, 2 * ENTRIES_MOST)
+            known = {entry.owner for entry in delta.entries} | {talk.sender}
+            fresh = (entry for entry in self.members.take_pending(ENTRIES_MOST) if entry.owner not in known)
+            entries, wants = (*delta.entries, *fresh), delta.requested[: 2 * ENTRIES_MOST]
         elif talk.sender not in self.members.entries:
             wants = (talk.sender,)
         word = Talk(
@@ -199,17 +199,17 @@
     def _listen(self, now: float, talk: Talk) -> None:
         self.members.now = max(self.members.now, now / 1000.0)
         self._learn(now, [entry for entry in talk.entries if self._fits(entry)])
-        self.members.doubted(talk.doubts)
-        self.members.reached(talk.sender)
+        self.members.merge_suspicions(talk.doubts)
+        self.members.record_contact(talk.sender)
 
     def _learn(self, now: float, entries: list[Entry[About]]) -> None:
-        known = {entry.owner: self.members.about(entry.owner) for entry in entries}
-        for entry in self.members.hear(entries):
+        known = {entry.owner: self.members.info_of(entry.owner) for entry in entries}
+        for entry in self.members.merge_entries(entries):
             before, after = known[entry.owner], entry.content
             if after is not None and after.words.bad:
                 new = _named(after.words) - (_named(before.words) if before is not None else set())
                 self._pressing |= bool(new - self.avoided.keys())
-            key = entry.incarnation, entry.number
+            key = entry.incarnation, entry.content_version
             if self._words_at.get(entry.owner, ((0.0, -1), 0.0))[0] != key:
                 self._words_at[entry.owner] = key, now
             if after is not None:
@@ -245,8 +245,8 @@
         there = {server_name(server): at for server, at in started.items()}
         witnesses = list[Witness]()
         for name in sorted(self._complains):
-            about = self.members.about(name)
-            if about is not None and self.members.standing(name) is MemberState.ALIVE:
+            about = self.members.info_of(name)
+            if about is not None and self.members.state_of(name) is MemberState.ALIVE:
                 age = now - self._words_at.get(name, ((0.0, 0), -1e12))[1]
                 witnesses.append(Witness(name, about.hall, about.words, age))
         self.avoided = self.shares.judge.avoid(now, witnesses, there, len(self._halls), self.hearsay_share)
@@ -263,14 +263,14 @@
             about = entry.content
             if about is None:
                 continue
-            reached = 0.0 if name == self.name else self.members.reached_s(name)
+            reached = 0.0 if name == self.name else self.members.seconds_since_contact(name)
             heard = now - self.shares.heard[about.slot] if about.slot in self.shares.heard else -1000.0
             rows.append(
                 MemberView(
                     name,
                     about.slot,
                     about.hall,
-                    self.members.standing(name).value,
+                    self.members.state_of(name).value,
                     about.address,
                     about.program,
                     round(reached, 3) if reached < 1e9 else -1.0,
