--- a/wickspring/lab/experiments/capacity_steps.py
+++ b/wickspring/lab/experiments/capacity_steps.py
@@ -205,7 +205,7 @@
     for number in range(tenants):
         for _ in range(adds_per_tenant):
             data_plane = f"10.9.{random.randrange(data_planes) // 250}.1"
-            counter.add(NOW_MS, f"t{number}ab1c", data_plane, 33.0, 33.0)
+            counter.acquire(NOW_MS, f"t{number}ab1c", data_plane, 33.0, 33.0)
     return counter
 
 
@@ -224,12 +224,12 @@
     random = Random(2)
 
     def add() -> None:
-        counter.add(NOW_MS, random.choice(names), "10.9.0.1", 33.0, 33.0)
+        counter.acquire(NOW_MS, random.choice(names), "10.9.0.1", 33.0, 33.0)
 
     return {
         "counts_mb": held_mb(lambda: _quota_counter(tenants, data_planes)),
         "ingress_accounts_mb": held_mb(lambda: _quota_policy(tenants)),
-        "much_used_ms": took_ms(lambda: counter.much_used(NOW_MS, bursts)),
+        "much_used_ms": took_ms(lambda: counter.low_tenants(NOW_MS, bursts)),
         "add_us": took_us(add, calls=500),
     }
 
--- a/wickspring/lab/simulation/meter.py
+++ b/wickspring/lab/simulation/meter.py
@@ -13,12 +13,14 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from contextvars import ContextVar
+from typing import Any
 
 import trio
 
-from wickspring.common.connection import Message, PeerConnection
+from wickspring.common.connection import PeerConnection
+from wickspring.common.messages import Message as TypedMessage
 
-MessageHandler = Callable[[PeerConnection, Message], None]
+MessageHandler = Callable[[PeerConnection, Any], None]
 
 # Roles and parts are names of figures in docs/capacity/*.json, with which later runs are compared: they stay.
 CORE = "core"  # a control-plane node
@@ -103,8 +105,8 @@
     def metered_handler(self, role: str, handler: MessageHandler) -> MessageHandler:
         """Return a message handler whose time is charged to the part of each message."""
 
-        def handle(connection: PeerConnection, message: Message) -> None:
-            name = str(message[0])
+        def handle(connection: PeerConnection, message: Any) -> None:
+            name = message.wire_name if isinstance(message, TypedMessage) else str(message[0])
             previous = self._switch((role, PART_OF_MESSAGE.get(name, name)))
             try:
                 handler(connection, message)
--- a/wickspring/lab/simulation/virtual_run.py
+++ b/wickspring/lab/simulation/virtual_run.py
@@ -19,6 +19,7 @@
 from wickspring.common import connection as connection_module
 from wickspring.common.connection import PeerConnection
 from wickspring.common.lifecycle import GC_AFTER
+from wickspring.common.messages import Message as TypedMessage
 from wickspring.dataplane import gossip as gossip_module
 from wickspring.dataplane import process as dataplane_process
 from wickspring.lab.simulation.clock import VirtualClock
@@ -47,15 +48,18 @@
     original_read = PeerConnection.read
 
     def send(self: PeerConnection, *message: Any) -> None:
-        data = msgpack.packb(message)
+        first = message[0]
+        typed = isinstance(first, TypedMessage)
+        data = first.encode() if typed else msgpack.packb(message)
         link: Any = self.link
         if not link.broken:
-            meter.count_message(f"{link.local}>{link.remote}", message[0], len(data))
+            name = first.wire_name if typed else first
+            meter.count_message(f"{link.local}>{link.remote}", name, len(data))
         link.send(data)
 
-    async def read(self: PeerConnection, take: MessageHandler) -> None:
+    async def read(self: PeerConnection, take: MessageHandler, *decoder: Any) -> None:
         link: Any = self.link
-        await original_read(self, meter.metered_handler(link.local, take))
+        await original_read(self, meter.metered_handler(link.local, take), *decoder)
 
     replacements = (
         (host, "Clock", VirtualClock),
