--- /dev/null
+++ b/tests/controlplane/test_api_server.py
@@ -0,0 +1,124 @@
+"""The HTTP server of the control plane: which handler answers a call, and what happens without one."""
+
+from __future__ import annotations
+
+import json
+import re
+
+import pytest
+import trio
+
+from wickspring.common import logs
+from wickspring.common.settings import Limits
+from wickspring.controlplane.api.calls import ApiRequest, ApiResponse, find_handler
+from wickspring.controlplane.api.server import MAX_BODY_BYTES, ApiServer
+from wickspring.net.feed import Feed
+
+PIECE_BYTES = 1 << 20
+
+
+class RecordingClient:
+    """The place of one call, which keeps its answer."""
+
+    def __init__(self) -> None:
+        self.numbers: list[int] = []
+        self.answers: list[tuple[int, str, bytes]] = []
+
+    def accepted(self, number: int, budget: float) -> None:
+        self.numbers.append(number)
+
+    def answer(self, status: int, retry_after: str, body: bytes) -> None:
+        self.answers.append((status, retry_after, body))
+
+    def begin(self, length: int | None) -> None:
+        raise AssertionError("answers of the API are not streamed")
+
+    def write(self, data: bytes) -> None:
+        raise AssertionError("answers of the API are not streamed")
+
+    async def room(self) -> bool:
+        return True
+
+    def end(self, whole: bool) -> None:
+        raise AssertionError("answers of the API are not streamed")
+
+
+class EchoHandler:
+    """Answers with the named part of the path and the length of the body."""
+
+    method = "POST"
+    path = re.compile(r"/echo/(?P<id>\w+)\Z")
+
+    async def call(self, request: ApiRequest) -> ApiResponse:
+        body = f"{request.parts['id']} {len(request.body)}"
+        return ApiResponse(200, body.encode(), "0.25")
+
+
+class FailingHandler:
+    """Fails on every call."""
+
+    method = "GET"
+    path = re.compile(r"/fail\Z")
+
+    async def call(self, request: ApiRequest) -> ApiResponse:
+        raise RuntimeError("a fault of the handler")
+
+
+def call(method: str, target: str, body: bytes = b"", feed: Feed | None = None) -> RecordingClient:
+    """Have one call answered by a server with both handlers."""
+    client = RecordingClient()
+
+    async def run() -> None:
+        async with trio.open_nursery() as nursery:
+            server = ApiServer(nursery, Limits())
+            server.handlers = [EchoHandler(), FailingHandler()]
+            server.ask(client, method, target, {}, body, feed)
+
+    trio.run(run)
+    return client
+
+
+def feed_of(pieces: int) -> Feed:
+    feed = Feed(None)
+    for _ in range(pieces):
+        feed.put(bytes(PIECE_BYTES))
+    feed.end()
+    return feed
+
+
+def test_a_call_goes_to_the_handler_of_its_method_and_path() -> None:
+    client = call("POST", "/echo/i1?verbose=1", b"four")
+    assert client.answers == [(200, "0.25", b"i1 4")] and client.numbers == [1]
+
+
+@pytest.mark.parametrize(("method", "target"), [("GET", "/echo/i1"), ("POST", "/echo/i1/more"), ("GET", "/")])
+def test_a_call_without_a_handler_is_not_found(method: str, target: str) -> None:
+    client = call(method, target)
+    ((status, retry_after, body),) = client.answers
+    assert status == 404 and not retry_after and not client.numbers
+    assert json.loads(body) == {"kind": "not_found", "reason": target}
+
+
+def test_a_body_that_comes_in_pieces_is_read_to_its_end() -> None:
+    client = call("POST", "/echo/i1", b"head", feed_of(3))
+    assert client.answers == [(200, "0.25", f"i1 {4 + 3 * PIECE_BYTES}".encode())]
+
+
+def test_a_body_over_the_limit_is_refused() -> None:
+    feed = feed_of(MAX_BODY_BYTES // PIECE_BYTES)
+    client = call("POST", "/echo/i1", b"one byte too many", feed)
+    assert client.answers == [(413, "", b"")] and feed.closed
+
+
+def test_a_fault_of_a_handler_is_answered_and_logged(monkeypatch: pytest.MonkeyPatch) -> None:
+    events: list[tuple[str, object]] = []
+    monkeypatch.setattr(logs, "log_event", lambda name, **fields: events.append((name, fields["path"])))
+    client = call("GET", "/fail")
+    assert client.answers == [(500, "", b"{}")] and events == [("call_failed", "/fail")]
+
+
+def test_no_handler_is_found_for_a_path_that_only_begins_alike() -> None:
+    handlers = [EchoHandler()]
+    assert find_handler(handlers, "POST", "/echo/i1") == (handlers[0], {"id": "i1"})
+    with pytest.raises(LookupError):
+        find_handler(handlers, "POST", "/echo/i1/")
