--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -18,9 +18,9 @@
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
 from wickspring.common.settings import parse_settings
 from wickspring.controlplane.data_plane_sessions import PeerSession
-from wickspring.controlplane.replication import snapshot
+from wickspring.controlplane.replication import messages, snapshot
 from wickspring.controlplane.replication.chain import ReplicationChain
-from wickspring.controlplane.replication.view import View
+from wickspring.controlplane.replication.view import Member, View
 from wickspring.controlplane.storage import FILE, ReplicaStore
 from wickspring.fleet.file import load_fleet
 from wickspring.lab.simulation.clock import VirtualClock
@@ -175,6 +175,12 @@
     return message
 
 
+def decoded(packed: list[Any]) -> messages.ChainMessage:
+    message = messages.decode(packed)
+    assert message is not None
+    return message
+
+
 def receiver(site: Site, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
     """Return what takes such a message today."""
     connection = PeerConnection(link, VirtualClock())
@@ -183,11 +189,11 @@
     control_plane, data_plane = site.control_planes[CONTROL_PLANES[0]], site.data_planes[DATA_PLANES[0]]
     if one["to"] == CONTROL:
         if kind == "chain":
-            members = tuple((f"10.1.0.{n}", "first") for n in (1, 2, 3))
-            chain = ReplicationChain("10.1.0.1", "first", View(1, members, members), 1)
-            return lambda message: chain.receive(0.0, connection.name, message[1])
+            members = tuple(Member(f"10.1.0.{n}", "first") for n in (1, 2, 3))
+            chain = ReplicationChain(members[0], View(1, members, members), 1)
+            return lambda message: chain.receive(0.0, connection.name, decoded(message[1]))
         if kind == "tock" or (kind == "cores" and len(one["message"]) > 1):
-            return lambda message: control_plane.replication._take(connection, message)
+            return lambda message: control_plane.replication.peers.on_answer(connection, message)
         if one["from"] == CONTROL and kind != "hello":
             session.is_control_plane_node = True
         return lambda message: control_plane.peer_server.receive(session, message)
@@ -243,6 +249,20 @@
         assert msgpack.packb(message).hex() == one["bytes"]
 
 
+@pytest.mark.parametrize(
+    "fixture", [one for one in MESSAGES if one["kind"] == "chain"], ids=lambda one: str(one["inner"])
+)
+def test_a_chain_message_is_encoded_to_the_bytes_it_was_decoded_from(fixture: dict[str, Any]) -> None:
+    kind, packed = unpacked(fixture)
+    message = decoded(packed)
+    assert fixture["inner"] == message.KIND
+    assert msgpack.packb([kind, message.encode()]).hex() == fixture["bytes"]
+
+
+def test_a_chain_message_of_an_unknown_kind_is_no_message() -> None:
+    assert messages.decode(["of a later version", 1, 2]) is None
+
+
 def test_there_is_a_fixture_of_every_kind_of_message() -> None:
     found: dict[tuple[str, str, str], set[str]] = {}
     for one in MESSAGES:
--- a/tests/common/test_decoding.py
+++ b/tests/common/test_decoding.py
@@ -19,8 +19,9 @@
 from wickspring.controlplane.api.config_validation import validate_config
 from wickspring.controlplane.endpoint_registry import EndpointRegistry
 from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.paxos import Ballot, Value
 from wickspring.controlplane.replication.replica import Replica, Update
-from wickspring.controlplane.replication.view import View
+from wickspring.controlplane.replication.view import Member, View
 from wickspring.controlplane.storage import FILE, ReplicaStore
 
 SETTINGS = """node_name=edge-a-1
@@ -174,11 +175,12 @@
 
 
 def test_the_logbook_outlives_its_process_and_sets_aside_what_it_cannot_read(tmp_path: Path) -> None:
-    members = (("a", "d1"), ("b", "d2"))
+    members = (Member("a", "d1"), Member("b", "d2"))
     replica = Replica()
-    replica.take(Update(9, b"doc", {"i1": 1}), 3)
-    chain = ReplicationChain("a", "d1", View(3, members, members), 1, replica)
-    chain.paxos.accept(4, (2, "b"), (View(4, members, members[1:]), replica.begun(4)))
+    replica.apply(Update(9, b"doc", {"i1": 1}), 3)
+    chain = ReplicationChain(Member("a", "d1"), View(3, members, members), 1, replica)
+    value = Value(View(4, members, members[1:]), replica.with_epoch(4))
+    chain.paxos.accept(4, Ballot(2, "b"), value)
     book = ReplicaStore(str(tmp_path))
     assert book.load() is None
     book.save({**chain.durable(), "disk": "d1"}, chain.replica)
@@ -187,10 +189,13 @@
     found = again.load()
     assert found is not None
     durable, held = found
-    fresh = ReplicationChain("a", str(durable["disk"]), View(), 2, held)
+    fresh = ReplicationChain(Member("a", str(durable["disk"])), View(), 2, held)
     fresh.restore(durable)
     assert (fresh.view, fresh.replica, fresh.me) == (chain.view, chain.replica, chain.me)
-    assert (fresh.paxos.promised, fresh.paxos.accepted) == (chain.paxos.promised, chain.paxos.accepted)
+    assert fresh.paxos.promised_slot == chain.paxos.promised_slot == 4
+    assert fresh.paxos.promised_ballot == chain.paxos.promised_ballot
+    assert fresh.paxos.accepted_slot == chain.paxos.accepted_slot == 4
+    assert fresh.paxos.accepted == chain.paxos.accepted
     again.close()
     with closing(sqlite3.connect(tmp_path / FILE)) as db:
         db.execute("update part set data = ? where name = 'config'", (b"\x93junk",))
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -21,8 +21,9 @@
 from wickspring.controlplane.api.heartbeat import Heartbeat
 from wickspring.controlplane.data_plane_sessions import PeerSession
 from wickspring.controlplane.process import ControlPlane
+from wickspring.controlplane.replication.messages import decode
 from wickspring.controlplane.replication.replica import Config, Replica, Update, digest_of
-from wickspring.controlplane.replication.view import View
+from wickspring.controlplane.replication.view import Member, View
 from wickspring.dataplane.process import DataPlane
 from wickspring.lab.faults.core_faults import Chaos
 from wickspring.membership.anti_entropy import Digest
@@ -51,7 +52,7 @@
     {"i": -1},
 ]
 
-_FIRST = View(1, (("a", "first"),), (("a", "first"),)).pack()
+_FIRST = View(1, (Member("a", "first"),), (Member("a", "first"),)).pack()
 PASS = ["pass", _FIRST, 1, Replica(Config(1, 1, b"x", digest_of(b"x")), {"i": 1}).pack()]
 
 
@@ -143,9 +144,9 @@
     async def run() -> None:
         async with trio.open_nursery() as nursery:
             control_plane = ControlPlane(settings_module.parse_settings(settings), nursery, 1)
-            control_plane.replication.lease.take_up(0.0, control_plane.replication.chain.view)
-            control_plane.replication.chain.safe.take(Update(7, json.dumps(document()).encode()), 1)
-            control_plane.on_committed(control_plane.replication.chain.safe)
+            control_plane.replication.lease.install(0.0, control_plane.replication.chain.view)
+            control_plane.replication.chain.committed.apply(Update(7, json.dumps(document()).encode()), 1)
+            control_plane.on_committed(control_plane.replication.chain.committed)
             await play(control_plane)
             nursery.cancel_scope.cancel()
 
@@ -199,7 +200,7 @@
         heard = Heard()
         session = PeerSession(cast(PeerConnection, heard))
         control_plane.data_planes.add(session)
-        while control_plane.clock.now() - control_plane.replication.lease.since < 500.0:
+        while control_plane.clock.now() - control_plane.replication.lease.installed_at < 500.0:
             await trio.lowlevel.checkpoint()
         control_plane.peer_server.receive(
             session, ["add", 9, "n", False, control_plane.replication.lease.epoch]
@@ -293,7 +294,9 @@
                 chain = self.machines[to].chain if to in self.machines else None
                 try:
                     if chain is not None:  # what is not read whole changes nothing that is saved or said
-                        copy.deepcopy(chain).receive(self.now, sender, spoil(random, message))
+                        spoilt = decode(spoil(random, message))
+                        if spoilt is not None:
+                            copy.deepcopy(chain).receive(self.now, sender, spoilt)
                 except (*DECODE_ERRORS, AssertionError):
                     nonlocal refused
                     refused += 1
--- a/tests/controlplane/test_chain.py
+++ b/tests/controlplane/test_chain.py
@@ -5,15 +5,15 @@
 import pytest
 
 from wickspring.controlplane.replication.chain import ReplicationChain
-from wickspring.controlplane.replication.lease import LEASE_MS, Lease, grants
+from wickspring.controlplane.replication.lease import LEASE_MS, Lease, granted_epoch
+from wickspring.controlplane.replication.next_view import differs, next_view
 from wickspring.controlplane.replication.replica import Replica, Update
 from wickspring.controlplane.replication.view import (
     ClusterObservation,
     FaultTolerance,
+    Member,
     PeerObservation,
     View,
-    differs,
-    next_view,
 )
 from wickspring.lab.faults.core_faults import Chaos, Episodes
 from wickspring.lab.simulation.core import ANSWER_MS, SimulatedCore
@@ -75,45 +75,47 @@
 
 
 @pytest.mark.parametrize(
-    ("lasts_ms", "wait", "kept"),  # as it is; kept too long; used without a wait after a view
+    ("duration_ms", "wait", "kept"),  # as it is; kept too long; used without a wait after a view
     [(LEASE_MS, True, True), (3000.0, True, False), (LEASE_MS, False, False)],
 )
 def test_a_lease_of_the_view_before_has_ended_when_the_next_is_used(
-    lasts_ms: float, wait: bool, kept: bool
+    duration_ms: float, wait: bool, kept: bool
 ) -> None:
     """The head hears nothing of the view that the other two agree on, though they hear it."""
 
     class Other(Lease):
-        def usable(self, now: float, chain: ReplicationChain) -> bool:
-            return super().usable(now, chain) if wait else self.held(now, chain)
-
-    Other.lasts_ms = lasts_ms
-    members = tuple((ip, "first") for ip in "abc")
-    chains = {ip: ReplicationChain(ip, "first", View(1, members, members), at) for at, ip in enumerate("abc")}
+        def is_usable(self, now: float, chain: ReplicationChain) -> bool:
+            return super().is_usable(now, chain) if wait else self.is_held(now, chain)
+
+    Other.duration_ms = duration_ms
+    members = tuple(Member(ip, "first") for ip in "abc")
+    chains = {
+        ip: ReplicationChain(Member(ip, "first"), View(1, members, members), at)
+        for at, ip in enumerate("abc")
+    }
     leases = {ip: Other() for ip in "ab"}
-    chains["b"].begin(0.0)
+    chains["b"].start(0.0)
     for ip, one in leases.items():
-        one.take_up(0.0, chains[ip].view)
+        one.install(0.0, chains[ip].view)
     reach = {
-        "a": PeerObservation(True, "first", hampered=True, epoch=1),
+        "a": PeerObservation(True, "first", unhealthy=True, epoch=1),
         "c": PeerObservation(True, "first", epoch=1),
     }
     used, together = set(), 0
     for now in range(0, 4000, 5):
         if now % 200 == 0:
-            if grants(chains["b"]) == 1:  # what it says later does not reach the head
-                leases["a"].granted("b", "first", now, 1)
-            leases["b"].granted("c", "first", now, grants(chains["c"]))
+            if granted_epoch(chains["b"]) == 1:  # what it says later does not reach the head
+                leases["a"].on_grant(Member("b", "first"), now, 1)
+            leases["b"].on_grant(Member("c", "first"), now, granted_epoch(chains["c"]))
             if now >= 1200:
                 chains["b"].tick(now, reach)
-        while chains["b"].out or chains["c"].out:
+        while chains["b"].effects.messages or chains["c"].effects.messages:
             for ip in "bc":
-                out, chains[ip].out = chains[ip].out, []
-                for to, message in out:
+                for to, message in chains[ip].take_effects().messages:
                     if to != "a":
                         chains[to].receive(now, ip, message)
-        leases["b"].take_up(now, chains["b"].view)
-        holders = [ip for ip, one in leases.items() if one.usable(now, chains[ip])]
+        leases["b"].install(now, chains["b"].view)
+        holders = [ip for ip, one in leases.items() if one.is_usable(now, chains[ip])]
         used |= {(ip, leases[ip].epoch) for ip in holders}
         together += len({leases[ip].epoch for ip in holders}) > 1
     assert used == {("a", 1), ("b", 1), ("b", 2)}
@@ -121,32 +123,35 @@
 
 
 def test_a_machine_that_is_in_no_view_keeps_nothing() -> None:
-    chain, lease = ReplicationChain("a", "new", View(), 1), Lease()
-    lease.take_up(0.0, chain.view)
-    assert not lease.usable(5000.0, chain)
+    chain, lease = ReplicationChain(Member("a", "new"), View(), 1), Lease()
+    lease.install(0.0, chain.view)
+    assert not lease.is_usable(5000.0, chain)
 
 
 def test_the_sweep_finds_copies_that_hold_as_many_but_others() -> None:
     core = SimulatedCore(3, 4)
     core.run(3000.0)
     spare, head = core.machines["m3"].chain, core.machines["m0"].chain
-    assert spare is not None and head is not None and not spare.member
-    head.safe.leave({"i1": 1, "i2": 2})
-    spare.safe.leave({"i1": 1, "i3": 1})
+    assert spare is not None and head is not None and not spare.is_member
+    head.committed.add_departures({"i1": 1, "i2": 2})
+    spare.committed.add_departures({"i1": 1, "i3": 1})
     core.run(5000.0)
     for machine in core.machines.values():
         assert machine.chain is not None
-        assert machine.chain.safe.leaving == {"i1": 1, "i2": 2, "i3": 1}
-        assert machine.chain.safe.leaving_sum == Replica(leaving=dict(machine.chain.safe.leaving)).leaving_sum
+        assert machine.chain.committed.departures == {"i1": 1, "i2": 2, "i3": 1}
+        assert (
+            machine.chain.committed.departures_checksum
+            == Replica(departures=dict(machine.chain.committed.departures)).departures_checksum
+        )
 
 
 def test_four_voters_with_two_in_one_zone_do_not_stay() -> None:
     """The loss of that zone would leave two of four: a spare is added, or one of the two left out."""
-    members = tuple((ip, "first") for ip in ("m0", "m1", "m2", "m5"))
+    members = tuple(Member(ip, "first") for ip in ("m0", "m1", "m2", "m5"))
     zones = {"m1": "z1", "m2": "z2", "m3": "z0", "m4": "z1", "m5": "z2"}
     for there in (("m1", "m2", "m5"), tuple(zones)):
         reach = {ip: PeerObservation(True, "first", zone=zones[ip]) for ip in there}
-        observation = ClusterObservation(("m0", "first"), "z0", False, reach)
+        observation = ClusterObservation(Member("m0", "first"), "z0", False, reach)
         view = View(2, members, members)
         following = next_view(view, observation, ZONE)
         assert len(following.voters) == (3 if len(there) == 3 else 5)
@@ -159,15 +164,15 @@
 
 def test_one_text_under_two_numbers_keeps_the_history_whole() -> None:
     """Back to an earlier text: whoever holds that text holds another history."""
-    held = Replica().config.follow(4, b"x", 1)
-    told = held.follow(5, b"y", 1).follow(6, b"x", 1)
+    held = Replica().config.successor(4, b"x", 1)
+    told = held.successor(5, b"y", 1).successor(6, b"x", 1)
     assert told.digest == held.digest
     assert told.identity != held.identity
-    came = type(told).unpack(told.pack(held.identity))
-    assert came == told and came.whole
-    bare = type(told).unpack(told.pack(told.identity))
-    assert not bare.whole and not bare.filled(held).whole
-    assert bare.filled(told) == told
+    came = type(told).unpack(told.abbreviated_for(held.identity).pack())
+    assert came == told and came.complete
+    bare = type(told).unpack(told.abbreviated_for(told.identity).pack())
+    assert not bare.complete and not bare.completed_from(held).complete
+    assert bare.completed_from(told) == told
 
 
 @pytest.mark.parametrize(
--- a/tests/controlplane/test_chain_defects.py
+++ b/tests/controlplane/test_chain_defects.py
@@ -9,122 +9,133 @@
 
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.lease import Lease
-from wickspring.controlplane.replication.paxos import Ballot, PaxosVoter, Proposal, Value
+from wickspring.controlplane.replication.messages import Pass, Promise
+from wickspring.controlplane.replication.paxos import AcceptedValue, PaxosVoter, Proposal
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import FaultTolerance, Member, PeerObservation, View
+from wickspring.controlplane.replication.view_change import ViewChange
 from wickspring.lab.faults.core_faults import Chaos, Episodes
 from wickspring.lab.simulation.core import InvariantBrokenError
 from wickspring.lab.simulation.state_exploration import ONE_NUMBER, explore
 
 
-class Careless(ReplicationChain):
-    """A head that acknowledges an order whatever text its number has."""
+class AcknowledgesAnyText(ReplicationChain):
+    """A head that acknowledges an update whatever text its version has."""
 
-    def _up(self, seq: int, told: Replica) -> None:
-        super()._up(seq, told)
-        self.done = [(ticket, CommitOutcome.SAFE) for ticket, _ in self.done]
+    def _confirm(self, sequence: int, state: Replica) -> None:
+        super()._confirm(sequence, state)
+        outcomes = self.effects.outcomes
+        self.effects.outcomes = [(ticket, CommitOutcome.COMMITTED) for ticket, _ in outcomes]
 
 
-class Hasty(ReplicationChain):
+class AcknowledgesBeforeTail(ReplicationChain):
     """A head that acknowledges before the tail has answered."""
 
-    def enter(self, now: float, ticket: int, order: Update) -> None:
-        super().enter(now, ticket, order)
-        if self._waiting.pop(ticket, None) is not None:
-            self.done.append((ticket, CommitOutcome.SAFE))
+    def submit(self, now: float, ticket: int, update: Update) -> None:
+        super().submit(now, ticket, update)
+        if self.pending.pop(ticket, None) is not None:
+            self.effects.outcomes.append((ticket, CommitOutcome.COMMITTED))
 
 
-class Stern(ReplicationChain):
-    """A head that refuses for good what another text of its number has gone before, safe or not."""
+class RefusesUncommittedConflict(ReplicationChain):
+    """A head that refuses for good what another text of its version has preceded, committed or not."""
 
-    def enter(self, now: float, ticket: int, order: Update) -> None:
-        super().enter(now, ticket, order)
-        waiting = self._waiting.get(ticket)
-        if waiting and self.replica.config.judge(order.version, waiting.digest) == CommitOutcome.CONFLICT:
-            del self._waiting[ticket]
-            self.done.append((ticket, CommitOutcome.CONFLICT))
+    def submit(self, now: float, ticket: int, update: Update) -> None:
+        super().submit(now, ticket, update)
+        pending = self.pending.get(ticket)
+        if pending is None:
+            return
+        if self.replica.config.outcome_of(update.version, pending.digest) == CommitOutcome.CONFLICT:
+            del self.pending[ticket]
+            self.effects.outcomes.append((ticket, CommitOutcome.CONFLICT))
 
 
-class Sure(ReplicationChain):
-    """A head that confirms by itself, without contact, what its own copy holds."""
+class ConfirmsReadsAlone(ReplicationChain):
+    """A head that confirms by itself, without contact, what its own replica has."""
 
-    def enter(self, now: float, ticket: int, order: Update) -> None:
-        if order.version or order.leaving or not self.member or self.head != self.ip:
-            super().enter(now, ticket, order)
+    def submit(self, now: float, ticket: int, update: Update) -> None:
+        if update.is_read and self.is_head:
+            self.effects.outcomes.append((ticket, CommitOutcome.COMMITTED))
         else:
-            self.done.append((ticket, CommitOutcome.SAFE))
+            super().submit(now, ticket, update)
 
 
-class Early(ReplicationChain):
-    """A machine that calls safe, as it starts, what its disk holds."""
+class CommitsAtStart(ReplicationChain):
+    """A node that takes for committed, as it starts, what its disk has."""
 
-    def begin(self, now: float) -> None:
-        super().begin(now)
+    def start(self, now: float) -> None:
+        super().start(now)
         if self.replica.config.version:
-            self._is_safe(self.replica)
+            self.mark_committed(self.replica)
 
 
-class Forgetful(ReplicationChain):
-    """A machine that leaves as soon as it is told to."""
+class StopsAtOnce(ReplicationChain):
+    """A node that stops as soon as it is told to."""
 
     @property
-    def may_leave(self) -> bool:
-        return self.leaving
+    def may_stop(self) -> bool:
+        return self.stopping
 
 
-class Voteless(ReplicationChain):
-    """A machine that leaves once no chain has it, though it still has a vote."""
+class StopsWithVote(ReplicationChain):
+    """A node that stops once no chain has it, though it still has a vote."""
 
     @property
-    def may_leave(self) -> bool:
-        return not self.member
-
+    def may_stop(self) -> bool:
+        return not self.is_member
 
-class Hollow(ReplicationChain):
-    """Text left out for who holds a text of that number; and who lacks it says that it is saved."""
 
-    def _down(self, seq: int, told: Replica) -> None:
-        sent = len(self.out)
-        super()._down(seq, told)
-        for _, message in self.out[sent:]:
-            if message[0] == "pass" and seq % 3 == 0:
-                message[3] = told.pack(told.config.identity)
+class ConfirmsWithoutText(ReplicationChain):
+    """Text left out for who stores a text of that version; and who lacks it confirms that it is saved."""
 
-    def _take_pass(self, now: float, sender: str, view: View, seq: int, told: Replica) -> None:
-        if view == self.view and self.member and not told.config.filled(self.replica.config).whole:
-            self._down(seq, Replica(self.replica.config, told.leaving))
+    def _pass_down(self, sequence: int, state: Replica) -> None:
+        super()._pass_down(sequence, state)
+        if sequence % 3 or not self.effects.messages:
+            return
+        address, message = self.effects.messages[-1]
+        if isinstance(message, Pass) and message.sequence == sequence:
+            abbreviated = state.abbreviated_for(state.config.identity)
+            self.effects.messages[-1] = address, Pass(message.view, sequence, abbreviated)
+
+    def _on_pass(self, now: float, sender: str, message: Pass) -> None:
+        lacks_text = message.state.completed_from(self.replica) is None
+        if message.view == self.view and self.is_member and lacks_text:
+            self._pass_down(message.sequence, Replica(self.replica.config, message.state.departures))
             return
-        super()._take_pass(now, sender, view, seq, told)
+        super()._on_pass(now, sender, message)
 
 
-class Bare(ReplicationChain):
-    """A machine that takes up a view without the state with which it begins."""
+class InstallsWithoutState(ReplicationChain):
+    """A node that installs a view without the state with which it starts."""
 
-    def _install(self, now: float, view: View, state: Replica | None) -> None:
-        self.replica = self.replica.begun(view.epoch)
-        super()._install(now, view, None)
+    def install(self, now: float, view: View, state: Replica | None) -> None:
+        self.replica = self.replica.with_epoch(view.epoch)
+        super().install(now, view, None)
 
 
-class Numbered(ReplicationChain):
-    """A machine that keeps a text which an ended epoch left unconfirmed, where its number is no lower."""
+class ComparesVersionsAlone(ReplicationChain):
+    """A node that keeps a text which an ended epoch left uncommitted, where its version is no lower."""
 
-    def _install(self, now: float, view: View, state: Replica | None) -> None:
+    def install(self, now: float, view: View, state: Replica | None) -> None:
         own = self.replica.config
         if state is not None and own.version >= state.config.version:
-            state = Replica(self.replica.begun(view.epoch).config, state.leaving)
-        super()._install(now, view, state)
+            state = Replica(self.replica.with_epoch(view.epoch).config, state.departures)
+        super().install(now, view, state)
 
 
-class Alone(ReplicationChain):
+class _AgreesAloneViewChange(ViewChange):
+    def on_promise(self, now: float, sender: str, message: Promise) -> None:
+        chain = self._chain
+        proposal = chain.paxos.own_proposal(message.slot, message.ballot)
+        if proposal is not None and sender == chain.ip and proposal.value is None:
+            view = View(chain.view.epoch + 1, (chain.me,), (chain.me,))
+            chain.install(now, view, chain.replica.with_epoch(message.slot))
+
+
+class AgreesAlone(ReplicationChain):
     """A voter that takes a view for agreed by itself."""
 
-    def _take_promise(  # type: ignore[no-untyped-def]
-        self, now, member, slot, ballot, told, copy
-    ) -> None:
-        one = self.paxos.mine(slot, ballot)
-        if one is not None and member == self.me and one.value is None:
-            mine = (self.me,)
-            self._install(now, View(self.view.epoch + 1, mine, mine), self.replica.begun(slot))
+    view_change_type = _AgreesAloneViewChange
 
 
 class Amnesiac(Chaos):
@@ -137,7 +148,7 @@
         super().stop(machine, wipe)
         if wipe and kept is not None:
             machine.disk = kept
-            del self.ledger.best[machine.ip, kept["disk"]]  # what is caught is what comes of it
+            del self.ledger.best[Member(machine.ip, kept["disk"])]  # what is caught is what comes of it
 
 
 class Leaving(Episodes):
@@ -155,7 +166,7 @@
 class Kept(Lease):
     """A lease that its holder keeps too long."""
 
-    lasts_ms = 3000.0
+    duration_ms = 3000.0
 
 
 def chaos(seed: int, chain: type[ReplicationChain]) -> None:
@@ -179,17 +190,22 @@
 
 
 DEFECTS: list[tuple[Callable[[int, type[ReplicationChain]], None], type[ReplicationChain], int, str]] = [
-    (chaos, Careless, 0, "has another text of it"),  # acknowledged with another text
-    (chaos, Hasty, 0, "acknowledged, m1 has"),
-    (chaos, Stern, 0, "no other text of it is safe"),  # refused, though no other text is safe
-    (chaos, Sure, 0, "had been acknowledged before"),  # confirmed without contact
-    (chaos, Early, 0, "before it has heard another"),  # handed out before contact
-    (leaving, Forgetful, 8, "no read was answered"),  # a leaving member forgotten early: by its copies
-    (leaving_of_five, Voteless, 192, "no read was answered"),  # by those who decide
-    (chaos, Hollow, 0, "calls .* safe"),  # a copy without its text counted as a copy
-    (chaos, Bare, 30, "two texts of"),  # a view installed without its state
-    (chaos, Numbered, 41, "two texts of"),  # copies told apart by their number alone
-    (chaos, Alone, 0, "two views|differ|no read"),  # a view agreed by one
+    (chaos, AcknowledgesAnyText, 0, "has another text of it"),  # acknowledged with another text
+    (chaos, AcknowledgesBeforeTail, 0, "acknowledged, m1 has"),
+    (
+        chaos,
+        RefusesUncommittedConflict,
+        0,
+        "no other text of it is safe",
+    ),  # refused, though no other text is safe
+    (chaos, ConfirmsReadsAlone, 0, "had been acknowledged before"),  # confirmed without contact
+    (chaos, CommitsAtStart, 0, "before it has heard another"),  # handed out before contact
+    (leaving, StopsAtOnce, 8, "no read was answered"),  # a leaving member forgotten early: by its copies
+    (leaving_of_five, StopsWithVote, 192, "no read was answered"),  # by those who decide
+    (chaos, ConfirmsWithoutText, 0, "calls .* safe"),  # a copy without its text counted as a copy
+    (chaos, InstallsWithoutState, 30, "two texts of"),  # a view installed without its state
+    (chaos, ComparesVersionsAlone, 41, "two texts of"),  # copies told apart by their number alone
+    (chaos, AgreesAlone, 0, "two views|differ|no read"),  # a view agreed by one
     (
         wiped,
         ReplicationChain,
@@ -211,7 +227,9 @@
     print(caught.value)
 
 
-@pytest.mark.parametrize("chain", [Careless, Hasty, Stern, Alone])
+@pytest.mark.parametrize(
+    "chain", [AcknowledgesAnyText, AcknowledgesBeforeTail, RefusesUncommittedConflict, AgreesAlone]
+)
 def test_exploring_finds_them_too(chain: type[ReplicationChain]) -> None:
     with pytest.raises(InvariantBrokenError):
         for loses in "abc":
@@ -222,31 +240,31 @@
     """Promises of a majority are enough, though no machine of the chain is among them."""
 
     @staticmethod
-    def promised_by(
-        one: Proposal, view: View, member: Member, told: Replica, accepted: tuple[Ballot, Value] | None
+    def on_promise(
+        proposal: Proposal, view: View, member: Member, state: Replica, accepted: AcceptedValue | None
     ) -> bool:
-        return PaxosVoter.promised_by(one, view, member, told, accepted) or view.decides(one.promises)
+        sufficient = PaxosVoter.on_promise(proposal, view, member, state, accepted)
+        return sufficient or view.is_majority(proposal.promises)
 
 
-@pytest.mark.parametrize(("decree", "agreed"), [(PaxosVoter, False), (Loose, True)])
+@pytest.mark.parametrize(("paxos", "agreed"), [(PaxosVoter, False), (Loose, True)])
 def test_a_view_needs_the_promise_of_one_who_has_what_was_acknowledged(
     paxos: type[PaxosVoter], agreed: bool
 ) -> None:
     """Of three voters the head alone is the chain, and is away: the others may not go on without it."""
-    members = tuple((ip, "first") for ip in "abc")
+    members = tuple(Member(ip, "first") for ip in "abc")
     view = View(1, members, members[:1])
-    chains = {ip: ReplicationChain(ip, "first", view, 1) for ip in "bc"}
+    chains = {ip: ReplicationChain(Member(ip, "first"), view, 1) for ip in "bc"}
     for ip, one in chains.items():
         one.paxos = paxos()
-        one.begin(0.0)
-        one.reach = {other: PeerObservation(other != "a", "first", epoch=1) for other in "abc" if other != ip}
+        one.start(0.0)
+        one.peers = {other: PeerObservation(other != "a", "first", epoch=1) for other in "abc" if other != ip}
     for now in range(2000, 12_000, 200):
         for one in chains.values():
-            one.tick(now, one.reach)
-        while any(one.out for one in chains.values()):
+            one.tick(now, one.peers)
+        while any(one.effects.messages for one in chains.values()):
             for ip, one in chains.items():
-                out, one.out = one.out, []
-                for to, message in out:
+                for to, message in one.take_effects().messages:
                     if to in chains:
                         chains[to].receive(now, ip, message)
     assert (chains["b"].view.epoch > 1) == agreed
--- a/tests/controlplane/test_chain_history.py
+++ b/tests/controlplane/test_chain_history.py
@@ -27,7 +27,7 @@
         order = Update(self.changed + 1, b"%d" % (self.changed + 1) + b"." * TEXT)
 
         def heard(verdict: CommitOutcome) -> None:
-            if verdict == CommitOutcome.SAFE:
+            if verdict == CommitOutcome.COMMITTED:
                 self.changed = max(self.changed, order.version)
 
         self.send_order(self.random.choice(sorted(self.machines)), order, heard)
@@ -109,7 +109,7 @@
     for order in (Update(), Update(10, b"other"), Update(61, b"new")) * 5:
         core.send_order(one.ip, order, answers.append)
         core.run(core.now + 1000.0)
-        assert one.chain is not None and one.chain.safe.config.version == 0
+        assert one.chain is not None and one.chain.committed.config.version == 0
     assert set(answers) <= {CommitOutcome.NOT_YET}
     core.cut.clear()
     assert until(core, "it does not catch up", CATCH_UP_MS, one.ip) <= CATCH_UP_MS
--- a/tests/controlplane/test_cold_start.py
+++ b/tests/controlplane/test_cold_start.py
@@ -11,31 +11,34 @@
 
 from wickspring.common import connection
 from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.messages import Prepare
+from wickspring.controlplane.replication.paxos import Ballot
 from wickspring.controlplane.replication.replica import Replica, Update
-from wickspring.controlplane.replication.view import View
+from wickspring.controlplane.replication.view import Member, View
 from wickspring.net.clock import Clock
 
-MEMBERS = tuple((ip, "disk") for ip in "abc")
+MEMBERS = tuple(Member(ip, "disk") for ip in "abc")
 
 
 def started() -> dict[str, ReplicationChain]:
     """Return the chains of three machines as a loss of all power leaves them, none with a cable yet."""
     replica = Replica()
-    replica.take(Update(7, b"seven"), 3)
+    replica.apply(Update(7, b"seven"), 3)
     view = View(3, MEMBERS, MEMBERS)
-    chains = {ip: ReplicationChain(ip, "disk", view, at, replica.copy()) for at, ip in enumerate("abc")}
+    chains = {
+        ip: ReplicationChain(Member(ip, "disk"), view, at, replica.copy()) for at, ip in enumerate("abc")
+    }
     for chain in chains.values():
-        chain.begin(0.0)
-        chain.out.clear()  # nobody is in reach yet
+        chain.start(0.0)
+        chain.effects.messages.clear()  # nobody is in reach yet
     return chains
 
 
 def carry(chains: dict[str, ReplicationChain], up: set[tuple[str, str]]) -> None:
     """Carry what is said over the cables that are up, until nobody says more."""
-    while any(chain.out for chain in chains.values()):
+    while any(chain.effects.messages for chain in chains.values()):
         for ip, chain in chains.items():
-            out, chain.out = chain.out, []
-            for to, message in out:
+            for to, message in chain.take_effects().messages:
                 if (ip, to) in up:
                     chains[to].receive(1.0, ip, message)
 
@@ -49,20 +52,22 @@
     order.sort(key=lambda pair: pair[0] < pair[1])
     for here, there in order:
         up.add((here, there))
-        chains[here].reached(there)
+        chains[here].on_peer_reachable(there)
         carry(chains, up)
-    assert all(chain.safe.config.version == 7 for chain in chains.values())
+    assert all(chain.committed.config.version == 7 for chain in chains.values())
 
 
 def test_nothing_is_passed_again_by_who_does_not_pass() -> None:
     chains = started()
-    chains["c"].reached("a")
-    spare = ReplicationChain("d", "disk", View(3, MEMBERS, MEMBERS), 9)
-    spare.reached("a")
-    chains["a"].receive(1.0, "b", ["prepare", 4, [1, "b"], b""])  # promised: it passes nothing in this epoch
-    chains["a"].out.clear()
-    chains["a"].reached("b")
-    assert not spare.out and not chains["c"].out and not chains["a"].out
+    chains["c"].on_peer_reachable("a")
+    spare = ReplicationChain(Member("d", "disk"), View(3, MEMBERS, MEMBERS), 9)
+    spare.on_peer_reachable("a")
+    chains["a"].receive(
+        1.0, "b", Prepare(4, Ballot(1, "b"), b"")
+    )  # promised: it passes nothing in this epoch
+    chains["a"].effects.messages.clear()
+    chains["a"].on_peer_reachable("b")
+    assert not any(one.effects.messages for one in (spare, chains["c"], chains["a"]))
 
 
 @pytest.mark.parametrize("hurried", [True, False])
--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -130,7 +130,7 @@
             control_plane.replication.chain.view = View(
                 2, (control_plane.replication.chain.me,), (control_plane.replication.chain.me,)
             )
-            control_plane.replication.lease.take_up(
+            control_plane.replication.lease.install(
                 control_plane.clock.now(), control_plane.replication.chain.view
             )
             control_plane.peer_server.receive(session, ask)
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -44,8 +44,9 @@
     QuorumContactMonitor,
 )
 from wickspring.controlplane.replication import snapshot
-from wickspring.controlplane.replication.node import ReplicationNode, UpdateResult
+from wickspring.controlplane.replication.node import ReplicationNode
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
+from wickspring.controlplane.replication.update_submission import UpdateResult
 from wickspring.dataplane.policy import config_adoption
 from wickspring.dataplane.policy.config_adoption import AdoptionAction, ConfigAdoption, ConfigCopy
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
@@ -56,7 +57,7 @@
 
 def snapshot_of(version: int) -> bytes:
     replica = Replica()
-    replica.take(Update(version, text(version)), 1)
+    replica.apply(Update(version, text(version)), 1)
     return snapshot.pack(replica, 1)
 
 
@@ -332,14 +333,14 @@
 
 
 def core_says(monkeypatch: pytest.MonkeyPatch, verdict: CommitOutcome, contact: list[bool]) -> None:
-    async def enter(core: ReplicationNode, order: Update, read: bool = False) -> UpdateResult:
+    async def submit(core: ReplicationNode, update: Update, read: bool = False) -> UpdateResult:
         return UpdateResult(verdict, Replica() if read else None)
 
-    monkeypatch.setattr(ReplicationNode, "enter", enter)
+    monkeypatch.setattr(ReplicationNode, "submit", submit)
     monkeypatch.setattr(ReplicationNode, "in_contact", property(lambda core: contact[0]))
 
 
-@pytest.mark.parametrize("verdict", [CommitOutcome.SAFE, CommitOutcome.CONFLICT])
+@pytest.mark.parametrize("verdict", [CommitOutcome.COMMITTED, CommitOutcome.CONFLICT])
 @pytest.mark.parametrize("defect", [False, True])
 def test_nothing_is_confirmed_or_refused_without_contact(
     monkeypatch: pytest.MonkeyPatch, verdict: CommitOutcome, defect: bool
@@ -349,7 +350,7 @@
     async def test(control_plane: ControlPlane) -> None:
         contact = [True]
         core_says(monkeypatch, verdict, contact)
-        usual = 200 if verdict is CommitOutcome.SAFE else 409
+        usual = 200 if verdict is CommitOutcome.COMMITTED else 409
         assert (await replace(control_plane, 3)).status == usual
         contact[0] = False
         if defect:
@@ -369,7 +370,7 @@
 def test_a_short_gap_is_waited_out(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(control_plane: ControlPlane) -> None:
         contact = [False]
-        core_says(monkeypatch, CommitOutcome.SAFE, contact)
+        core_says(monkeypatch, CommitOutcome.COMMITTED, contact)
         said: list[ApiResponse] = []
 
         async def order() -> None:
@@ -401,7 +402,7 @@
         lost = target.partition(":")[0]
         assert lost in CONTROL_PLANES[1:3]
         site.cut(lost)
-        await site.until(lambda: not control_plane.replication.live(lost))
+        await site.until(lambda: not control_plane.replication.peers.is_reachable(lost))
         await site.until(lambda: control_plane.replication.in_contact)
         said = await beat(control_plane, "i1", 2)
         assert said.status == 200 and target.encode() not in said.body
@@ -586,10 +587,10 @@
     async def leave(control_plane: ControlPlane) -> None:
         begun = trio.current_time()
         free = property(lambda core: trio.current_time() - begun >= free_after_s)
-        monkeypatch.setattr(ReplicationNode, "may_leave", free)
+        monkeypatch.setattr(ReplicationNode, "may_stop", free)
         await drain(control_plane)
         most = DRAIN_SHARE * control_plane.settings.guarantees.grace_s
-        assert control_plane.replication.leaving and control_plane.api_server.draining
+        assert control_plane.replication.stopping and control_plane.api_server.draining
         assert min(free_after_s, most) <= trio.current_time() - begun <= min(free_after_s, most) + 0.06
 
     in_light(monkeypatch, leave)
--- a/tests/controlplane/test_replica_recovery.py
+++ b/tests/controlplane/test_replica_recovery.py
@@ -17,13 +17,14 @@
 
 from tests.support.storage_files import Files, after_power, files
 from wickspring.controlplane import storage
+from wickspring.controlplane.replication import messages
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.replica import CommitOutcome, Update
-from wickspring.controlplane.replication.view import PeerObservation, View
+from wickspring.controlplane.replication.view import Member, PeerObservation, View
 from wickspring.controlplane.storage import FILE, ReplicaStore
 
 IPS = ("m0", "m1", "m2")
-FIRST = tuple((ip, "first") for ip in IPS)
+FIRST = tuple(Member(ip, "first") for ip in IPS)
 STEP_MS, TICK_MS = 10.0, 200.0
 TEXT = b"x" * 20_000
 
@@ -47,12 +48,12 @@
         assert first == (found is None) and not self.book.set_aside
         seed = self.random.getrandbits(32)
         if found is None:
-            self.chain = ReplicationChain(self.ip, "first", View(1, FIRST, FIRST), seed)
+            self.chain = ReplicationChain(Member(self.ip, "first"), View(1, FIRST, FIRST), seed)
         else:
-            self.chain = ReplicationChain(self.ip, str(found[0]["disk"]), View(), seed, found[1])
+            self.chain = ReplicationChain(Member(self.ip, str(found[0]["disk"])), View(), seed, found[1])
             self.chain.restore(found[0])
         self.chain.dirty = True
-        self.chain.begin(now)
+        self.chain.start(now)
 
     def stop(self) -> Files:
         """End as by a kill; return the files as they are."""
@@ -72,7 +73,7 @@
         chain = self.chain
         assert chain is not None
         before = files(self.folder)
-        self.book.save({**chain.durable(), "disk": chain.me[1]}, chain.replica.copy())
+        self.book.save({**chain.durable(), "disk": chain.me.disk_id}, chain.replica.copy())
         after = files(self.folder)
         if self.fails and before != after and self.random.random() < 0.7:
             self.fails -= 1
@@ -99,8 +100,7 @@
         """Save, then let out what was to be said, as the process does."""
         chain = machine.chain
         assert chain is not None
-        out, done = chain.out, chain.done
-        chain.out, chain.done, chain.news = [], [], []
+        effects = chain.take_effects()
         if chain.dirty:
             chain.dirty = False
             try:
@@ -110,8 +110,8 @@
                 machine.start(self.now)
                 self.after(machine)
                 return
-        self.way += [(machine.ip, to, message) for to, message in out]
-        self.verdicts |= dict(done)
+        self.way += [(machine.ip, to, message.encode()) for to, message in effects.messages]
+        self.verdicts |= dict(effects.outcomes)
 
     def reaches(self, own: str) -> dict[str, PeerObservation]:
         found = {}
@@ -119,17 +119,17 @@
         for ip, machine in self.machines.items():
             chain = machine.chain
             if ip != own and chain is not None:
-                safe = chain.safe
+                safe = chain.committed
                 found[ip] = PeerObservation(
                     True,
-                    chain.me[1],
+                    chain.me.disk_id,
                     False,
                     "",
                     chain.view.epoch,
                     safe.config.epoch,
                     safe.config.version,
-                    len(safe.leaving),
-                    safe.leaving_sum,
+                    len(safe.departures),
+                    safe.departures_checksum,
                     chain.replica.config.identity,
                     sees - {ip},
                 )
@@ -143,7 +143,9 @@
             if machine.chain is not None:
                 packed = msgpack.packb(message)
                 machine.told += len(packed)
-                machine.chain.receive(self.now, sender, msgpack.unpackb(packed))
+                decoded = messages.decode(msgpack.unpackb(packed))
+                assert decoded is not None
+                machine.chain.receive(self.now, sender, decoded)
                 self.after(machine)
         if self.now >= self.next_tick:
             self.next_tick = self.now + TICK_MS
@@ -162,17 +164,17 @@
         for _ in range(2000):
             for machine in self.machines.values():
                 chain = machine.chain
-                if chain is None or chain.head != machine.ip or not chain.member:
+                if chain is None or not chain.is_head:
                     continue
                 self.ticket += 1
                 ticket = self.ticket
-                chain.enter(self.now, ticket, order)
+                chain.submit(self.now, ticket, order)
                 self.after(machine)
                 for _ in range(60):
                     if ticket in self.verdicts:
                         break
                     self.step()
-                if self.verdicts.get(ticket) is CommitOutcome.SAFE:
+                if self.verdicts.get(ticket) is CommitOutcome.COMMITTED:
                     self.check(order)
                     return
             self.step()
@@ -213,7 +215,7 @@
     assert core.lost == 8 and not away.fails, "power was to be lost in the midst"
     copies = [one.chain.replica for one in core.machines.values() if one.chain is not None]
     assert len(copies) == 3 and copies[0] == copies[1] == copies[2]
-    assert copies[0].config.version == 345 and len(copies[0].leaving) == 345 + 5
+    assert copies[0].config.version == 345 and len(copies[0].departures) == 345 + 5
     assert all(
         away.chain is not None and away.chain.me in one.chain.view.chain
         for one in core.machines.values()
--- a/tests/controlplane/test_status.py
+++ b/tests/controlplane/test_status.py
@@ -50,7 +50,7 @@
         data_plane = await site.start_pilot(DATA_PLANES[0])
         await site.until(lambda: data_plane.control_client.routing_table.version == 3)
         control_plane.components.quota_counter.add(control_plane.clock.now(), "t", "p", 5.0, 5.0)
-        control_plane.replication.states.pop(CONTROL_PLANES[2])  # as before its first report
+        control_plane.replication.peers.statuses.pop(CONTROL_PLANES[2])  # as before its first report
         response = await Status(control_plane).call(ApiRequest("GET", "/status", b""))
         assert response.status == 200
         status = json.loads(response.body)
--- a/tests/controlplane/test_storage.py
+++ b/tests/controlplane/test_storage.py
@@ -19,7 +19,7 @@
 from wickspring.controlplane import storage
 from wickspring.controlplane.replication import snapshot
 from wickspring.controlplane.replication.replica import (
-    HISTORY_MOST,
+    MAX_HISTORY,
     CommitOutcome,
     Config,
     Replica,
@@ -42,7 +42,7 @@
     book = reopened(book)
     found = book.load()
     assert found == (durable, held) and book.load_servers() == ["s1"] and not book.set_aside
-    assert found is not None and list(found[1].leaving) == list(leavers)  # the oldest first
+    assert found is not None and list(found[1].departures) == list(leavers)  # the oldest first
     book.close()
 
 
@@ -119,25 +119,25 @@
     for step in range(300):
         epoch = 3 + step // 50
         if random.random() < 0.3:
-            held.take(Update(held.config.version + random.randint(1, 3), b"%d" % step), epoch)
-        held.leave({f"i{random.randrange(80)}": random.choice((1, 2))})
-        if len(held.leaving) > 60:  # as where too many are remembered
-            del held.leaving[next(iter(held.leaving))]
+            held.apply(Update(held.config.version + random.randint(1, 3), b"%d" % step), epoch)
+        held.add_departures({f"i{random.randrange(80)}": random.choice((1, 2))})
+        if len(held.departures) > 60:  # as where too many are remembered
+            del held.departures[next(iter(held.departures))]
         if step % 50 == 25:
             view = [epoch + 1, MEMBERS, MEMBERS]
-            durable["accepted"] = [epoch + 1, [step, "b"], view, held.begun(epoch + 1).pack()]
+            durable["accepted"] = [epoch + 1, [step, "b"], view, held.with_epoch(epoch + 1).pack()]
         elif step % 50 == 0:
             durable |= {"accepted": None, "view": [epoch, MEMBERS, MEMBERS[:1]]}
-            held = held.begun(epoch)
+            held = held.with_epoch(epoch)
         elif step % 50 == 40:  # another epoch's text takes the place of this one's
             lower = Config(epoch, 2, b"other", digest_of(b"other"), ((1, digest_of(b"%d" % step)),))
-            held = Replica(lower, held.leaving)
+            held = Replica(lower, held.departures)
         book.save(durable, held.copy())
         if random.random() < 0.1:
             book = reopened(book)
             found = book.load()
             assert found == (durable, held)
-            assert found is not None and list(found[1].leaving) == list(held.leaving)
+            assert found is not None and list(found[1].departures) == list(held.departures)
             assert not book.set_aside
     book.close()
 
@@ -278,13 +278,15 @@
     book, held = ReplicaStore(str(tmp_path)), Replica()
     text, most = b"x" * 100_000, {FILE: 0, f"{FILE}-wal": 0}
     for number in range(1, 2001):
-        held.take(Update(number, b"%d %s" % (number, text)), 3)
-        held.leave({f"server-{number * 3}": 1, f"server-{number * 3 + 1}": 1, f"server-{number - 7}": 2})
+        held.apply(Update(number, b"%d %s" % (number, text)), 3)
+        held.add_departures(
+            {f"server-{number * 3}": 1, f"server-{number * 3 + 1}": 1, f"server-{number - 7}": 2}
+        )
         book.save(DURABLE, held)
         if number % 100 == 0:
             most = {name: max(most[name], size) for name, size in sizes(tmp_path).items()}
-    kept = len(text) + sum(len(server) + 20 for server in held.leaving) + 24 * HISTORY_MOST
-    assert len(held.leaving) == 4096 and len(held.config.history) == HISTORY_MOST
+    kept = len(text) + sum(len(server) + 20 for server in held.departures) + 24 * MAX_HISTORY
+    assert len(held.departures) == 4096 and len(held.config.history) == MAX_HISTORY
     assert most[FILE] <= 3 * kept + 64 * PAGE
     assert most[f"{FILE}-wal"] <= LOG_MOST + 2 * (kept + 64 * PAGE)
     book = reopened(book)
@@ -300,7 +302,7 @@
     book.save(DURABLE, held)
     assert sizes(tmp_path)[f"{FILE}-wal"] > 4_000_000
     for number in range(2, 30):
-        held.take(Update(number, b"%d" % number), 3)
+        held.apply(Update(number, b"%d" % number), 3)
         book.save(DURABLE, held)
     assert sizes(tmp_path)[f"{FILE}-wal"] <= 40 * (PAGE + 24)
     book.close()
@@ -310,7 +312,7 @@
     """Pages of the log, of a copy with 4,096 leaving servers, 512 numbers and a text of 100 KB."""
     book = ReplicaStore(str(tmp_path))
     held = replica(600, {f"server-{n}": 1 for n in range(4096)})
-    held.take(Update(601, b"x" * 100_000), 3)
+    held.apply(Update(601, b"x" * 100_000), 3)
     book.save(DURABLE, held)
 
     def written(change: Any) -> int:
@@ -323,12 +325,12 @@
 
     promised: dict[str, Any] = {}
     assert written(lambda: None) == 0
-    assert written(lambda: held.leave({"server-9": 2})) <= 6
-    assert written(lambda: held.leave({"server-new": 1})) <= 12  # and the oldest is forgotten
+    assert written(lambda: held.add_departures({"server-9": 2})) <= 6
+    assert written(lambda: held.add_departures({"server-new": 1})) <= 12  # and the oldest is forgotten
     assert written(lambda: promised.update(promised=[4, [7, "c"]])) <= 4
-    assert written(lambda: held.take(Update(602, b"y" * 100_000), 3)) <= 25 + 10
-    assert written(lambda: held.take(Update(603, b"z" * 100), 3)) <= 25 + 10  # pages that come free
-    assert written(lambda: held.take(Update(604, b"w" * 100), 3)) <= 10
+    assert written(lambda: held.apply(Update(602, b"y" * 100_000), 3)) <= 25 + 10
+    assert written(lambda: held.apply(Update(603, b"z" * 100), 3)) <= 25 + 10  # pages that come free
+    assert written(lambda: held.apply(Update(604, b"w" * 100), 3)) <= 10
     book.close()
 
 
@@ -371,16 +373,16 @@
 
 def held_with(number: int) -> Replica:
     one = replica(number - 1)
-    one.take(Update(number, BODY), 3)
-    one.leave({"i1": 1, "i2": 2})
+    one.apply(Update(number, BODY), 3)
+    one.add_departures({"i1": 1, "i2": 2})
     return one
 
 
 def test_a_snapshot_comes_back_whole_or_is_refused() -> None:
     body, order = snapshot.pack(held_with(7), 5), Update(7, BODY, {"i1": 1, "i2": 2})
     assert snapshot.unpack(body).ok == order
-    empty = Replica(leaving={"i1": 2})
-    assert snapshot.unpack(snapshot.pack(empty, 1)).ok == Update(leaving={"i1": 2})
+    empty = Replica(departures={"i1": 2})
+    assert snapshot.unpack(snapshot.pack(empty, 1)).ok == Update(departures={"i1": 2})
     tree = json.loads(body)
     assert tree["format"] == 2 and tree["number"] == 7 and tree["digest"] == digest_of(BODY).hex()
     assert tree["epoch"] == 5 and [number for number, _ in tree["history"]] == [1, 2, 3, 4, 5, 6]
@@ -430,7 +432,7 @@
     one = msgspec.json.decode(snapshot.pack(held_with(7), 5), type=snapshot._Snapshot)
     for name, value in change.items():
         setattr(one, name, value)
-    one.sum = snapshot._sum_of(one)
+    one.sum = snapshot._checksum_of(one)
     refused = snapshot.unpack(msgspec.json.encode(one))
     assert refused.is_error() and refused.error.kind is ErrorKind.INVALID_SNAPSHOT
 
@@ -438,7 +440,7 @@
 def test_a_snapshot_of_the_program_before_is_still_read() -> None:
     leavers = {"i2": 2, "i1": 1}
     told = {"format": 1, "epoch": 4, "config": BODY.decode(), "leavers": leavers}
-    told["sum"] = snapshot._sum(BODY.decode(), sorted(leavers.items()))
+    told["sum"] = snapshot._checksum(BODY.decode(), sorted(leavers.items()))
     assert snapshot.unpack(json.dumps(told).encode()).ok == Update(7, BODY, leavers)
     assert snapshot.unpack(json.dumps(told | {"leavers": {}}).encode()).is_error()
 
@@ -447,8 +449,8 @@
     now = replica(9, {"i1": 2, "i3": 1})
     before = now.config
     order = snapshot.unpack(snapshot.pack(held_with(7), 1)).ok
-    assert now.take(order, 4)  # as the head of a later epoch does
-    assert now.config == before and now.leaving == {"i1": 2, "i3": 1, "i2": 2}
+    assert now.apply(order, 4)  # as the head of a later epoch does
+    assert now.config == before and now.departures == {"i1": 2, "i3": 1, "i2": 2}
     # Its number was another text's here: it is told so, and nothing changes.
-    assert now.config.judge(order.version, digest_of(order.document)) is CommitOutcome.CONFLICT
-    assert not now.take(order, 4) and now.config == before  # and again
+    assert now.config.outcome_of(order.version, digest_of(order.document)) is CommitOutcome.CONFLICT
+    assert not now.apply(order, 4) and now.config == before  # and again
--- a/tests/controlplane/test_storage_power_loss.py
+++ b/tests/controlplane/test_storage_power_loss.py
@@ -46,17 +46,22 @@
         before = files(tmp_path / "a")
         if random.random() < 0.7:
             text = random.randbytes(random.choice((20, 3000, 20_000)))
-            held.take(Update(held.config.version + 1, text), durable["view"][0])
+            held.apply(Update(held.config.version + 1, text), durable["view"][0])
         if random.random() < 0.5:
-            held.leave({f"i{random.randrange(30)}": random.choice((1, 2)) for _ in range(9)})
+            held.add_departures({f"i{random.randrange(30)}": random.choice((1, 2)) for _ in range(9)})
         if random.random() < 0.3:
             epoch = durable["view"][0] + 1
             durable["promised"] = [epoch, [step, "b"]]
-            durable["accepted"] = [epoch, [step, "b"], [epoch, MEMBERS, MEMBERS], held.begun(epoch).pack()]
+            durable["accepted"] = [
+                epoch,
+                [step, "b"],
+                [epoch, MEMBERS, MEMBERS],
+                held.with_epoch(epoch).pack(),
+            ]
         elif random.random() < 0.3:
             epoch = durable["view"][0] + 1
             durable |= {"view": [epoch, MEMBERS, MEMBERS], "accepted": None}
-            held = held.begun(epoch)
+            held = held.with_epoch(epoch)
         book.save(durable, held)
         now = (dict(durable), held.copy())
         if before == files(tmp_path / "a"):
@@ -82,7 +87,7 @@
     older: list[bytes] = []
     log = b""
     for number in range(1, 60):
-        held.take(Update(number, b"%d" % number * 4000), 3)
+        held.apply(Update(number, b"%d" % number * 4000), 3)
         book.save(DURABLE, held)
         now = files(tmp_path / "a")
         if now[LOG][:32] != log:
--- a/tests/controlplane/test_view.py
+++ b/tests/controlplane/test_view.py
@@ -6,20 +6,18 @@
 
 import pytest
 
+from wickspring.controlplane.replication.next_view import differs, next_view, tolerance_shortfalls
 from wickspring.controlplane.replication.view import (
     ClusterObservation,
     FaultTolerance,
     Member,
     PeerObservation,
     View,
-    differs,
-    next_view,
-    tolerance_shortfalls,
 )
 
 
 def machines(zones: str) -> list[tuple[Member, str]]:
-    return [((f"m{at}", f"d{at}"), zone) for at, zone in enumerate(zones)]
+    return [(Member(f"m{at}", f"d{at}"), zone) for at, zone in enumerate(zones)]
 
 
 def seen_by(me: Member, zones: str, away: str = "", ill: str = "") -> ClusterObservation:
@@ -72,7 +70,7 @@
     members = tuple(one for one, _ in machines("abc"))
     observation = seen_by(members[0], "abc")
     emptied = ClusterObservation(
-        observation.me, "a", False, {**observation.reach, "m2": PeerObservation(True, "new", False, "c")}
+        observation.me, "a", False, {**observation.peers, "m2": PeerObservation(True, "new", False, "c")}
     )
     assert next_view(View(1, members, members), emptied, FaultTolerance()).chain == (
         *members[:2],
@@ -87,7 +85,7 @@
         members[0],
         members[2],
     )
-    leaving = ClusterObservation(observation.me, "a", True, observation.reach)
+    leaving = ClusterObservation(observation.me, "a", True, observation.peers)
     assert set(next_view(View(1, members, members), leaving, FaultTolerance()).chain) == {
         members[0],
         members[2],
@@ -98,8 +96,10 @@
     """Else the view would change to and fro between one who sees both and one who misses the other."""
     members = tuple(one for one, _ in machines("abc"))
     reach = {
-        "m1": PeerObservation(True, "d1", False, "b", sees=frozenset({"m0", "m2"})),
-        "m2": PeerObservation(True, "d2", False, "c", sees=frozenset({"m1"})),  # and m0 still hears it
+        "m1": PeerObservation(True, "d1", False, "b", reachable_peers=frozenset({"m0", "m2"})),
+        "m2": PeerObservation(
+            True, "d2", False, "c", reachable_peers=frozenset({"m1"})
+        ),  # and m0 still hears it
     }
     view = View(2, members, members[:2])
     assert not differs(
--- a/tests/support/storage_files.py
+++ b/tests/support/storage_files.py
@@ -31,8 +31,8 @@
     """Return a copy to which numbers from 1 on were given."""
     one = Replica()
     for number in range(1, numbers + 1):
-        one.take(Update(number, b"%d %s" % (number, document)), 3)
-    one.leave(leaving or {})
+        one.apply(Update(number, b"%d %s" % (number, document)), 3)
+    one.add_departures(leaving or {})
     return one
 
 
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -201,7 +201,7 @@
         )
         for task in (
             control_plane.replication.run,
-            control_plane.replication.tick,
+            control_plane.replication.send_heartbeats,
             control_plane.maintenance.run,
         ):
             nursery.start_soon(task)
--- a/wickspring/controlplane/api/calls.py
+++ b/wickspring/controlplane/api/calls.py
@@ -15,8 +15,8 @@
 
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.errors import ERROR_RESPONSES, ErrorDetail, ErrorKind
-from wickspring.controlplane.replication.node import UpdateResult
 from wickspring.controlplane.replication.replica import Replica, Update
+from wickspring.controlplane.replication.update_submission import UpdateResult
 from wickspring.controlplane.status import ControlPlaneStatus
 from wickspring.net.clock import Clock
 
--- a/wickspring/controlplane/api/config.py
+++ b/wickspring/controlplane/api/config.py
@@ -37,8 +37,8 @@
             return error_response(validated.error)
         version = validated.ok
         result = await self._control_plane.updates.commit(Update(version, request.body))
-        if result.verdict is not CommitOutcome.SAFE:
-            return not_committed_response(result.verdict, "configuration", version)
+        if result.outcome is not CommitOutcome.COMMITTED:
+            return not_committed_response(result.outcome, "configuration", version)
         logs.log_event("config_acknowledged", version=version)
         return ApiResponse(200, msgspec.json.encode({"generation": f"r{version}"}))
 
--- a/wickspring/controlplane/api/snapshot.py
+++ b/wickspring/controlplane/api/snapshot.py
@@ -53,9 +53,9 @@
             return error_response(unpacked.error)
         update = unpacked.ok
         result = await self._control_plane.updates.commit(update, read=True)
-        if result.verdict is not CommitOutcome.SAFE or result.replica is None:
-            return not_committed_response(result.verdict, "snapshot", update.version)
+        if result.outcome is not CommitOutcome.COMMITTED or result.replica is None:
+            return not_committed_response(result.outcome, "snapshot", update.version)
         version = result.replica.config.version
-        leaving = len(result.replica.leaving)
+        leaving = len(result.replica.departures)
         logs.log_event("snapshot_brought", version=update.version, held=version, leaving=leaving)
         return ApiResponse(200, msgspec.json.encode({"generation": f"r{version}", "leaving": leaving}))
--- a/wickspring/controlplane/data_plane_messages.py
+++ b/wickspring/controlplane/data_plane_messages.py
@@ -95,7 +95,7 @@
         advised: list[tuple[str, float]] = []
         # Without the other nodes it knows the load that some of the data planes report, and would send
         # all of them to the same few endpoints.
-        if parts.replication.steady:
+        if parts.replication.holds_lease:
             advised = parts.load_tracker.advise(parts.clock.now(), str(message[3]), endpoints)
         session.send("berths", message[1], advised, len(endpoints))
 
--- a/wickspring/controlplane/endpoint_service.py
+++ b/wickspring/controlplane/endpoint_service.py
@@ -38,7 +38,7 @@
         the start.
         """
         now = self._clock.now()
-        self._registry.apply_departures(self._replication.chain.replica.leaving)
+        self._registry.apply_departures(self._replication.chain.replica.departures)
         for packed in self._replication.store.load_servers():
             endpoint = Endpoint.unpack(packed, now)
             self._registry.record_heartbeat(now, endpoint)
@@ -60,7 +60,7 @@
             address=changed.address,
         )
         packed = [changed.pack(self._clock.now())]
-        self._replication.say_all("servers", packed)
+        self._replication.peers.broadcast("servers", packed)
         self._data_planes.broadcast("servers", packed)
 
     async def commit_departure(self, endpoint_id: str, state: int) -> bool:
@@ -69,27 +69,27 @@
         Where a departure is committed already, the endpoint gets no more requests, so a further one is
         acknowledged at once and committed in the background.
         """
-        update = Update(leaving={endpoint_id: state})
-        committed = self._replication.chain.safe.leaving.get(endpoint_id, READY)
+        update = Update(departures={endpoint_id: state})
+        committed = self._replication.chain.committed.departures.get(endpoint_id, READY)
         if committed != READY and self._contact.observe() is not QuorumContact.NONE:
             if state > committed:
-                self._replication.nursery.start_soon(self._replication.enter, update)
+                self._replication.submit_in_background(update)
             return True
-        return (await self._updates.commit(update)).verdict is CommitOutcome.SAFE
+        return (await self._updates.commit(update)).outcome is CommitOutcome.COMMITTED
 
     def heartbeat_target(self, zone: str) -> str:
         """Return the address for heartbeats from a zone: of a node there that is in reach, else this one."""
         if zone != self._settings.zone:
-            for ip, status in self._replication.states.items():
-                if status.zone == zone and not status.ill and self._replication.live(ip):
-                    return status.control
+            for ip, status in self._replication.peers.statuses.items():
+                if status.zone == zone and not status.unhealthy and self._replication.peers.is_reachable(ip):
+                    return status.control_address
         return self._settings.bind.control_addr
 
     # Replication.
 
     def apply_committed(self, replica: Replica) -> None:
         """Apply the departures that have been committed."""
-        departures = self._registry.new_departures(replica.leaving)
+        departures = self._registry.new_departures(replica.departures)
         if departures:
             self._registry.apply_departures(departures)
             self._data_planes.broadcast("leaving", departures)
@@ -121,7 +121,7 @@
         """Tell the other nodes which heartbeats have come since the last time; False where none has."""
         if not self._received_sequences:
             return False
-        self._replication.say_all("alive", list(self._received_sequences.items()))
+        self._replication.peers.broadcast("alive", list(self._received_sequences.items()))
         self._received_sequences = {}
         return True
 
--- a/wickspring/controlplane/maintenance.py
+++ b/wickspring/controlplane/maintenance.py
@@ -71,7 +71,7 @@
     async def _run_once(self, now: float) -> None:
         contact = self._components.contact.observe()
         if contact is QuorumContact.SETTLED:
-            self._tolerance_log.update(now, self._components.replication.short())
+            self._tolerance_log.update(now, self._components.replication.tolerance_shortfalls())
         self._announce_nodes()
         self._replicate_liveness(now)
         self._quota.replicate()
--- a/wickspring/controlplane/peer_messages.py
+++ b/wickspring/controlplane/peer_messages.py
@@ -42,8 +42,8 @@
         sequences = [(str(endpoint_id), int(sequence)) for endpoint_id, sequence in message[1]]
         missing = self._endpoints.receive_liveness(sequences)
         if missing:
-            self._replication.say(node_ip, "tell", missing)
+            self._replication.send(node_ip, "tell", missing)
 
     def _on_endpoint_request(self, node_ip: str, message: Message) -> None:
         endpoint_ids = [str(endpoint_id) for endpoint_id in message[1]]
-        self._replication.say(node_ip, "servers", self._endpoints.pack_known(endpoint_ids))
+        self._replication.send(node_ip, "servers", self._endpoints.pack_known(endpoint_ids))
--- a/wickspring/controlplane/peer_server.py
+++ b/wickspring/controlplane/peer_server.py
@@ -32,7 +32,7 @@
         if message[0] == "hello":
             self._on_hello(session, message)
         elif session.is_control_plane_node:
-            self._replication.take(session.connection, message)
+            self._replication.on_message(session.connection, message)
         else:
             self._data_plane_messages.receive(session, message)
 
@@ -41,7 +41,7 @@
         session.connection.name = parse_ip(ip)
         if role == NODE_ROLE:
             session.is_control_plane_node = True
-            self._replication.called(session.name)
+            self._replication.peers.on_incoming_connection(session.name)
             return
         reported = ReportedConfig(int(properties.get("version", 0)), bytes(properties.get("digest", b"")))
         self._data_plane_messages.connected(session, reported)
--- a/wickspring/controlplane/process.py
+++ b/wickspring/controlplane/process.py
@@ -72,9 +72,7 @@
             self.clock,
             nursery,
             random,
-            self.on_committed,
-            self.on_view_change,
-            self.on_message,
+            self,
         )
         return Components(
             settings=settings,
@@ -119,9 +117,9 @@
         self.quota.start_view()
         self.view.broadcast()
 
-    def on_message(self, node_ip: str, message: Message) -> None:
+    def on_peer_message(self, address: str, message: Message) -> None:
         """Handle a message of another node that is no part of the replication protocol."""
-        self._node_messages.receive(node_ip, message)
+        self._node_messages.receive(address, message)
 
     def status(self) -> ControlPlaneStatus:
         """Return the state of this node, for operators."""
@@ -131,9 +129,9 @@
 async def drain(control_plane: ControlPlane) -> None:
     """Wait until nothing depends on this node alone, or the grace period is nearly over."""
     control_plane.api_server.draining = True
-    control_plane.replication.leaving = True
+    control_plane.replication.stopping = True
     with trio.move_on_after(DRAIN_SHARE * control_plane.settings.guarantees.grace_s):
-        while not control_plane.replication.may_leave:
+        while not control_plane.replication.may_stop:
             await trio.sleep(DRAIN_POLL_S)
 
 
@@ -145,7 +143,7 @@
         _start_tasks(control_plane, started, nursery)
         logs.log_event(
             "lit",
-            disk=replication.chain.me[1],
+            disk=replication.chain.me.disk_id,
             epoch=replication.chain.view.epoch,
             held=replication.chain.replica.config.version,
         )
@@ -162,7 +160,7 @@
     nursery.start_soon(api_server.timers.run)
     nursery.start_soon(control_plane.replication.run)
     nursery.start_soon(partial(accept_connections, started.talk, control_plane.clock, nursery, serve_peer))
-    nursery.start_soon(control_plane.replication.tick)
+    nursery.start_soon(control_plane.replication.send_heartbeats)
     nursery.start_soon(control_plane.maintenance.run)
     api_server.tidy()
     if started.control is not None:
--- a/wickspring/controlplane/quota_service.py
+++ b/wickspring/controlplane/quota_service.py
@@ -30,7 +30,7 @@
         """
         tenant = self._config_distributor.routing_table.tenants.get(tenant_name)
         replication = self._replication
-        if tenant is None or not replication.keeps or epoch != replication.lease.epoch:
+        if tenant is None or not replication.may_use_lease or epoch != replication.lease.epoch:
             session.send("moved", request_number)
             return
         total, limit, wait_ms = self._counter.add(
@@ -70,11 +70,11 @@
         bursts = {name: tenant.burst for name, tenant in tenants.items()}
         now = self._clock.now()
         counts = self._counter.much_used(now, bursts)
-        if counts and self._replication.steady:
-            self._replication.say_all("shadow", counts)
+        if counts and self._replication.holds_lease:
+            self._replication.peers.broadcast("shadow", counts)
         unresponsive = self._counter.silent_for(now)
-        if (counts or unresponsive) and self._replication.steady:
-            self._replication.say_all("shares", unresponsive, self._counter.shares(now, counts))
+        if (counts or unresponsive) and self._replication.holds_lease:
+            self._replication.peers.broadcast("shares", unresponsive, self._counter.shares(now, counts))
 
     def receive_replicated(self, counts_by_tenant: Mapping[Any, Iterable[tuple[Any, Any]]]) -> None:
         """Take over the counts that another node has replicated."""
--- /dev/null
+++ b/wickspring/controlplane/replication/diagnostics.py
@@ -0,0 +1,41 @@
+"""Descriptions for operators of what the replicas of other nodes are missing."""
+
+from __future__ import annotations
+
+from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.peers import NodeStatus
+
+
+def reasons_behind(
+    chain: ReplicationChain, address: str, status: NodeStatus | None, reachable: bool
+) -> list[str]:
+    """Describe in what another node's replica is behind this one's; nothing where it is as good."""
+    if status is None:
+        return ["never heard"]
+    reasons = []
+    if not reachable:
+        reasons.append("silent")
+    voter_disks = dict(chain.view.voters)
+    if voter_disks.get(address, status.disk_id) != status.disk_id:
+        reasons.append("its disk is another than the view's: emptied, and not taken in again")
+    if status.unhealthy:
+        reasons.append("its disk does not come back in time, or it is ending")
+    if status.epoch < chain.view.epoch:
+        reasons.append(f"epoch {status.epoch} of {chain.view.epoch}")
+    return reasons + _missing_commits(chain, status)
+
+
+def _missing_commits(chain: ReplicationChain, status: NodeStatus) -> list[str]:
+    """Describe what of the committed state a node has not got."""
+    reasons = []
+    committed = chain.committed
+    if status.committed_rank < committed.config.rank:
+        epoch, version = committed.config.rank
+        found = f"r{status.committed_version} of epoch {status.committed_epoch}"
+        reasons.append(f"{found}, not r{version} of {epoch}")
+    count = len(committed.departures)
+    if status.departure_count < count:
+        reasons.append(f"{status.departure_count} of {count} leaving servers")
+    elif status.departure_count == count and status.departures_checksum != committed.departures_checksum:
+        reasons.append("other leaving servers")
+    return reasons
--- a/wickspring/controlplane/replication/lease.py
+++ b/wickspring/controlplane/replication/lease.py
@@ -1,12 +1,15 @@
-"""The lease under which a core machine does what only one may do: the keeping of counts.
+"""The lease under which one control-plane node does what only one may do: keep the quota counts.
 
-A majority of the voters grants it, again and again: each tick carries the asker's own time, and each answer
-that time back with the epoch it is granted for. So a grant counts from when it was asked for, by the
-holder's steady clock, and ends before whoever granted it could think so. Who has promised for the next
-view grants nothing in this one, and any majority that agrees on the next has one of each that granted in
-it. So all leases of a view end at most `LEASE_MS` after the next is agreed, and who holds one of the next
-begins only `TENURE_MS` after it has that view. Steps of the time of day change nothing. The epoch is the
-fencing number: an add that names another than the keeper's own is not counted.
+A lease as in Gray & Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
+Consistency" (1989), granted by a majority of the voters of a view. Each heartbeat carries the asker's own
+time and each answer returns that time with the epoch it is granted for. Invariants:
+
+* A grant counts from when it was asked for, by the holder's monotonic clock, so it ends before whoever
+  granted it could think so. Steps of the time of day change nothing.
+* Who has promised for the next view grants nothing in this one, and any majority that agrees on the next
+  view has a member of each majority that granted in this one. So all leases of a view end at most
+  `LEASE_MS` after the next is agreed, and a holder in the next view waits `WAIT_AFTER_VIEW_MS`.
+* The epoch is the fencing token: an addition that names another epoch than the owner's is not counted.
 
 No I/O and no clock here; times are milliseconds.
 """
@@ -14,54 +17,55 @@
 from __future__ import annotations
 
 from wickspring.controlplane.replication.chain import ReplicationChain
-from wickspring.controlplane.replication.view import View
+from wickspring.controlplane.replication.view import Member, View
 
-LEASE_MS = 480.0  # for which a grant holds, from when it was asked for: two ticks and some
-TENURE_MS = 500.0  # since a view was taken up, before its lease is used; clocks differ by less than the rest
-MOST_DRIFT = 0.02  # share by which the steady clocks of two machines may differ in speed
+LEASE_MS = 480.0  # for which a grant holds, from when it was asked for: a little over two heartbeats
+WAIT_AFTER_VIEW_MS = 500.0  # before a lease of a new view is used; leases of the view before have ended then
+MAX_CLOCK_DRIFT = 0.02  # share by which the monotonic clocks of two machines may differ in speed
 
-assert TENURE_MS >= LEASE_MS * (1.0 + MOST_DRIFT)  # else a lease of the view before may still hold
+assert WAIT_AFTER_VIEW_MS >= LEASE_MS * (1.0 + MAX_CLOCK_DRIFT)  # else one of the view before may still hold
 
 
-def grants(chain: ReplicationChain) -> int:
-    """Return the epoch that this machine grants leases for; 0 where it grants none."""
-    return chain.view.epoch if chain.voter and not chain.frozen else 0
+def granted_epoch(chain: ReplicationChain) -> int:
+    """Return the epoch that this node grants leases for; 0 where it grants none."""
+    return chain.view.epoch if chain.is_voter and not chain.frozen else 0
 
 
 class Lease:
-    """What the others have granted this machine."""
+    """The grants that this node has received from the other voters."""
 
-    lasts_ms = LEASE_MS
+    duration_ms = LEASE_MS
 
     def __init__(self) -> None:
-        self.epoch = -1  # of the view that has been taken up here, and is on disk
-        self.since = 0.0
-        self._granted: dict[tuple[str, str], tuple[int, float]] = {}  # by member: epoch, when asked
+        self.epoch = -1  # of the view that is installed here, and saved
+        self.installed_at = 0.0  # ms: when that view was
+        self._grants: dict[Member, tuple[int, float]] = {}  # epoch, and when it was asked for
 
-    def take_up(self, now: float, view: View) -> bool:
-        """Take up a view that has been saved; True where it is another than before."""
+    def install(self, now: float, view: View) -> bool:
+        """Note a view that has been saved; True where it is another than before."""
         if view.epoch == self.epoch:
             return False
-        self.epoch, self.since = view.epoch, now
+        self.epoch = view.epoch
+        self.installed_at = now
         return True
 
-    def granted(self, ip: str, disk: str, asked: float, epoch: int) -> None:
-        """Note an answer: what was asked at `asked` is granted for an epoch (0: it is not)."""
-        known = self._granted.get((ip, disk))
-        if known is None or asked > known[1]:
-            self._granted[ip, disk] = epoch, asked
+    def on_grant(self, member: Member, asked_at: float, epoch: int) -> None:
+        """Record an answer: what was asked at `asked_at` is granted for an epoch (0: it is not)."""
+        known = self._grants.get(member)
+        if known is None or asked_at > known[1]:
+            self._grants[member] = epoch, asked_at
 
-    def held(self, now: float, chain: ReplicationChain) -> bool:
-        """Tell whether a majority of the present voters has granted it of late, this machine among them."""
+    def is_held(self, now: float, chain: ReplicationChain) -> bool:
+        """Tell whether a majority of the present voters has granted it recently, this node among them."""
         view = chain.view
-        if not grants(chain) or view.epoch != self.epoch:
+        if not granted_epoch(chain) or view.epoch != self.epoch:
             return False
-        count = 1
+        grants = 1
         for member in view.voters:
-            epoch, asked = self._granted.get(member, (0, 0.0))
-            count += epoch == view.epoch and now - asked < self.lasts_ms
-        return count >= view.majority
+            epoch, asked_at = self._grants.get(member, (0, 0.0))
+            grants += epoch == view.epoch and now - asked_at < self.duration_ms
+        return grants >= view.majority
 
-    def usable(self, now: float, chain: ReplicationChain) -> bool:
-        """Tell whether it may be used: it is held, and nobody can hold one of an earlier view any more."""
-        return self.held(now, chain) and now - self.since >= TENURE_MS
+    def is_usable(self, now: float, chain: ReplicationChain) -> bool:
+        """Tell whether it is held, and nobody can hold one of an earlier view any more."""
+        return self.is_held(now, chain) and now - self.installed_at >= WAIT_AFTER_VIEW_MS
--- /dev/null
+++ b/wickspring/controlplane/replication/messages.py
@@ -0,0 +1,236 @@
+"""The messages of the replication chain: update passing, catch-up and view change.
+
+Each class has the kind by which it goes over the wire (`KIND`) and encodes to a list that starts with it.
+Kinds and layouts are fixed by the wire: nodes of the version before understand them. `decode` raises
+ValueError, TypeError, IndexError or the like for a malformed message, and returns None for an unknown kind.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, ClassVar
+
+from wickspring.controlplane.replication.paxos import AcceptedValue, Ballot
+from wickspring.controlplane.replication.replica import Replica
+from wickspring.controlplane.replication.view import View
+
+
+@dataclass(slots=True, frozen=True)
+class Pass:
+    """Predecessor to successor: store this state, and pass it on."""
+
+    KIND: ClassVar = "pass"
+    view: View
+    sequence: int
+    state: Replica
+
+    def encode(self) -> list[Any]:
+        """Return the list that goes over the wire."""
+        return [self.KIND, self.view.pack(), self.sequence, self.state.pack()]
+
+    @staticmethod
+    def decode(fields: list[Any]) -> Pass:
+        """Decode the fields that follow the kind."""
+        return Pass(View.unpack(fields[0]), int(fields[1]), Replica.unpack(fields[2]))
+
+
+@dataclass(slots=True, frozen=True)
+class Passed:
+    """Successor to predecessor: the state of this pass is stored here and at all that follow."""
+
+    KIND: ClassVar = "passed"
+    epoch: int
+    sequence: int
+    identity: bytes  # of the configuration that the sender stores
+    disk_id: str  # of the sender
+
+    def encode(self) -> list[Any]:
+        """Return the list that goes over the wire."""
+        return [self.KIND, self.epoch, self.sequence, self.identity, self.disk_id]
+
+    @staticmethod
+    def decode(fields: list[Any]) -> Passed:
+        """Decode the fields that follow the kind."""
+        return Passed(int(fields[0]), int(fields[1]), bytes(fields[2]), str(fields[3]))
+
+
+@dataclass(slots=True, frozen=True)
+class Fetch:
+    """A state came as a reference to a text that the sender does not store: send it in full."""
+
+    KIND: ClassVar = "fetch"
+    epoch: int
+    identity: bytes  # of the configuration that the sender stores
+    disk_id: str  # of the sender
+
+    def encode(self) -> list[Any]:
+        """Return the list that goes over the wire."""
+        return [self.KIND, self.epoch, self.identity, self.disk_id]
+
+    @staticmethod
+    def decode(fields: list[Any]) -> Fetch:
+        """Decode the fields that follow the kind."""
+        return Fetch(int(fields[0]), bytes(fields[1]), str(fields[2]))
+
+
+@dataclass(slots=True, frozen=True)
+class CommittedState:
+    """A state that is committed, for a node that is missing it."""
+
+    KIND: ClassVar = "copy"
+    state: Replica
+
+    def encode(self) -> list[Any]:
+        """Return the list that goes over the wire."""
+        return [self.KIND, self.state.pack()]
+
+    @staticmethod
+    def decode(fields: list[Any]) -> CommittedState:
+        """Decode the fields that follow the kind."""
+        return CommittedState(Replica.unpack(fields[0]))
+
+
+@dataclass(slots=True, frozen=True)
+class InstallView:
+    """A view that has been agreed, with the state it goes on from where the sender has that."""
+
+    KIND: ClassVar = "view"
+    view: View
+    state: Replica | None
+
+    def encode(self) -> list[Any]:
+        """Return the list that goes over the wire."""
+        return [self.KIND, self.view.pack(), None if self.state is None else self.state.pack()]
+
+    @staticmethod
+    def decode(fields: list[Any]) -> InstallView:
+        """Decode the fields that follow the kind."""
+        state = None if fields[1] is None else Replica.unpack(fields[1])
+        return InstallView(View.unpack(fields[0]), state)
+
+
+@dataclass(slots=True, frozen=True)
+class Prepare:
+    """Proposer to voter (Paxos phase 1a)."""
+
+    KIND: ClassVar = "prepare"
+    slot: int
+    ballot: Ballot
+    identity: bytes  # of the configuration that the sender stores
+
+    def encode(self) -> list[Any]:
+        """Return the list that goes over the wire."""
+        return [self.KIND, self.slot, list(self.ballot), self.identity]
+
+    @staticmethod
+    def decode(fields: list[Any]) -> Prepare:
+        """Decode the fields that follow the kind."""
+        return Prepare(int(fields[0]), Ballot.unpack(fields[1]), bytes(fields[2]))
+
+
+@dataclass(slots=True, frozen=True)
+class Promise:
+    """Voter to proposer (Paxos phase 1b), with the voter's own state."""
+
+    KIND: ClassVar = "promise"
+    slot: int
+    ballot: Ballot
+    accepted: AcceptedValue | None
+    state: Replica
+    disk_id: str  # of the sender
+
+    def encode(self) -> list[Any]:
+        """Return the list that goes over the wire."""
+        accepted = None if self.accepted is None else self.accepted.pack()
+        return [self.KIND, self.slot, list(self.ballot), accepted, self.state.pack(), self.disk_id]
+
+    @staticmethod
+    def decode(fields: list[Any]) -> Promise:
+        """Decode the fields that follow the kind."""
+        slot, ballot, accepted, state, disk_id = fields
+        value = None if accepted is None else AcceptedValue.unpack(accepted)
+        return Promise(int(slot), Ballot.unpack(ballot), value, Replica.unpack(state), str(disk_id))
+
+
+@dataclass(slots=True, frozen=True)
+class Accept:
+    """Proposer to voter (Paxos phase 2a)."""
+
+    KIND: ClassVar = "accept"
+    slot: int
+    ballot: Ballot
+    view: View
+    state: Replica
+
+    def encode(self) -> list[Any]:
+        """Return the list that goes over the wire."""
+        return [self.KIND, self.slot, list(self.ballot), self.view.pack(), self.state.pack()]
+
+    @staticmethod
+    def decode(fields: list[Any]) -> Accept:
+        """Decode the fields that follow the kind."""
+        view = View.unpack(fields[2])
+        return Accept(int(fields[0]), Ballot.unpack(fields[1]), view, Replica.unpack(fields[3]))
+
+
+@dataclass(slots=True, frozen=True)
+class Accepted:
+    """Voter to proposer (Paxos phase 2b)."""
+
+    KIND: ClassVar = "accepted"
+    slot: int
+    ballot: Ballot
+    disk_id: str  # of the sender
+
+    def encode(self) -> list[Any]:
+        """Return the list that goes over the wire."""
+        return [self.KIND, self.slot, list(self.ballot), self.disk_id]
+
+    @staticmethod
+    def decode(fields: list[Any]) -> Accepted:
+        """Decode the fields that follow the kind."""
+        return Accepted(int(fields[0]), Ballot.unpack(fields[1]), str(fields[2]))
+
+
+@dataclass(slots=True, frozen=True)
+class Outbid:
+    """Voter to proposer: a higher ballot has been promised."""
+
+    KIND: ClassVar = "outbid"
+    slot: int
+    ballot: Ballot  # the higher one
+
+    def encode(self) -> list[Any]:
+        """Return the list that goes over the wire."""
+        return [self.KIND, self.slot, list(self.ballot)]
+
+    @staticmethod
+    def decode(fields: list[Any]) -> Outbid:
+        """Decode the fields that follow the kind."""
+        return Outbid(int(fields[0]), Ballot.unpack(fields[1]))
+
+
+ChainMessage = (
+    Pass | Passed | Fetch | CommittedState | InstallView | Prepare | Promise | Accept | Accepted | Outbid
+)
+
+_DECODERS: dict[str, Callable[[list[Any]], ChainMessage]] = {
+    Pass.KIND: Pass.decode,
+    Passed.KIND: Passed.decode,
+    Fetch.KIND: Fetch.decode,
+    CommittedState.KIND: CommittedState.decode,
+    InstallView.KIND: InstallView.decode,
+    Prepare.KIND: Prepare.decode,
+    Promise.KIND: Promise.decode,
+    Accept.KIND: Accept.decode,
+    Accepted.KIND: Accepted.decode,
+    Outbid.KIND: Outbid.decode,
+}
+
+
+def decode(packed: list[Any]) -> ChainMessage | None:
+    """Decode a message; None for an unknown kind, so that nodes of a later version may send more."""
+    kind, *fields = packed
+    decoder = _DECODERS.get(kind)
+    return None if decoder is None else decoder(fields)
--- a/wickspring/controlplane/replication/paxos.py
+++ b/wickspring/controlplane/replication/paxos.py
@@ -1,135 +1,187 @@
-"""How voters agree on the view that follows theirs: a single decree an epoch, with the state it begins with.
+"""Single-decree Paxos for each epoch: how voters agree on the view that follows theirs.
 
-A ballot is prepared, then accepted. What is agreed is a view **and the state it begins with**: the copy of
-highest rank among the promises. Promises are enough when they are a majority of the voters with at least one
-of the chain among them: a member of the chain has all that its view has acknowledged, and once it has
-promised it passes nothing more. A value that a voter has accepted before goes on whole, view and state.
+The algorithm is that of Lamport, "Paxos Made Simple" (2001), with the reconfiguration of "Vertical Paxos and
+Primary-Backup Replication" (Lamport, Malkhi, Zhou, 2009): the voters of one view choose the next, and the
+slot of the decree is the epoch. A ballot is prepared, then accepted. Invariants:
 
-No I/O and no clock here; the host saves what `durable` returns before anything of it is told.
+* What is agreed is a view **and the state it starts with**: the replica of highest rank among the promises.
+* Promises suffice when they are a majority of the voters with at least one member of the chain among them: a
+  member of the chain has all that its view has acknowledged, and passes nothing more once it has promised.
+* A value that a voter has accepted before is proposed again in full, view and state.
+
+No I/O and no clock here; the host saves what `durable` returns before any message of it is sent.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from wickspring.controlplane.replication.replica import Replica
 from wickspring.controlplane.replication.view import Member, View
 from wickspring.core.invariants import holds
 
-Ballot = tuple[int, str]
-Value = tuple[View, Replica]
 
+class Ballot(NamedTuple):
+    """A proposal's number, made unique by its proposer's address; ballots are ordered."""
+
+    number: int
+    proposer: str
+
+    @staticmethod
+    def unpack(packed: Iterable[Any]) -> Ballot:
+        """Decode it; raises ValueError or TypeError for anything else."""
+        number, proposer = packed
+        return Ballot(int(number), str(proposer))
+
+
+NO_BALLOT = Ballot(0, "")
 
-def parse_ballot(told: Iterable[Any]) -> Ballot:
-    """Read a ballot from a message."""
-    number, ip = told
-    return int(number), str(ip)
 
+class Value(NamedTuple):
+    """What a ballot is about: a view, and the state it starts with."""
 
-def pack_value(ballot: Ballot, value: Value) -> list[Any]:
-    """Return an accepted value for a message or a file."""
-    return [list(ballot), value[0].pack(), value[1].pack()]
+    view: View
+    state: Replica
 
 
-def unpack_value(told: Any) -> tuple[Ballot, Value]:
-    """Read an accepted value."""
-    return parse_ballot(told[0]), (View.unpack(told[1]), Replica.unpack(told[2]))
+class AcceptedValue(NamedTuple):
+    """A value and the ballot in which it was accepted."""
+
+    ballot: Ballot
+    value: Value
+
+    def pack(self) -> list[Any]:
+        """Return it for a message or a file."""
+        return [list(self.ballot), self.value.view.pack(), self.value.state.pack()]
+
+    @staticmethod
+    def unpack(packed: Any) -> AcceptedValue:
+        """Decode it; raises ValueError or the like for anything else."""
+        value = Value(View.unpack(packed[1]), Replica.unpack(packed[2]))
+        return AcceptedValue(Ballot.unpack(packed[0]), value)
 
 
 @dataclass(slots=True)
 class Proposal:
-    """What this voter is having agreed."""
+    """The ballot that this node has under way as a proposer."""
 
     slot: int
     ballot: Ballot
-    begun: float
-    promises: dict[Member, bytes] = field(default_factory=dict)  # and the identity of what each holds
+    started_at: float  # ms
+    promises: dict[Member, bytes] = field(default_factory=dict)  # and the config identity each stores
     accepts: set[Member] = field(default_factory=set)
     state: Replica = field(default_factory=Replica)  # of highest rank among the promises
-    best: tuple[Ballot, Value] | None = None  # the accepted one of the highest ballot
+    best_accepted: AcceptedValue | None = None  # among the promises, that of the highest ballot
     value: Value | None = None  # once it is put to the vote
 
+    def copy(self) -> Proposal:
+        """Return a copy that does not change with this one."""
+        return Proposal(
+            self.slot,
+            self.ballot,
+            self.started_at,
+            dict(self.promises),
+            set(self.accepts),
+            self.state.copy(),
+            self.best_accepted,
+            self.value,
+        )
+
 
 class PaxosVoter:
-    """One voter's part."""
+    """One voter: as acceptor what it has promised and accepted, as proposer its proposal."""
 
     def __init__(self) -> None:
-        self.promised: tuple[int, Ballot] = (0, (0, ""))
-        self.accepted: tuple[int, Ballot, Value] | None = None
+        self.promised_slot = 0
+        self.promised_ballot = NO_BALLOT
+        self.accepted_slot = 0
+        self.accepted: AcceptedValue | None = None
         self.proposal: Proposal | None = None
 
     def durable(self) -> dict[str, Any]:
         """Return what must outlive this process."""
-        slot, ballot = self.promised
         accepted = None
         if self.accepted is not None:
-            accepted = [self.accepted[0], *pack_value(self.accepted[1], self.accepted[2])]
-        return {"promised": [slot, list(ballot)], "accepted": accepted}
-
-    def restore(self, told: Mapping[str, Any]) -> None:
-        """Take up what an earlier life left."""
-        slot, ballot = told["promised"]
-        self.promised = int(slot), parse_ballot(ballot)
-        if told["accepted"] is not None:
-            slot, *value = told["accepted"]
-            self.accepted = (int(slot), *unpack_value(value))
-
-    def over(self) -> None:
-        """Forget all of an epoch that has been agreed."""
-        self.accepted = self.proposal = None
-
-    # As one who is asked.
-
-    def outbid(self, slot: int, ballot: Ballot) -> Ballot | None:
-        """Return the higher ballot that has been promised, if there is one."""
-        return self.promised[1] if self.promised[0] == slot and self.promised[1] > ballot else None
-
-    def promise(self, slot: int, ballot: Ballot) -> tuple[Ballot, Value] | None:
-        """Promise; return what has been accepted for this slot."""
-        holds(self.promised <= (slot, ballot), "promises only go forward")
-        self.promised = slot, ballot
-        if self.accepted is None or self.accepted[0] != slot:
-            return None
-        return self.accepted[1], self.accepted[2]
+            accepted = [self.accepted_slot, *self.accepted.pack()]
+        return {"promised": [self.promised_slot, list(self.promised_ballot)], "accepted": accepted}
+
+    def restore(self, durable: Mapping[str, Any]) -> None:
+        """Restore what an earlier process saved."""
+        slot, ballot = durable["promised"]
+        self.promised_slot = int(slot)
+        self.promised_ballot = Ballot.unpack(ballot)
+        if durable["accepted"] is not None:
+            slot, *accepted = durable["accepted"]
+            self.accepted_slot = int(slot)
+            self.accepted = AcceptedValue.unpack(accepted)
+
+    def end_slot(self) -> None:
+        """Forget the accepted value and the proposal of an epoch that has been agreed."""
+        self.accepted = None
+        self.proposal = None
+
+    # Acceptor.
+
+    def higher_promise(self, slot: int, ballot: Ballot) -> Ballot | None:
+        """Return the higher ballot that has been promised for this slot, if there is one."""
+        if self.promised_slot == slot and self.promised_ballot > ballot:
+            return self.promised_ballot
+        return None
+
+    def promise(self, slot: int, ballot: Ballot) -> AcceptedValue | None:
+        """Promise to accept nothing below a ballot; return what has been accepted for this slot."""
+        self._raise_promise(slot, ballot, "promises only go forward")
+        return self.accepted if self.accepted_slot == slot else None
 
     def accept(self, slot: int, ballot: Ballot, value: Value) -> None:
         """Accept a value."""
-        holds(self.promised <= (slot, ballot), "nothing is accepted below a promise")
-        holds(value[1].config.whole, "what is accepted can be begun with")
-        self.promised, self.accepted = (slot, ballot), (slot, ballot, value)
+        holds(value.state.config.complete, "a view can start with the state that is accepted")
+        self._raise_promise(slot, ballot, "nothing is accepted below a promise")
+        self.accepted_slot = slot
+        self.accepted = AcceptedValue(ballot, value)
+
+    def _raise_promise(self, slot: int, ballot: Ballot, invariant: str) -> None:
+        holds((self.promised_slot, self.promised_ballot) <= (slot, ballot), invariant)
+        self.promised_slot = slot
+        self.promised_ballot = ballot
 
-    # As the one who proposes.
+    # Proposer.
 
     def propose(self, now: float, slot: int, ip: str) -> Proposal:
-        """Begin a ballot above all that is known."""
-        number = self.promised[1][0] + 1 if self.promised[0] == slot else 1
-        self.proposal = Proposal(slot, (number, ip), now)
+        """Start a ballot above all that are known."""
+        number = self.promised_ballot.number + 1 if self.promised_slot == slot else 1
+        self.proposal = Proposal(slot, Ballot(number, ip), now)
         return self.proposal
 
-    def mine(self, slot: int, ballot: Ballot) -> Proposal | None:
+    def own_proposal(self, slot: int, ballot: Ballot) -> Proposal | None:
         """Return the proposal under way, if it is this one."""
-        one = self.proposal
-        return one if one is not None and (one.slot, one.ballot) == (slot, ballot) else None
+        proposal = self.proposal
+        if proposal is None or (proposal.slot, proposal.ballot) != (slot, ballot):
+            return None
+        return proposal
 
     @staticmethod
-    def promised_by(
-        one: Proposal, view: View, member: Member, told: Replica, accepted: tuple[Ballot, Value] | None
+    def on_promise(
+        proposal: Proposal, view: View, member: Member, state: Replica, accepted: AcceptedValue | None
     ) -> bool:
-        """Take a promise; True where they are enough now."""
-        if one.value is not None or member not in view.voters:
+        """Record a promise; True where they suffice now."""
+        if proposal.value is not None or member not in view.voters:
             return False
-        one.promises[member] = told.config.identity
-        one.state.join(told)
-        if accepted is not None and (one.best is None or accepted[0] > one.best[0]):
-            one.best = accepted
-        return view.decides(one.promises) and any(member in view.chain for member in one.promises)
+        proposal.promises[member] = state.config.identity
+        proposal.state.merge(state)
+        best = proposal.best_accepted
+        if accepted is not None and (best is None or accepted.ballot > best.ballot):
+            proposal.best_accepted = accepted
+        return view.is_majority(proposal.promises) and any(
+            member in view.chain for member in proposal.promises
+        )
 
     @staticmethod
-    def accepted_by(one: Proposal, view: View, member: Member) -> bool:
-        """Take a voter's word that it has accepted; True where it is agreed now."""
-        if one.value is None or member not in view.voters:
+    def on_accepted(proposal: Proposal, view: View, member: Member) -> bool:
+        """Record that a voter has accepted; True where the value is agreed now."""
+        if proposal.value is None or member not in view.voters:
             return False
-        one.accepts.add(member)
-        return view.decides(one.accepts)
+        proposal.accepts.add(member)
+        return view.is_majority(proposal.accepts)
--- a/wickspring/controlplane/replication/replica.py
+++ b/wickspring/controlplane/replication/replica.py
@@ -1,13 +1,17 @@
-"""What each core machine keeps a copy of: the configuration under its number, and the servers that leave.
+"""The replicated state of the control plane: one configuration, and the endpoints that are departing.
 
-A configuration is a number **and its text**: `Config` has the version, the document and the document's
-digest, and the epoch of the view whose head passed it on last. Within one epoch the head alone writes, so
-equal epoch and version are one text; of two copies the one of higher rank (epoch, then version) goes before.
-So a text that an ended epoch left unconfirmed gives way to the one that the next epoch began with, even
-where its number is higher. Servers that leave only grow: draining, then gone; copies of them are joined.
+A configuration is a version **together with its text**: `Config` has the version, the document, the
+document's digest, and the epoch of the view whose head passed it on last. Invariants:
 
-No I/O and no clock here. `pack` makes lists for messages and files; `unpack` checks the digest, so that what
-was cut or mixed on its way is no copy (ValueError).
+* Within one epoch the head alone assigns versions, so equal epoch and version mean equal text.
+* Of two replicas the one of higher rank (epoch first, then version) replaces the other. So a text that an
+  ended epoch left uncommitted gives way to the one that the next epoch started with, even where its version
+  is higher.
+* Departures only grow (draining, then gone) and are merged like a grow-only map; see Shapiro et al.,
+  "Conflict-free Replicated Data Types", 2011.
+
+No I/O and no clock here. `pack` makes lists for messages and files; `unpack` checks the digest and raises
+ValueError for text that was truncated or altered on its way.
 """
 
 from __future__ import annotations
@@ -16,22 +20,24 @@
 import zlib
 from dataclasses import dataclass, field, replace
 from enum import IntEnum
-from typing import Any
+from typing import Any, Self
 
 from wickspring.core.invariants import holds
 
 DIGEST_SIZE = 16  # bytes of a document's digest
-HISTORY_MOST = 512  # numbers taken before the present one whose digests are kept
-LEAVING_MOST = 4096  # servers that are remembered as leaving
+MAX_HISTORY = 512  # versions before the present one whose digests are kept
+MAX_DEPARTURES = 4096  # departing endpoints that are remembered
 NO_DOCUMENT = b""
 
+Rank = tuple[int, int]  # epoch, version
+
 
 class CommitOutcome(IntEnum):
-    """What became of an order: whether whoever sent it may be told that it is kept."""
+    """The outcome of an update: whether its sender may be told that it is kept."""
 
-    NOT_YET = 0  # not shown to be safe: it may hold later, or never
-    SAFE = 1  # kept by every copy of the view, or of an old number that changes nothing
-    CONFLICT = 2  # its number is another text's, and that one is safe
+    NOT_YET = 0  # not shown to be committed: it may be later, or never
+    COMMITTED = 1  # on every replica of the view, or of an old version that changes nothing
+    CONFLICT = 2  # its version is committed with another text
 
 
 def digest_of(document: bytes) -> bytes:
@@ -41,163 +47,193 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """A configuration: epoch of the head that passed it on last, number, text, and the numbers before it."""
+    """A configuration, the epoch of the head that passed it on last, and the versions before it."""
 
     epoch: int = 0
     version: int = 0
     document: bytes = NO_DOCUMENT
     digest: bytes = b""
-    history: tuple[tuple[int, bytes], ...] = ()  # number and digest, the newest last
-    bare: bytes = b""  # identity of the copy that this stands for, where it came without text and history
+    history: tuple[tuple[int, bytes], ...] = ()  # version and digest, the newest last
+    reference: bytes = b""  # identity of the equal configuration, where text and history were left out
     _identity: list[bytes] = field(default_factory=list, init=False, compare=False, repr=False)
 
     @property
-    def rank(self) -> tuple[int, int]:
-        """Return what decides between two copies."""
+    def rank(self) -> Rank:
+        """Return what decides between two replicas."""
         return self.epoch, self.version
 
     @property
-    def whole(self) -> bool:
-        """Tell whether its text is here, not its digest alone."""
-        return not self.bare and (bool(self.document) or not self.version)
+    def complete(self) -> bool:
+        """Tell whether the text is here, not a reference to it alone."""
+        return not self.reference and (bool(self.document) or not self.version)
 
     @property
     def identity(self) -> bytes:
-        """Return the digest of number, text and history: what two copies have in common, whatever the epoch.
+        """Return the digest of version, text and history, whatever the epoch.
 
-        The digest of the text alone would not do: one text may come under two numbers, with other histories.
+        The digest of the text alone would not do: one text may come under two versions, with other histories.
         """
         if not self._identity:
-            told = hashlib.blake2b(b"%d %s" % (self.version, self.digest), digest_size=DIGEST_SIZE)
-            told.update(b"".join(b"%d %s " % one for one in self.history))
-            self._identity.append(told.digest())
+            hasher = hashlib.blake2b(b"%d %s" % (self.version, self.digest), digest_size=DIGEST_SIZE)
+            hasher.update(b"".join(b"%d %s " % entry for entry in self.history))
+            self._identity.append(hasher.digest())
         return self._identity[0]
 
-    def judge(self, version: int, digest: bytes) -> CommitOutcome:
-        """Say what may be told of an order once this is safe."""
+    def outcome_of(self, version: int, digest: bytes) -> CommitOutcome:
+        """Return the outcome of an update once this configuration is committed."""
         if version > self.version:
             return CommitOutcome.NOT_YET
         known = self.digest if version == self.version else dict(self.history).get(version)
-        return CommitOutcome.SAFE if not version or known in (None, digest) else CommitOutcome.CONFLICT
-
-    def follow(self, version: int, document: bytes, epoch: int) -> Config:
-        """Return the configuration that an order of a higher number makes."""
-        holds(version > self.version, "numbers only rise within an epoch")
-        history = (*self.history, (self.version, self.digest)) if self.version else self.history
-        return Config(epoch, version, document, digest_of(document), history[-HISTORY_MOST:])
+        if not version or known in (None, digest):
+            return CommitOutcome.COMMITTED
+        return CommitOutcome.CONFLICT
+
+    def successor(self, version: int, document: bytes, epoch: int) -> Config:
+        """Return the configuration that an update with a higher version makes."""
+        holds(version > self.version, "versions only rise within an epoch")
+        history = self.history
+        if self.version:
+            history = (*history, (self.version, self.digest))
+        return Config(epoch, version, document, digest_of(document), history[-MAX_HISTORY:])
+
+    def abbreviated_for(self, known_identity: bytes) -> Config:
+        """Return it without text and history for a receiver that stores the one of this identity."""
+        if known_identity and known_identity == self.identity:
+            return Config(self.epoch, self.version, reference=known_identity)
+        return self
+
+    def completed_from(self, own: Config) -> Config:
+        """Return it with text and history of the configuration it refers to, if `own` is that one."""
+        if not self.reference or own.identity != self.reference:
+            return self
+        return replace(own, epoch=self.epoch)
 
-    def pack(self, known: bytes = b"") -> list[Any]:
-        """Return it for a message; text and history are left out for who holds the identity `known`."""
-        if known and known == self.identity:
-            return [self.epoch, self.version, NO_DOCUMENT, b"", [], known]
-        history = [list(one) for one in self.history]
-        return [self.epoch, self.version, self.document, self.digest, history, b""]
+    def pack(self) -> list[Any]:
+        """Return it for a message or a file."""
+        history = [list(entry) for entry in self.history]
+        return [self.epoch, self.version, self.document, self.digest, history, self.reference]
 
     @staticmethod
-    def unpack(told: Any) -> Config:
-        """Read it from a message or a file; ValueError where text and digest do not belong together."""
-        epoch, version, document, digest, history, bare = told
+    def unpack(packed: Any) -> Config:
+        """Decode it; ValueError where text and digest do not belong together."""
+        epoch, version, document, digest, history, reference = packed
         if document and digest_of(bytes(document)) != digest:
-            raise ValueError(f"r{version}: the text does not have the digest that was told")
-        past = tuple((int(number), bytes(one)) for number, one in history)
-        return Config(int(epoch), int(version), bytes(document), bytes(digest), past, bytes(bare))
-
-    def filled(self, own: Config) -> Config:
-        """Return it with text and history from the copy that it stands for, where it came without."""
-        if not self.bare or own.identity != self.bare:
-            return self
-        return replace(own, epoch=self.epoch)
+            raise ValueError(f"r{version}: the text does not have the digest that came with it")
+        entries = tuple((int(number), bytes(entry)) for number, entry in history)
+        return Config(int(epoch), int(version), bytes(document), bytes(digest), entries, bytes(reference))
 
 
 @dataclass(slots=True, frozen=True)
 class Update:
-    """What is to be made safe: a configuration, servers that leave, or nothing (a read)."""
+    """What is to be committed: a configuration, departures, or nothing (a read)."""
 
     version: int = 0
     document: bytes = NO_DOCUMENT
-    leaving: dict[str, int] = field(default_factory=dict)  # server id: 1 draining, 2 gone
+    departures: dict[str, int] = field(default_factory=dict)  # endpoint id: 1 draining, 2 gone
+
+    @property
+    def is_read(self) -> bool:
+        """Tell whether it changes nothing."""
+        return not self.version and not self.departures
 
     def pack(self) -> list[Any]:
         """Return it for a message."""
-        return [self.version, self.document, self.leaving]
+        return [self.version, self.document, self.departures]
 
     @staticmethod
-    def unpack(told: Any) -> Update:
-        """Read it from a message."""
-        return Update(int(told[0]), bytes(told[1]), {str(k): int(v) for k, v in told[2].items()})
+    def unpack(packed: Any) -> Update:
+        """Decode it; raises ValueError or TypeError for anything else."""
+        return Update(int(packed[0]), bytes(packed[1]), _unpack_departures(packed[2]))
+
+
+def _unpack_departures(packed: Any) -> dict[str, int]:
+    return {str(endpoint_id): int(state) for endpoint_id, state in packed.items()}
 
 
-def _sum(server: str, state: int) -> int:
-    return zlib.crc32(f"{server} {state}".encode())
+def _departure_checksum(endpoint_id: str, state: int) -> int:
+    return zlib.crc32(f"{endpoint_id} {state}".encode())
 
 
 @dataclass(slots=True)
 class Replica:
-    """One copy."""
+    """One replica: a configuration and the departures, with a checksum of the departures."""
 
     config: Config = Config()
-    leaving: dict[str, int] = field(default_factory=dict)
-    leaving_sum: int = field(default=0, compare=False)  # of all of them: the same for the same
+    departures: dict[str, int] = field(default_factory=dict)  # endpoint id: 1 draining, 2 gone
+    departures_checksum: int = field(default=0, compare=False)  # equal for equal departures
 
     def __post_init__(self) -> None:
-        """Work out the sum; `leave` keeps it up."""
-        self.leaving_sum = 0
-        for server, state in self.leaving.items():
-            self.leaving_sum ^= _sum(server, state)
+        """Compute the checksum; `add_departures` maintains it."""
+        self.departures_checksum = 0
+        for endpoint_id, state in self.departures.items():
+            self.departures_checksum ^= _departure_checksum(endpoint_id, state)
 
-    def adopt(self, other: Config) -> bool:
-        """Take a configuration of higher rank; True where that changed this copy."""
+    def adopt_config(self, other: Config) -> bool:
+        """Adopt a configuration of higher rank; True where that changed this replica."""
         if other.rank == self.config.rank:
-            holds(other.digest == self.config.digest, "one epoch and number is one text")
-        if other.rank <= self.config.rank or not other.whole:
+            holds(other.digest == self.config.digest, "one epoch and version is one text")
+        if other.rank <= self.config.rank or not other.complete:
             return False
         self.config = other
         return True
 
-    def leave(self, leaving: dict[str, int]) -> bool:
-        """Join servers that leave; True where that changed this copy."""
+    def add_departures(self, departures: dict[str, int]) -> bool:
+        """Merge departures; True where that changed this replica. The oldest beyond the limit are dropped."""
         changed = False
-        for server, state in leaving.items():
-            known = self.leaving.get(server, 0)
-            if state > known:
-                self.leaving_sum ^= _sum(server, state) ^ (_sum(server, known) if known else 0)
-                self.leaving[server] = state
-                changed = True
-        while len(self.leaving) > LEAVING_MOST:
-            oldest = next(iter(self.leaving))
-            self.leaving_sum ^= _sum(oldest, self.leaving.pop(oldest))
+        for endpoint_id, state in departures.items():
+            known = self.departures.get(endpoint_id, 0)
+            if state <= known:
+                continue
+            if known:
+                self.departures_checksum ^= _departure_checksum(endpoint_id, known)
+            self.departures_checksum ^= _departure_checksum(endpoint_id, state)
+            self.departures[endpoint_id] = state
+            changed = True
+        while len(self.departures) > MAX_DEPARTURES:
+            oldest = next(iter(self.departures))
+            self.departures_checksum ^= _departure_checksum(oldest, self.departures.pop(oldest))
         return changed
 
-    def join(self, other: Replica) -> bool:
-        """Take in what another copy has more; True where that changed this one."""
-        adopted = self.adopt(other.config)
-        return self.leave(other.leaving) or adopted
+    def merge(self, other: Replica) -> bool:
+        """Take over what another replica has more; True where that changed this one."""
+        adopted = self.adopt_config(other.config)
+        return self.add_departures(other.departures) or adopted
 
-    def fill(self, own: Replica) -> bool:
-        """Take text and history from an own copy, where this came without; True where it is whole then."""
-        self.config = self.config.filled(own.config)
-        return self.config.whole
-
-    def take(self, order: Update, epoch: int) -> bool:
-        """Take an order as the head of an epoch; True where it changed this copy."""
-        changed = order.version > self.config.version
+    def apply(self, update: Update, epoch: int) -> bool:
+        """Apply an update as the head of an epoch; True where it changed this replica."""
+        changed = update.version > self.config.version
         if changed:
-            self.config = self.config.follow(order.version, order.document, epoch)
-        return self.leave(order.leaving) or changed
+            self.config = self.config.successor(update.version, update.document, epoch)
+        return self.add_departures(update.departures) or changed
 
     def copy(self) -> Replica:
         """Return a copy that does not change with this one."""
-        return Replica(self.config, dict(self.leaving))
+        return Replica(self.config, dict(self.departures))
 
-    def begun(self, epoch: int) -> Replica:
-        """Return the copy with which an epoch begins."""
-        return Replica(replace(self.config, epoch=epoch), dict(self.leaving))
+    def with_epoch(self, epoch: int) -> Replica:
+        """Return a copy with which an epoch starts."""
+        return Replica(replace(self.config, epoch=epoch), dict(self.departures))
 
-    def pack(self, known: bytes = b"") -> list[Any]:
-        """Return it for a message; without the text for who holds the digest `known`."""
-        return [self.config.pack(known), self.leaving]
+    def abbreviated_for(self, known_identity: bytes) -> Replica:
+        """Return a copy without text for a receiver that stores the configuration of this identity."""
+        return self._with_config(self.config.abbreviated_for(known_identity))
 
-    @staticmethod
-    def unpack(told: Any) -> Replica:
-        """Read it from a message."""
-        return Replica(Config.unpack(told[0]), {str(k): int(v) for k, v in told[1].items()})
+    def completed_from(self, own: Replica) -> Replica | None:
+        """Return a copy, with the text of an own replica where it was left out; None if that is missing."""
+        config = self.config.completed_from(own.config)
+        return self._with_config(config) if config.complete else None
+
+    def _with_config(self, config: Config) -> Replica:
+        other = Replica(config)
+        other.departures = dict(self.departures)
+        other.departures_checksum = self.departures_checksum
+        return other
+
+    def pack(self) -> list[Any]:
+        """Return it for a message or a file."""
+        return [self.config.pack(), self.departures]
+
+    @classmethod
+    def unpack(cls, packed: Any) -> Self:
+        """Decode it; ValueError where text and digest do not belong together."""
+        return cls(Config.unpack(packed[0]), _unpack_departures(packed[1]))
--- a/wickspring/controlplane/replication/snapshot.py
+++ b/wickspring/controlplane/replication/snapshot.py
@@ -1,10 +1,10 @@
-"""A snapshot of what the chain keeps, as operators take it and bring it back: one JSON document with a sum.
+"""Snapshots of the replicated state, as operators take and restore them: one JSON document with a checksum.
 
-Bringing one back is an order like any other: its number is acknowledged and changes nothing where a higher
-one is held, and servers that leave are joined, so an old snapshot takes nothing back.
+Restoring is an update like any other: its version is acknowledged and changes nothing where a higher one is
+stored, and departures are merged, so an old snapshot takes nothing back.
 
-Format 2 has the number, digest and history of the configuration beside its text, and the epoch of the view
-it was taken of. Of format 1, which had the text and the leaving servers alone, files are still read.
+Format 2 has version, digest and history of the configuration beside its text, and the epoch of the view in
+which it was taken. Format 1, which had the text and the departures alone, is still read.
 """
 
 from __future__ import annotations
@@ -21,106 +21,119 @@
 from wickspring.controlplane.replication.replica import DIGEST_SIZE, Replica, Update, digest_of
 
 FORMAT = 2
-MOST_STATE = 2  # of a leaving server: gone
+MAX_DEPARTURE_STATE = 2  # gone
+CHECKSUM_SIZE = 16  # bytes
 
 
-class _Format(msgspec.Struct):
-    """What is read first."""
+class _FormatHeader(msgspec.Struct):
+    """The part of every format that is read first."""
 
     format: int
 
 
-class _Snapshot1(msgspec.Struct):
-    """The document of format 1."""
+class _SnapshotFormat1(msgspec.Struct):
+    """The document of format 1; its keys are fixed by stored files."""
 
     config: str
-    leavers: dict[str, int]
+    leavers: dict[str, int]  # departures
     sum: str
 
 
 class _Snapshot(msgspec.Struct):
-    """The document: `config` is the configuration's own text, `leaving` are 1 (draining) or 2 (gone)."""
+    """The document of format 2; its keys are fixed by stored files."""
 
     format: int
     epoch: int
-    number: int
+    number: int  # the configuration's version
     digest: str
-    history: list[tuple[int, str]]  # the numbers before and their digests, the newest last
-    config: str
-    leaving: dict[str, int]
+    history: list[tuple[int, str]]  # the versions before and their digests, the newest last
+    config: str  # the configuration's own text
+    leaving: dict[str, int]  # departures: endpoint id, 1 (draining) or 2 (gone)
     sum: str = ""
 
 
-def _sum(*told: Any) -> str:
-    return hashlib.blake2b(msgspec.json.encode(told), digest_size=16).hexdigest()
+def _checksum(*values: Any) -> str:
+    return hashlib.blake2b(msgspec.json.encode(values), digest_size=CHECKSUM_SIZE).hexdigest()
 
 
-def _sum_of(one: _Snapshot) -> str:
-    leaving = sorted(one.leaving.items())
-    return _sum(one.format, one.epoch, one.number, one.digest, one.history, one.config, leaving)
+def _checksum_of(snapshot: _Snapshot) -> str:
+    return _checksum(
+        snapshot.format,
+        snapshot.epoch,
+        snapshot.number,
+        snapshot.digest,
+        snapshot.history,
+        snapshot.config,
+        sorted(snapshot.leaving.items()),
+    )
 
 
-def _refused(reason: str) -> Result[Update, ErrorDetail]:
+def _invalid(reason: str) -> Result[Update, ErrorDetail]:
     return Error(ErrorDetail(ErrorKind.INVALID_SNAPSHOT, reason))
 
 
 def pack(replica: Replica, epoch: int) -> bytes:
-    """Return the snapshot of what is safe; `epoch` only says of which view it was taken."""
+    """Return the snapshot of a committed state; `epoch` only says in which view it was taken."""
     config = replica.config
-    history = [(number, digest.hex()) for number, digest in config.history]
-    one = _Snapshot(
-        FORMAT,
-        epoch,
-        config.version,
-        config.digest.hex(),
-        history,
-        config.document.decode(),
-        replica.leaving,
+    snapshot = _Snapshot(
+        format=FORMAT,
+        epoch=epoch,
+        number=config.version,
+        digest=config.digest.hex(),
+        history=[(version, digest.hex()) for version, digest in config.history],
+        config=config.document.decode(),
+        leaving=replica.departures,
     )
-    one.sum = _sum_of(one)
-    return msgspec.json.encode(one)
+    snapshot.sum = _checksum_of(snapshot)
+    return msgspec.json.encode(snapshot)
 
 
 def unpack(body: bytes) -> Result[Update, ErrorDetail]:
-    """Read a snapshot and check it whole; the order that brings it back, or the fault its sender is told."""
+    """Decode and validate a snapshot; return the update that restores it, or what is wrong with it."""
     try:
-        form = msgspec.json.decode(body, type=_Format).format
-        if form == FORMAT:
-            return _read(msgspec.json.decode(body, type=_Snapshot))
-        if form == 1:
-            return _read_1(msgspec.json.decode(body, type=_Snapshot1))
+        format_ = msgspec.json.decode(body, type=_FormatHeader).format
+        if format_ == FORMAT:
+            return _read_format_2(msgspec.json.decode(body, type=_Snapshot))
+        if format_ == 1:
+            return _read_format_1(msgspec.json.decode(body, type=_SnapshotFormat1))
     except (msgspec.MsgspecError, UnicodeError) as error:  # a lone surrogate is text that nothing encodes
-        return _refused(str(error))
-    return _refused(f"format {form}, this program knows 1 to {FORMAT}")
-
-
-def _read(told: _Snapshot) -> Result[Update, ErrorDetail]:
-    if told.sum != _sum_of(told):
-        return _refused("its sum does not fit: it was cut or changed")
-    numbers = [0, *(number for number, _ in told.history), told.number]
-    rising = all(one < after for one, after in pairwise(numbers))
-    if (told.history and not rising) or any(len(digest) != 2 * DIGEST_SIZE for _, digest in told.history):
-        return _refused("history: numbers rise up to the configuration's, each with its digest")
-    if told.digest != (digest_of(told.config.encode()).hex() if told.number else ""):
-        return _refused("config: not the text that its digest tells")
-    return _order(told.config, told.leaving, told.number)
-
-
-def _read_1(told: _Snapshot1) -> Result[Update, ErrorDetail]:
-    if told.sum != _sum(told.config, sorted(told.leavers.items())):
-        return _refused("its sum does not fit: it was cut or changed")
-    return _order(told.config, told.leavers, None)
-
-
-def _order(config: str, leaving: dict[str, int], number: int | None) -> Result[Update, ErrorDetail]:
-    if any(not server or not 0 < state <= MOST_STATE for server, state in leaving.items()):
-        return _refused("leaving: states are 1 and 2")
+        return _invalid(str(error))
+    return _invalid(f"format {format_}, this program knows 1 to {FORMAT}")
+
+
+def _read_format_2(snapshot: _Snapshot) -> Result[Update, ErrorDetail]:
+    if snapshot.sum != _checksum_of(snapshot):
+        return _invalid("its sum does not fit: it was cut or changed")
+    versions = [0, *(version for version, _ in snapshot.history), snapshot.number]
+    rising = all(earlier < later for earlier, later in pairwise(versions))
+    digests_complete = all(len(digest) == 2 * DIGEST_SIZE for _, digest in snapshot.history)
+    if (snapshot.history and not rising) or not digests_complete:
+        return _invalid("history: numbers rise up to the configuration's, each with its digest")
+    expected = digest_of(snapshot.config.encode()).hex() if snapshot.number else ""
+    if snapshot.digest != expected:
+        return _invalid("config: not the text that its digest tells")
+    return _restoring_update(snapshot.config, snapshot.leaving, snapshot.number)
+
+
+def _read_format_1(snapshot: _SnapshotFormat1) -> Result[Update, ErrorDetail]:
+    if snapshot.sum != _checksum(snapshot.config, sorted(snapshot.leavers.items())):
+        return _invalid("its sum does not fit: it was cut or changed")
+    return _restoring_update(snapshot.config, snapshot.leavers, None)
+
+
+def _restoring_update(
+    config: str, departures: dict[str, int], version: int | None
+) -> Result[Update, ErrorDetail]:
+    """Return the update of a snapshot; `version` is None where the format has it in the text alone."""
+    for endpoint_id, state in departures.items():
+        if not endpoint_id or not 0 < state <= MAX_DEPARTURE_STATE:
+            return _invalid("leaving: states are 1 and 2")
     if not config:
-        return _refused(f"r{number} has no text") if number else Ok(Update(leaving=leaving))
+        return _invalid(f"r{version} has no text") if version else Ok(Update(departures=departures))
     document = config.encode()
-    checked = validate_config(document)
-    if checked.is_error():
-        return _refused(f"config: {checked.error.reason}")
-    if number is not None and checked.ok != number:
-        return _refused(f"config: its text is r{checked.ok}, its number r{number}")
-    return Ok(Update(checked.ok, document, leaving))
+    validated = validate_config(document)
+    if validated.is_error():
+        return _invalid(f"config: {validated.error.reason}")
+    if version is not None and validated.ok != version:
+        return _invalid(f"config: its text is r{validated.ok}, its number r{version}")
+    return Ok(Update(validated.ok, document, departures))
--- a/wickspring/controlplane/status.py
+++ b/wickspring/controlplane/status.py
@@ -12,7 +12,8 @@
 from wickspring.controlplane.components import Components
 from wickspring.controlplane.data_plane_sessions import DataPlaneSessions
 from wickspring.controlplane.quota_counter import QuotaCounter
-from wickspring.controlplane.replication.node import NodeStatus, ReplicationNode
+from wickspring.controlplane.replication.node import ReplicationNode
+from wickspring.controlplane.replication.peers import NodeStatus
 
 _ENDPOINT_STATES = ("ready", "draining", "gone")
 _DIGITS = 1
@@ -115,7 +116,7 @@
     return ControlPlaneStatus(
         node=components.settings.node_name,
         replication=_replication_status(replication, components.contact.observe().name.lower()),
-        peer_nodes={ip: _peer_status(replication, ip) for ip in replication.callers},
+        peer_nodes={ip: _peer_status(replication, ip) for ip in replication.peers.addresses},
         data_planes=sorted(data_planes.live_names()),
         endpoints=_endpoint_statuses(components),
         quota_counts=_quota_statuses(components.quota_counter),
@@ -128,37 +129,37 @@
         epoch=chain.view.epoch,
         members=[ip for ip, _ in chain.view.chain],
         voters=[ip for ip, _ in chain.view.voters],
-        is_member=chain.member,
+        is_member=chain.is_member,
         contact=contact,
         frozen=chain.frozen,
-        steady=replication.steady,
+        steady=replication.holds_lease,
         stored_version=chain.replica.config.version,
-        committed_version=chain.safe.config.version,
-        disk_id=chain.me[1],
-        tolerance_shortfalls=replication.short(),
+        committed_version=chain.committed.config.version,
+        disk_id=chain.me.disk_id,
+        tolerance_shortfalls=replication.tolerance_shortfalls(),
     )
 
 
 def _peer_status(replication: ReplicationNode, ip: str) -> UnknownNodeStatus:
-    is_live = replication.live(ip)
-    behind = replication.behind(ip)
-    reported: NodeStatus | None = replication.states.get(ip)
+    is_live = replication.peers.is_reachable(ip)
+    behind = replication.reasons_behind(ip)
+    reported: NodeStatus | None = replication.peers.statuses.get(ip)
     if reported is None:
         return UnknownNodeStatus(is_live, behind)
     return PeerNodeStatus(
         is_live=is_live,
         behind=behind,
-        disk=reported.disk,
+        disk=reported.disk_id,
         epoch=reported.epoch,
-        safe_epoch=reported.safe_epoch,
-        version=reported.version,
-        leaving=reported.leaving,
-        leaving_sum=reported.leaving_sum,
+        safe_epoch=reported.committed_epoch,
+        version=reported.committed_version,
+        leaving=reported.departure_count,
+        leaving_sum=reported.departures_checksum,
         identity=reported.identity,
-        unhealthy=reported.ill,
+        unhealthy=reported.unhealthy,
         zone=reported.zone,
-        control=reported.control,
-        reachable=reported.sees,
+        control=reported.control_address,
+        reachable=reported.reachable_peers,
     )
 
 
--- a/wickspring/controlplane/storage.py
+++ b/wickspring/controlplane/storage.py
@@ -196,7 +196,7 @@
         if held is not None:
             durable, replica, servers = held
             self._put(self._parts(durable, replica) | ({} if servers is None else {"servers": servers}))
-            self._put_leaving(replica.leaving)
+            self._put_leaving(replica.departures)
         self.db.execute(f"pragma user_version={SCHEMA}")
 
     def _set_aside(self) -> None:
@@ -260,11 +260,11 @@
         history = sorted(past.items())
         config = Config.unpack([epoch, version, parts["document"], digest, history, b""])
         replica = Replica(config, dict(leaving))
-        if not config.whole or [len(leaving), replica.leaving_sum] != left:
+        if not config.complete or [len(leaving), replica.departures_checksum] != left:
             raise CorruptStoreError("the copy is not whole")
         durable: dict[str, Any] = msgpack.unpackb(parts["chain"])
         durable["accepted"] = accepted = msgpack.unpackb(parts["accepted"])
-        if accepted is not None and not Replica.unpack(accepted[3]).config.whole:
+        if accepted is not None and not Replica.unpack(accepted[3]).config.complete:
             raise CorruptStoreError("the accepted view's state is not whole")
         self._saved, self._history, self._leaving = parts, past, leaving
         return durable, replica
@@ -281,7 +281,7 @@
     def save(self, durable: dict[str, Any], replica: Replica) -> None:
         """Save what differs from what was saved last, in one transaction."""
         history = dict(replica.config.history)
-        self._write(self._parts(durable, replica), history, replica.leaving)
+        self._write(self._parts(durable, replica), history, replica.departures)
 
     def save_servers(self, servers: list[Any]) -> None:
         """Save the servers that are known, so that all may start again without waiting for beats."""
@@ -291,9 +291,9 @@
         config, history = replica.config, dict(replica.config.history)
         if self._saved.get("document") != config.document:
             right = digest_of(config.document) if config.version else b""
-            if not holds(config.whole and config.digest == right, "what is saved is whole"):
+            if not holds(config.complete and config.digest == right, "what is saved is whole"):
                 raise ValueError(f"r{config.version} is not whole")
-        sums = [[len(history), _history_sum(history)], [len(replica.leaving), replica.leaving_sum]]
+        sums = [[len(history), _history_sum(history)], [len(replica.departures), replica.departures_checksum]]
         parts = {
             "chain": msgpack.packb({key: told for key, told in durable.items() if key != "accepted"}),
             "accepted": msgpack.packb(durable["accepted"]),
--- a/wickspring/controlplane/storage_legacy.py
+++ b/wickspring/controlplane/storage_legacy.py
@@ -55,13 +55,13 @@
     document = parts.get("document", b"") if version else b""
     epoch = int(durable["view"][0])
     config = Config(epoch, int(version), document, digest_of(document) if version else b"")
-    if not config.whole:
+    if not config.complete:
         raise CorruptStoreError(f"r{version} has no text")
     replica = Replica(config, _leaving(db, schema, told))
     accepted = durable["accepted"]
     if accepted is not None:
         slot, ballot, view = accepted
-        state = replica.begun(int(view[0])).pack()
+        state = replica.with_epoch(int(view[0])).pack()
         accepted = [slot, ballot, _view(view), state] if slot > epoch else None
     durable = {**durable, "view": _view(durable["view"]), "accepted": accepted}
     return durable, replica, parts.get("servers")
--- a/wickspring/controlplane/update_service.py
+++ b/wickspring/controlplane/update_service.py
@@ -6,8 +6,9 @@
 
 from wickspring.common.config_status import QuorumContact
 from wickspring.controlplane.quorum_contact import QuorumContactObserver
-from wickspring.controlplane.replication.node import NOT_COMMITTED, ReplicationNode, UpdateResult
+from wickspring.controlplane.replication.node import ReplicationNode
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
+from wickspring.controlplane.replication.update_submission import NOT_COMMITTED, UpdateResult
 
 COMMIT_TIMEOUT_S = 0.85  # for one update; callers give up after a second
 FIRST_RETRY_DELAY_S = 0.05  # doubled with each retry: a change of view may take long
@@ -42,8 +43,8 @@
         with trio.move_on_after(COMMIT_TIMEOUT_S):
             while True:
                 await self._wait_for_contact()
-                result = await self._replication.enter(update, read)
-                if result.verdict is not CommitOutcome.NOT_YET:
+                result = await self._replication.submit(update, read)
+                if result.outcome is not CommitOutcome.NOT_YET:
                     await self._wait_for_contact()
                     return result
                 await trio.sleep(delay_s)
@@ -53,7 +54,7 @@
     async def read(self) -> Replica | None:
         """Return the committed state as of now; None where it cannot be read in time."""
         result = await self.commit(Update(), read=True)
-        return result.replica if result.verdict is CommitOutcome.SAFE else None
+        return result.replica if result.outcome is CommitOutcome.COMMITTED else None
 
     async def _wait_for_contact(self) -> None:
         while self._contact.observe() is QuorumContact.NONE:
--- a/wickspring/controlplane/view_announcements.py
+++ b/wickspring/controlplane/view_announcements.py
@@ -16,7 +16,7 @@
 
     def reachable_nodes(self) -> list[str]:
         """Return this node and the other ones that it reaches."""
-        others = [ip for ip in self._replication.callers if self._replication.live(ip)]
+        others = [ip for ip in self._replication.peers.addresses if self._replication.peers.is_reachable(ip)]
         return [self._own_ip, *others]
 
     def _message(self) -> tuple[object, ...]:
--- a/wickspring/lab/experiments/storage_cost.py
+++ b/wickspring/lab/experiments/storage_cost.py
@@ -48,19 +48,19 @@
             "accepted": None,
             "disk": "first",
         }
-        self.replica.leave({f"server-{n:05d}": 1 for n in range(leaving)})
+        self.replica.add_departures({f"server-{n:05d}": 1 for n in range(leaving)})
         self.book.save(self.durable, self.replica.copy())
         self.left = 0
 
     def change(self) -> None:
         """Take another configuration, of which a part differs."""
         number = self.replica.config.version + 1
-        self.replica.take(Update(number, b"%d " % number + self.random.randbytes(self.size)), 1)
+        self.replica.apply(Update(number, b"%d " % number + self.random.randbytes(self.size)), 1)
 
     def leave(self) -> None:
         """Take a server that leaves; the oldest is forgotten where there are too many."""
         self.left += 1
-        self.replica.leave({f"leaving-{self.left:05d}": 1})
+        self.replica.add_departures({f"leaving-{self.left:05d}": 1})
 
     def promise(self) -> None:
         """Promise a ballot."""
@@ -69,7 +69,7 @@
     def accept(self) -> None:
         """Accept a view with its state."""
         ballot = self.durable["promised"][1]
-        self.durable["accepted"] = [2, ballot, [2, MEMBERS, MEMBERS[:2]], self.replica.begun(2).pack()]
+        self.durable["accepted"] = [2, ballot, [2, MEMBERS, MEMBERS[:2]], self.replica.with_epoch(2).pack()]
 
     def measure(self, times: int, *changes: Callable[[], None]) -> tuple[float, list[float]]:
         """Return bytes a save and how long each took, in ms."""
--- a/wickspring/lab/faults/core_faults.py
+++ b/wickspring/lab/faults/core_faults.py
@@ -103,7 +103,7 @@
         """A machine's disk does not come back in time, and it says so."""
         chain = machine.chain
         if chain is not None:
-            chain.hampered = True
+            chain.disk_slow = True
             machine.back_at = self.now + length_ms
             self.at(length_ms, lambda: setattr(chain, "hampered", False))
 
@@ -134,13 +134,13 @@
         ends_at = self.now + self.random.uniform(*GRACE_MS)
         old.leaving = True
         if old.chain is not None:
-            old.chain.leaving = True
+            old.chain.stopping = True
 
         def look() -> None:
             chain, stands = old.chain, self.machines.get(old.ip) is old
             if not stands:
                 return
-            if chain is not None and old.stopped_until <= self.now and chain.may_leave:
+            if chain is not None and old.stopped_until <= self.now and chain.may_stop:
                 self.left += 1
             elif self.now < ends_at or not self.may_lose({old.ip}):
                 self.at(50.0, look)
--- a/wickspring/lab/simulation/core.py
+++ b/wickspring/lab/simulation/core.py
@@ -20,8 +20,9 @@
 
 import msgpack
 
+from wickspring.controlplane.replication import messages
 from wickspring.controlplane.replication.chain import ReplicationChain
-from wickspring.controlplane.replication.lease import MOST_DRIFT, Lease, grants
+from wickspring.controlplane.replication.lease import MAX_CLOCK_DRIFT, Lease, granted_epoch
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import FaultTolerance, Member, PeerObservation, View
 from wickspring.lab.simulation.core_operators import Ledger, Operators
@@ -54,7 +55,7 @@
     knows: set[str] = field(default_factory=set)  # the addresses of other core machines
     heard: dict[str, tuple[float, PeerObservation]] = field(default_factory=dict)
     spoken_to: bool = False  # by another machine's chain, in this life
-    safe: tuple[int, int, bytes] = (0, 0, b"")  # epoch, number, digest that it has called safe last
+    committed: tuple[int, int, bytes] = (0, 0, b"")  # epoch, number, digest that it has called safe last
     back_at: float = 0.0
     leaving: bool = False
     lease: Lease = field(default_factory=Lease)
@@ -70,7 +71,7 @@
     @property
     def member(self) -> Member | None:
         """Return its address with the id of its disk, if it has one."""
-        return None if self.disk is None else (self.ip, self.disk["disk"])
+        return None if self.disk is None else Member(self.ip, self.disk["disk"])
 
 
 @dataclass(slots=True)
@@ -108,7 +109,7 @@
         ips = [f"m{n}" for n in range(machines)]
         self.machines = {ip: SimulatedNode(ip, f"z{n % self.zones}") for n, ip in enumerate(ips)}
         self.names = count(machines)
-        self.first = tuple((ip, FIRST_DISK) for ip in ips[:seeds])
+        self.first = tuple(Member(ip, FIRST_DISK) for ip in ips[:seeds])
         self.cut: set[tuple[str, str]] = set()
         self.loss = 0.0
         self.ambush: tuple[str, Callable[[], None]] | None = None  # what happens at a message of that name
@@ -149,15 +150,17 @@
             disk = f"{machine.ip}.{machine.lives}"
         elif self.first:
             view = View(1, self.first, self.first)
-        chain = self.make(machine.ip, disk, view, seed, replica, self.tolerance, zone=machine.zone)
+        me = Member(machine.ip, disk)
+        chain = self.make(me, view, seed, replica, self.tolerance, zone=machine.zone)
         if machine.disk is not None:
             chain.restore(machine.disk)
-        chain.dirty, chain.leaving = True, machine.leaving
+        chain.dirty = True
+        chain.stopping = machine.leaving
         machine.chain, machine.back_at, machine.lease = chain, self.now, self.lease()
-        machine.spoken_to, machine.safe = False, (0, 0, b"")
+        machine.spoken_to, machine.committed = False, (0, 0, b"")
         machine.knows = set(self.machines) - {machine.ip}  # the seeds of its settings
-        machine.speed = self.random.uniform(1.0 - MOST_DRIFT / 2, 1.0 + MOST_DRIFT / 2)
-        self.step(machine, lambda: chain.begin(self.now))
+        machine.speed = self.random.uniform(1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2)
+        self.step(machine, lambda: chain.start(self.now))
         self.at(self.random.uniform(1.0, TICK_MS), lambda: self.tick(machine, life))
 
     def stop(self, machine: SimulatedNode, wipe: bool = False) -> None:
@@ -190,44 +193,43 @@
         if chain is None:
             return
         event()
-        out, done, news = chain.out, chain.done, chain.news
-        chain.out, chain.done, chain.news = [], [], []
+        effects = chain.take_effects()
         if chain.dirty:
             if self.crashes(machine):
                 return
             chain.dirty = False
-            machine.disk = _frozen({**chain.durable(), "disk": chain.me[1]})
+            machine.disk = _frozen({**chain.durable(), "disk": chain.me.disk_id})
             machine.replica = chain.replica.copy()
             self.ledger.saved(chain.me, machine.replica)
             if self.crashes(machine):
                 return
-        self.look(machine, chain, bool(news))
-        if machine.lease.take_up(machine.clock(self.now), chain.view):
+        self.look(machine, chain, effects.newly_committed)
+        if machine.lease.install(machine.clock(self.now), chain.view):
             self.duties()
-        for ticket, verdict in done:
+        for ticket, verdict in effects.outcomes:
             self.answered(machine, chain, ticket, verdict)
-        if done and self.crashes(machine):
+        if effects.outcomes and self.crashes(machine):
             return
-        for ip, message in out:
-            self.send(machine.ip, ip, message)
+        for ip, message in effects.messages:
+            self.send(machine.ip, ip, message.encode())
 
     def look(self, machine: SimulatedNode, chain: ReplicationChain, handed_out: bool) -> None:
         """Check what must hold of one machine after each event."""
         if chain.view.epoch and chain.view.epoch not in self.ledger.views:
             self.views += 1
         self.ledger.viewed(machine.ip, chain.view)
-        safe = chain.safe.config
+        safe = chain.committed.config
         if chain.replica.config.rank < safe.rank:
             self.fail(f"{machine.ip} calls safe what it does not hold")
         now = safe.epoch, safe.version, safe.digest
         if handed_out and not machine.spoken_to and len(chain.view.chain) > 1:
             self.fail(f"{machine.ip} hands out r{safe.version} before it has heard another")
-        if now != machine.safe:
-            _, version, digest = machine.safe
+        if now != machine.committed:
+            _, version, digest = machine.committed
             if safe.version < version or (safe.version == version and version and safe.digest != digest):
                 self.fail(f"{machine.ip} called r{version} safe, and now {now}")
             self.ledger.called_safe(machine.ip, safe)
-            machine.safe = now
+            machine.committed = now
 
     def duties(self) -> None:
         """Check that nobody may do what another, of another view, may do as well."""
@@ -235,7 +237,7 @@
         for one in self.machines.values():
             if one.chain is None or one.stopped_until > self.now:
                 continue
-            if one.lease.usable(one.clock(self.now), one.chain):
+            if one.lease.is_usable(one.clock(self.now), one.chain):
                 epochs.add(one.lease.epoch)
                 self.usable += 1
         if len(epochs) > 1:
@@ -252,22 +254,22 @@
         self.at(TICK_MS * self.random.uniform(0.85, 1.15), lambda: self.tick(machine, life))
         heard = {ip: self.now - at < SILENT_MS for ip, (at, _) in machine.heard.items()}
         told = PeerObservation(
-            live=True,
-            disk=chain.me[1],
-            hampered=chain.leaving or chain.hampered,
+            reachable=True,
+            disk_id=chain.me.disk_id,
+            unhealthy=chain.stopping or chain.disk_slow,
             zone=machine.zone,
             epoch=chain.view.epoch,
-            safe_epoch=chain.safe.config.epoch,
-            version=chain.safe.config.version,
-            leaving=len(chain.safe.leaving),
-            leaving_sum=chain.safe.leaving_sum,
+            committed_epoch=chain.committed.config.epoch,
+            committed_version=chain.committed.config.version,
+            departure_count=len(chain.committed.departures),
+            departures_checksum=chain.committed.departures_checksum,
             identity=chain.replica.config.identity,
-            sees=frozenset(ip for ip, live in heard.items() if live),
+            reachable_peers=frozenset(ip for ip, live in heard.items() if live),
         )
         for ip in sorted(machine.knows):
             if ip in self.machines and (ip, machine.ip) not in self.cut:
                 self.send(machine.ip, ip, ["status", told, machine.clock(self.now), set(machine.knows)])
-        reach = {ip: replace(one, live=heard[ip]) for ip, (_, one) in machine.heard.items()}
+        reach = {ip: replace(one, reachable=heard[ip]) for ip, (_, one) in machine.heard.items()}
         self.step(machine, lambda: chain.tick(self.now, reach))
 
     def send(self, sender: str, to: str, message: list[Any]) -> None:
@@ -300,14 +302,14 @@
         assert chain is not None
         machine.heard[sender] = self.now, message[1]
         machine.knows |= {sender, *message[3]} - {machine.ip}
-        self.send(machine.ip, sender, ["tock", chain.me[1], message[2], grants(chain)])
+        self.send(machine.ip, sender, ["tock", chain.me.disk_id, message[2], granted_epoch(chain)])
 
     def take(self, machine: SimulatedNode, sender: str, message: list[Any], size: int) -> None:
         """Take a message of another machine."""
         chain, name = machine.chain, message[0]
         assert chain is not None
         if name == "tock":
-            machine.lease.granted(sender, *message[1:])
+            machine.lease.on_grant(Member(sender, str(message[1])), float(message[2]), int(message[3]))
             self.duties()
         elif name == "enter":
             self.enter(machine, int(message[1]), Update.unpack(message[2]))
@@ -316,7 +318,9 @@
         else:
             machine.spoken_to = True
             machine.received += size
-            self.step(machine, lambda: chain.receive(self.now, sender, message))
+            decoded = messages.decode(message)
+            assert decoded is not None
+            self.step(machine, lambda: chain.receive(self.now, sender, decoded))
 
     # Orders: they come in at any machine, which sends them on to the head that it knows.
 
@@ -341,13 +345,13 @@
             asked.answer = _nobody
             chain = self.machines[asked.origin].chain if asked.origin in self.machines else None
             if chain is not None:
-                chain.drop(ticket)
+                chain.cancel(ticket)
 
     def enter(self, machine: SimulatedNode, ticket: int, order: Update) -> None:
         """An order reaches the machine that is thought to be the head."""
         chain = machine.chain
         if chain is not None:
-            self.step(machine, lambda: chain.enter(self.now, ticket, order))
+            self.step(machine, lambda: chain.submit(self.now, ticket, order))
 
     def answered(
         self, machine: SimulatedNode, chain: ReplicationChain, ticket: int, verdict: CommitOutcome
@@ -357,11 +361,11 @@
         if asked is None:
             return
         disks = {one.member: one.replica for one in self.machines.values() if one.member is not None}
-        self.ledger.answered(machine.ip, asked.order, verdict, chain.safe.config, chain.view, disks)
-        if verdict == CommitOutcome.SAFE and not asked.order.version and not asked.order.leaving:
+        self.ledger.answered(machine.ip, asked.order, verdict, chain.committed.config, chain.view, disks)
+        if verdict == CommitOutcome.COMMITTED and not asked.order.version and not asked.order.departures:
             self.reads += 1
-            self.ledger.read(machine.ip, chain.safe, asked.acked)
-        if self.ambush is not None and self.ambush[0] == "ack" and verdict == CommitOutcome.SAFE:
+            self.ledger.read(machine.ip, chain.committed, asked.acked)
+        if self.ambush is not None and self.ambush[0] == "ack" and verdict == CommitOutcome.COMMITTED:
             (_, action), self.ambush = self.ambush, None
             self.at(0.0, action)
         if asked.origin == machine.ip:
@@ -381,7 +385,7 @@
         """Read at each machine again and again until one answers; return after how long."""
         begun = self.now
         answered: list[CommitOutcome] = []
-        while CommitOutcome.SAFE not in answered:
+        while CommitOutcome.COMMITTED not in answered:
             if self.now - begun >= bound_ms:
                 known = {ip: (one.chain.view if one.chain else None) for ip, one in self.machines.items()}
                 self.fail(f"no read was answered in {bound_ms:.0f} ms; views {known}")
@@ -400,13 +404,15 @@
             machine.save_crash, machine.stopped_until = 0.0, min(machine.stopped_until, self.now)
             self.revive(machine)
             if machine.chain is not None:
-                machine.chain.hampered = False
+                machine.chain.disk_slow = False
         began = self.now
         self.answers_within(ANSWER_MS)
         self.run(max(self.now, began + SETTLE_MS))
         self.answers_within(1000.0)
         self.ledger.ends({ip: one.replica for ip, one in self.machines.items()})
-        self.ledger.ends({ip: one.chain.safe for ip, one in self.machines.items() if one.chain is not None})
+        self.ledger.ends(
+            {ip: one.chain.committed for ip, one in self.machines.items() if one.chain is not None}
+        )
 
     def orders(self, until: float, every_ms: float = 250.0) -> None:
         """Have operators send orders, and others read, until then."""
@@ -420,7 +426,7 @@
         """Read at a machine that takes itself for the head."""
         for machine in list(self.machines.values()):
             chain = machine.chain
-            if chain is not None and chain.member and chain.head == machine.ip:
+            if chain is not None and chain.is_member and chain.head == machine.ip:
                 self.send_order(machine.ip, Update(), _nobody)
 
 
--- a/wickspring/lab/simulation/core_operators.py
+++ b/wickspring/lab/simulation/core_operators.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from wickspring.controlplane.replication.replica import (
-    HISTORY_MOST,
+    MAX_HISTORY,
     CommitOutcome,
     Config,
     Replica,
@@ -31,7 +31,7 @@
 
     fail: Callable[[str], None]
     views: dict[int, View] = field(default_factory=dict)
-    safe: dict[int, bytes] = field(default_factory=dict)  # number: digest of the text safe under it
+    committed: dict[int, bytes] = field(default_factory=dict)  # number: digest of the text safe under it
     safe_rank: Rank = (0, 0)  # the highest that is safe
     own: dict[int, bytes] = field(default_factory=dict)  # number: digest that was acknowledged as its text
     kept: set[tuple[int, bytes]] = field(default_factory=set)  # orders that were acknowledged
@@ -51,7 +51,7 @@
     def saved(self, member: Member, replica: Replica) -> None:
         """Check a copy that has reached a disk: equal rank is equal text, with the same numbers before."""
         config = replica.config
-        if not config.whole:
+        if not config.complete:
             self.fail(f"{member[0]} keeps r{config.version} without its text as a copy")
         if config.version:
             what = config.digest, config.history
@@ -66,7 +66,7 @@
 
     def called_safe(self, ip: str, config: Config) -> None:
         """Check a copy that a machine has begun to call safe: it was on all disks of its chain."""
-        if not config.whole:
+        if not config.complete:
             self.fail(f"{ip} calls r{config.version} safe without its text")
         view = self.views.get(config.epoch)
         for member in view.chain if view is not None else ():
@@ -80,7 +80,7 @@
         self.checked = config.rank
         self.safe_rank = max(self.safe_rank, config.rank)
         for version, digest in (*config.history, (config.version, config.digest)):
-            if version and self.safe.setdefault(version, digest) != digest:
+            if version and self.committed.setdefault(version, digest) != digest:
                 self.fail(f"r{version} is safe with two texts, the other at {ip}")
 
     def answered(
@@ -96,14 +96,14 @@
         version, digest = order.version, digest_of(order.document)
         if verdict == CommitOutcome.CONFLICT:
             self.refusals += 1
-            if self.safe.get(version, digest) == digest:
+            if self.committed.get(version, digest) == digest:
                 self.fail(f"{ip} refuses r{version}, and no other text of it is safe")
             if (version, digest) in self.kept:
                 self.fail(f"{ip} refuses r{version}, which had been acknowledged")
-        if verdict != CommitOutcome.SAFE:
+        if verdict != CommitOutcome.COMMITTED:
             return
         self.acks += 1
-        for server, state in order.leaving.items():
+        for server, state in order.departures.items():
             self.leaving[server] = max(state, self.leaving.get(server, 0))
         for member in view.chain:
             replica = disks.get(member)
@@ -111,15 +111,15 @@
                 continue
             if replica.config.version < version:
                 self.fail(f"r{version} acknowledged, {member[0]} has r{replica.config.version} on its disk")
-            if version and replica.config.judge(version, digest) != CommitOutcome.SAFE:
+            if version and replica.config.outcome_of(version, digest) != CommitOutcome.COMMITTED:
                 self.fail(f"r{version} acknowledged, {member[0]} has another text of it on its disk")
-            if any(replica.leaving.get(server, 0) < state for server, state in order.leaving.items()):
+            if any(replica.departures.get(server, 0) < state for server, state in order.departures.items()):
                 self.fail(f"a server's leaving acknowledged, and not on the disk of {member[0]}")
         if not version:
             return
         self.kept.add((version, digest))
-        remembered = len(safe.history) < HISTORY_MOST or version >= safe.history[0][0]
-        if remembered and self.safe.get(version, digest) != digest:
+        remembered = len(safe.history) < MAX_HISTORY or version >= safe.history[0][0]
+        if remembered and self.committed.get(version, digest) != digest:
             self.fail(f"{ip} acknowledges r{version} with another text than the one that is safe")
         if (safe.digest if version == safe.version else dict(safe.history).get(version)) == digest:
             if self.own.setdefault(version, digest) != digest:
@@ -130,7 +130,7 @@
         """Check what was read, when so much had been acknowledged as the read began."""
         if safe.config.version < acked:
             self.fail(f"{ip} read r{safe.config.version}, and r{acked} had been acknowledged before")
-        if safe.config.version and self.safe.get(safe.config.version) != safe.config.digest:
+        if safe.config.version and self.committed.get(safe.config.version) != safe.config.digest:
             self.fail(f"what {ip} read of r{safe.config.version} is not what is safe")
 
     def ends(self, replicas: Mapping[str, Replica]) -> None:
@@ -146,7 +146,7 @@
                 if version >= min(past) and past.get(version) != digest:
                     self.fail(f"r{version} was acknowledged with a text that {ip} does not end with")
             for server, state in self.leaving.items():
-                if one.leaving.get(server, 0) < state:
+                if one.departures.get(server, 0) < state:
                     self.fail(f"{server} was acknowledged as leaving, and {ip} does not end with it")
 
 
@@ -187,7 +187,7 @@
             one = self.order()
 
             def heard(verdict: CommitOutcome, one: Update = one) -> None:
-                if verdict == CommitOutcome.SAFE:
+                if verdict == CommitOutcome.COMMITTED:
                     self.told = max(self.told, one.version)
 
             self.send(self.random.choice(ips), one, heard)
--- a/wickspring/lab/simulation/hollow_gateway.py
+++ b/wickspring/lab/simulation/hollow_gateway.py
@@ -412,7 +412,7 @@
             def begin() -> None:
                 self._start(nursery, "rest", control_plane.api_server.timers.run)
                 self._start(nursery, "chain", control_plane.replication.run)
-                self._start(nursery, "core ticks", control_plane.replication.tick)
+                self._start(nursery, "core ticks", control_plane.replication.send_heartbeats)
                 self._start(nursery, "upkeep", control_plane.maintenance.run)
 
             return begin
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -10,14 +10,14 @@
 
 from __future__ import annotations
 
-import copy
 from dataclasses import dataclass, field, replace
 from random import Random
 from typing import Any
 
 from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.messages import ChainMessage
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
-from wickspring.controlplane.replication.view import PeerObservation, View
+from wickspring.controlplane.replication.view import Member, PeerObservation, View
 from wickspring.lab.simulation.core import InvariantBrokenError
 
 IPS = ("a", "b", "c")
@@ -43,7 +43,7 @@
 
     chains: dict[str, ReplicationChain]
     orders: tuple[Update, ...]
-    net: dict[str, tuple[str, str, list[Any]]] = field(default_factory=dict)  # by its form: twice is once
+    net: dict[str, tuple[str, str, ChainMessage]] = field(default_factory=dict)  # by its form: twice is once
     now: float = 0.0
     lost: str = ""
     back: bool = False  # the lost one has come back
@@ -51,37 +51,41 @@
     written: int = 0
     looks: dict[str, int] = field(default_factory=dict)
     acked: frozenset[int] = frozenset()  # places of orders that were acknowledged
-    safe: dict[int, bytes] = field(default_factory=dict)  # number: digest of the text safe under it
+    committed: dict[int, bytes] = field(default_factory=dict)  # number: digest of the text safe under it
     views: dict[int, View] = field(default_factory=dict)
 
     def key(self) -> str:
         """Return what tells this state from others."""
         parts = []
         for ip, chain in sorted(self.chains.items()):
-            paxos, passing = chain.paxos, chain._passing
+            paxos, passing = chain.paxos, chain.passing
             mine, accepted = paxos.proposal, paxos.accepted
             told: Any = None
             if mine is not None:
-                best = None if mine.best is None else (mine.best[0], mine.best[1][1].config)
+                best = mine.best_accepted and (
+                    mine.best_accepted.ballot,
+                    mine.best_accepted.value.state.config,
+                )
                 promised = mine.slot, mine.ballot, sorted(mine.promises.items()), mine.state.config
                 told = promised, sorted(mine.accepts), best, mine.value and mine.value[0]
             held: Any = None
             if accepted is not None:
-                held = accepted[0], accepted[1], accepted[2][0], accepted[2][1].config
-            waiting = sorted((ticket, one.seq) for ticket, one in chain._waiting.items())
+                view, state = accepted.value
+                held = paxos.accepted_slot, accepted.ballot, view, state.config
+            waiting = sorted((ticket, pending.sequence) for ticket, pending in chain.pending.items())
             parts.append(
                 (
                     ip,
                     chain.me,
                     chain.view,
-                    paxos.promised,
+                    (paxos.promised_slot, paxos.promised_ballot),
                     held,
                     chain.replica.config,
-                    chain.safe.config,
-                    chain.seq,
+                    chain.committed.config,
+                    chain.sequence,
                     waiting,
                     passing and passing.config,
-                    sorted(chain._holds.items()),
+                    sorted(chain.stored_identities.items()),
                     told,
                 )
             )
@@ -90,48 +94,36 @@
 
     def copy(self) -> World:
         """Return a state that goes its own way; what is never changed in place is shared."""
-        chains = {}
-        for ip, chain in self.chains.items():
-            one = chains[ip] = copy.copy(chain)
-            one.out, one.done, one.news = [], [], []
-            one.replica, one.safe = chain.replica.copy(), chain.safe.copy()
-            one._waiting = {ticket: replace(entry) for ticket, entry in chain._waiting.items()}
-            one._holds, one._copied = dict(chain._holds), dict(chain._copied)
-            one.paxos = copy.copy(chain.paxos)
-            mine = chain.paxos.proposal
-            if mine is not None:
-                one.paxos.proposal = replace(
-                    mine, promises=dict(mine.promises), accepts=set(mine.accepts), state=mine.state.copy()
-                )
+        chains = {ip: chain.clone() for ip, chain in self.chains.items()}
         return replace(
             self,
             chains=chains,
             net=dict(self.net),
             looks=dict(self.looks),
-            safe=dict(self.safe),
+            committed=dict(self.committed),
             views=dict(self.views),
         )
 
     def after(self, ip: str, chain: ReplicationChain) -> None:
         """Take what a machine says once it has saved."""
         chain.dirty = False
-        for to, message in chain.out:
+        effects = chain.take_effects()
+        for to, message in effects.messages:
             if to in self.chains or to != self.lost:
-                self.net[repr((ip, to, message))] = ip, to, message
-        safe = chain.safe.config
+                self.net[repr((ip, to, message.encode()))] = ip, to, message
+        safe = chain.committed.config
         for version, digest in (*safe.history, (safe.version, safe.digest)):
-            if version and self.safe.setdefault(version, digest) != digest:
+            if version and self.committed.setdefault(version, digest) != digest:
                 raise InvariantBrokenError(f"r{version} is safe with two texts, the other at {ip}")
-        for ticket, verdict in chain.done:
+        for ticket, verdict in effects.outcomes:
             self.answered(ip, ticket, verdict)
-        chain.out, chain.done, chain.news = [], [], []
 
     def answered(self, ip: str, ticket: int, verdict: CommitOutcome) -> None:
         """Check an answer to an order."""
         order = self.orders[ticket]
         digest = digest_of(order.document)
-        known = self.safe.get(order.version)
-        if verdict == CommitOutcome.SAFE:
+        known = self.committed.get(order.version)
+        if verdict == CommitOutcome.COMMITTED:
             if known not in (None, digest):
                 raise InvariantBrokenError(
                     f"{ip} acknowledges r{order.version}, and another text of it is safe"
@@ -158,18 +150,21 @@
             ):
                 raise InvariantBrokenError(f"two copies of {config.rank} differ, one at {ip}")
         for ip, chain in self.chains.items():
-            if chain.view.epoch != newest or not chain.member:
+            if chain.view.epoch != newest or not chain.is_member:
                 continue
             for place in self.acked:
                 order = self.orders[place]
-                if chain.replica.config.judge(order.version, digest_of(order.document)) != CommitOutcome.SAFE:
+                if (
+                    chain.replica.config.outcome_of(order.version, digest_of(order.document))
+                    != CommitOutcome.COMMITTED
+                ):
                     raise InvariantBrokenError(f"{ip} of epoch {newest} lacks r{order.version}, acknowledged")
 
     def steps(self, loses: str, looks: int, returns: str) -> list[tuple[str, Any]]:
         """Return all that may happen next."""
         found: list[tuple[str, Any]] = [("deliver", name) for name in self.net]
         if self.written < len(self.orders):
-            heads = [ip for ip, one in self.chains.items() if one.member and one.head == ip]
+            heads = [ip for ip, one in self.chains.items() if one.is_head]
             found += [("write", ip) for ip in heads]
         if not self.lost:
             found.append(("lose", loses))
@@ -190,24 +185,26 @@
         elif kind == "write":
             ticket, self.written = self.written, self.written + 1
             chain = self.chains[what]
-            chain.enter(self.now, ticket, self.orders[ticket])
+            chain.submit(self.now, ticket, self.orders[ticket])
             self.after(what, chain)
         elif kind == "lose":
             self.lost, chain = what, self.chains.pop(what)
-            self.disk = chain.me[1], chain.durable(), chain.replica.copy()
+            self.disk = chain.me.disk_id, chain.durable(), chain.replica.copy()
             self.net = {name: one for name, one in self.net.items() if one[1] != what}
         elif kind in ("empty", "its disk"):
             self.back = True
             make = type(next(iter(self.chains.values())))
             if kind == "empty" or self.disk is None:
-                chain = make(what, "second", View(), 0)
+                chain = make(Member(what, "second"), View(), 0)
             else:
                 disk, durable, replica = self.disk
-                chain = make(what, disk, View(), 0, replica.copy())
+                chain = make(Member(what, disk), View(), 0, replica.copy())
                 chain.restore(durable)
             self.chains[what] = chain
-            chain.random, chain.seq, chain._turn = Steady(), 1, 0.5
-            chain.begin(self.now)
+            chain.random = Steady()
+            chain.sequence = 1
+            chain.view_change.turn = 0.5
+            chain.start(self.now)
             self.after(what, chain)
         else:
             self.looks[what] = self.looks.get(what, 0) + 1
@@ -224,14 +221,14 @@
         other = self.chains.get(ip)
         if other is None:
             return PeerObservation(False, "first")
-        known = seen_by.safe if other.me[1] == "first" else other.safe
-        epoch = seen_by.view.epoch if other.me[1] == "first" else other.view.epoch
+        known = seen_by.committed if other.me.disk_id == "first" else other.committed
+        epoch = seen_by.view.epoch if other.me.disk_id == "first" else other.view.epoch
         return PeerObservation(
             True,
-            other.me[1],
+            other.me.disk_id,
             epoch=epoch,
-            safe_epoch=known.config.epoch,
-            version=known.config.version,
+            committed_epoch=known.config.epoch,
+            committed_version=known.config.version,
             identity=other.replica.config.identity,
         )
 
@@ -249,12 +246,12 @@
     Each of the others looks round so many times afterwards: it proposes a view each time. The lost one may
     come back, `returns`: "empty", or with "its disk".
     """
-    members = tuple((ip, "first") for ip in IPS)
-    chains = {ip: chain(ip, "first", View(1, members, members), at) for at, ip in enumerate(IPS)}
+    members = tuple(Member(ip, "first") for ip in IPS)
+    chains = {ip: chain(Member(ip, "first"), View(1, members, members), at) for at, ip in enumerate(IPS)}
     start = World(chains, orders)
     for ip, one in start.chains.items():
-        one.random, one.seq, one._turn = Steady(), 0, 0.5
-        one.begin(0.0)
+        one.random, one.sequence, one.view_change.turn = Steady(), 0, 0.5
+        one.start(0.0)
         start.after(ip, one)
     seen, todo = {hash(start.key())}, [start]
     while todo:
