--- a/wickspring/controlplane/replication/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -24,11 +24,11 @@
 from random import Random
 from typing import Any, ClassVar, Self
 
+from wickspring.common.digest import digest_of
 from wickspring.controlplane.replication.catch_up import CatchUp
 from wickspring.controlplane.replication.messages import (
     Accept,
     Accepted,
-    ChainMessage,
     CommittedState,
     Fetch,
     InstallView,
@@ -37,9 +37,10 @@
     Passed,
     Prepare,
     Promise,
+    ReplicationMessage,
 )
 from wickspring.controlplane.replication.paxos import PaxosVoter
-from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import (
     ClusterObservation,
     FaultTolerance,
@@ -68,7 +69,9 @@
 class Effects:
     """What the host does once the state is saved."""
 
-    messages: list[tuple[str, ChainMessage]] = field(default_factory=list)  # with their receivers' addresses
+    messages: list[tuple[str, ReplicationMessage]] = field(
+        default_factory=list
+    )  # with receivers
     outcomes: list[tuple[int, CommitOutcome]] = field(default_factory=list)  # by ticket
     newly_committed: bool = False  # `committed` has changed
 
@@ -194,7 +197,7 @@
         self.effects = Effects()
         return effects
 
-    def send(self, address: str, message: ChainMessage) -> None:
+    def send(self, address: str, message: ReplicationMessage) -> None:
         """Have a message sent once the state is saved."""
         self.effects.messages.append((address, message))
 
@@ -223,7 +226,7 @@
         if self.passing is not None and not self.frozen:
             self._pass_down(self.sequence, self.passing)
 
-    def receive(self, now: float, sender: str, message: ChainMessage) -> None:
+    def receive(self, now: float, sender: str, message: ReplicationMessage) -> None:
         """Handle a message of another node, or of this one to itself."""
         match message:
             case Pass():
--- a/wickspring/controlplane/replication/messages.py
+++ b/wickspring/controlplane/replication/messages.py
@@ -211,11 +211,11 @@
         return Outbid(int(fields[0]), Ballot.unpack(fields[1]))
 
 
-ChainMessage = (
+ReplicationMessage = (
     Pass | Passed | Fetch | CommittedState | InstallView | Prepare | Promise | Accept | Accepted | Outbid
 )
 
-_DECODERS: dict[str, Callable[[list[Any]], ChainMessage]] = {
+_DECODERS: dict[str, Callable[[list[Any]], ReplicationMessage]] = {
     Pass.KIND: Pass.decode,
     Passed.KIND: Passed.decode,
     Fetch.KIND: Fetch.decode,
@@ -229,7 +229,7 @@
 }
 
 
-def decode(packed: list[Any]) -> ChainMessage | None:
+def decode(packed: list[Any]) -> ReplicationMessage | None:
     """Decode a message; None for an unknown kind, so that nodes of a later version may send more."""
     kind, *fields = packed
     decoder = _DECODERS.get(kind)
--- a/wickspring/controlplane/replication/replica.py
+++ b/wickspring/controlplane/replication/replica.py
@@ -22,9 +22,9 @@
 from enum import IntEnum
 from typing import Any, Self
 
+from wickspring.common.digest import DIGEST_SIZE, digest_of
 from wickspring.core.invariants import holds
 
-DIGEST_SIZE = 16  # bytes of a document's digest
 MAX_HISTORY = 512  # versions before the present one whose digests are kept
 MAX_DEPARTURES = 4096  # departing endpoints that are remembered
 NO_DOCUMENT = b""
@@ -40,11 +40,6 @@
     CONFLICT = 2  # its version is committed with another text
 
 
-def digest_of(document: bytes) -> bytes:
-    """Return the digest of a document."""
-    return hashlib.blake2b(document, digest_size=DIGEST_SIZE).digest()
-
-
 @dataclass(slots=True, frozen=True)
 class Config:
     """A configuration, the epoch of the head that passed it on last, and the versions before it."""
--- a/wickspring/controlplane/replication/view_change.py
+++ b/wickspring/controlplane/replication/view_change.py
@@ -16,11 +16,11 @@
 from wickspring.controlplane.replication.messages import (
     Accept,
     Accepted,
-    ChainMessage,
     InstallView,
     Outbid,
     Prepare,
     Promise,
+    ReplicationMessage,
 )
 from wickspring.controlplane.replication.next_view import differs, next_view
 from wickspring.controlplane.replication.paxos import Ballot, Proposal, Value
@@ -98,7 +98,7 @@
         ]
         return proposers.index(chain.me)
 
-    def _send(self, now: float, address: str, message: ChainMessage) -> None:
+    def _send(self, now: float, address: str, message: ReplicationMessage) -> None:
         """Send a message, or handle it at once where it is to this node."""
         if address == self._chain.ip:
             self._chain.receive(now, address, message)
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -14,9 +14,10 @@
 from random import Random
 from typing import Any
 
+from wickspring.common.digest import digest_of
 from wickspring.controlplane.replication.chain import ReplicationChain
-from wickspring.controlplane.replication.messages import ChainMessage
-from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update, digest_of
+from wickspring.controlplane.replication.messages import ReplicationMessage
+from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import Member, PeerObservation, View
 from wickspring.lab.simulation.core import InvariantBrokenError
 
@@ -43,7 +44,9 @@
 
     chains: dict[str, ReplicationChain]
     orders: tuple[Update, ...]
-    net: dict[str, tuple[str, str, ChainMessage]] = field(default_factory=dict)  # by its form: twice is once
+    net: dict[str, tuple[str, str, ReplicationMessage]] = field(
+        default_factory=dict
+    )  # by its form
     now: float = 0.0
     lost: str = ""
     back: bool = False  # the lost one has come back
