--- a/wickspring/controlplane/data_plane_messages.py
+++ b/wickspring/controlplane/data_plane_messages.py
@@ -107,7 +107,7 @@
         offers: list[tuple[str, float]] = []
         # Without the other nodes it knows the load that some of the data planes report, and would send
         # all of them to the same few endpoints.
-        if parts.replication.steady:
+        if parts.replication.holds_lease:
             offers = parts.load_tracker.advise(parts.clock.now(), request.zone, endpoints)
         session.send(EndpointAdvice(request.request_number, offers, len(endpoints)))
 
--- a/wickspring/controlplane/peer_messages.py
+++ b/wickspring/controlplane/peer_messages.py
@@ -45,8 +45,8 @@
     def _on_heartbeats(self, node_ip: str, heartbeats: EndpointHeartbeats) -> None:
         missing = self._endpoints.receive_liveness(heartbeats.sequences)
         if missing:
-            self._replication.say(node_ip, RequestEndpoints(missing))
+            self._replication.send(node_ip, RequestEndpoints(missing))
 
     def _on_endpoint_request(self, node_ip: str, request: RequestEndpoints) -> None:
         records = self._endpoints.known_records(request.endpoint_ids)
-        self._replication.say(node_ip, EndpointsChanged(records))
+        self._replication.send(node_ip, EndpointsChanged(records))
--- a/wickspring/controlplane/quota_service.py
+++ b/wickspring/controlplane/quota_service.py
@@ -31,7 +31,7 @@
         """
         tenant = self._config_distributor.routing_table.tenants.get(request.tenant)
         replication = self._replication
-        if tenant is None or not replication.keeps or request.epoch != replication.lease.epoch:
+        if tenant is None or not replication.may_use_lease or request.epoch != replication.lease.epoch:
             session.send(QuotaOwnerMoved(request.request_number))
             return
         decision = self._counter.acquire(
@@ -74,11 +74,11 @@
         bursts = {name: tenant.burst for name, tenant in tenants.items()}
         now = self._clock.now()
         counts = self._counter.low_tenants(now, bursts)
-        if counts and self._replication.steady:
-            self._replication.say_all(ReplicatedCounts(counts))
+        if counts and self._replication.holds_lease:
+            self._replication.peers.broadcast(ReplicatedCounts(counts))
         unresponsive = self._counter.unresponsive_for_ms(now)
-        if (counts or unresponsive) and self._replication.steady:
-            self._replication.say_all(QuotaShares(unresponsive, self._counter.shares(now, counts)))
+        if (counts or unresponsive) and self._replication.holds_lease:
+            self._replication.peers.broadcast(QuotaShares(unresponsive, self._counter.shares(now, counts)))
 
     def receive_replicated(self, counts: ReplicatedCounts) -> None:
         """Take over the counts that another node has replicated."""
