--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -31,6 +31,7 @@
 from wickspring.dataplane import process as dataplane_process
 from wickspring.dataplane.process import DataPlane
 from wickspring.lab.simulation.clock import VirtualClock
+from wickspring.lab.simulation.memory_link import MemoryLink
 from wickspring.net import host
 
 CONTROL_PLANES = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.0.4")
@@ -64,48 +65,6 @@
         self.servers = servers
 
 
-class MemorySocket:
-    """One end of a connection."""
-
-    def __init__(self, system: VirtualSystem, local_ip: str, remote_ip: str) -> None:
-        self.system = system
-        self.local_ip = local_ip
-        self.remote_ip = remote_ip
-        self.to_inbox, self.inbox = trio.open_memory_channel[bytes](CHANNEL_SIZE)
-        self.peer = self
-
-    @property
-    def is_cut(self) -> bool:
-        return (self.local_ip, self.remote_ip) in self.system.cuts
-
-
-class MemoryLink:
-    """What a connection reads from and writes to."""
-
-    def __init__(self, sock: MemorySocket, _: trio.Nursery) -> None:
-        self.sock = sock
-        self.broken = False
-        sock.system.links.append(self)
-
-    def send(self, data: bytes) -> None:
-        if not self.broken and not self.sock.is_cut:
-            self.sock.peer.to_inbox.send_nowait(data)
-
-    async def receive(self) -> bytes:
-        data = b"" if self.broken else await self.sock.inbox.receive()
-        self.broken |= not data
-        return data
-
-    def finish(self) -> None:
-        self.send(b"")
-
-    def close(self) -> None:
-        if not self.broken:
-            self.send(b"")
-            self.broken = True
-            self.sock.to_inbox.send_nowait(b"")
-
-
 class MemoryDatagrams:
     """The datagram socket of one data plane."""
 
@@ -144,25 +103,28 @@
 
     # The network.
 
-    async def connect(self, address: tuple[str, int], timeout_ms: float) -> MemorySocket | None:
+    async def connect(self, address: tuple[str, int], timeout_ms: float) -> MemoryLink | None:
         local_ip = CURRENT_MACHINE.get()
         remote_ip = address[0]
         is_cut = {(local_ip, remote_ip), (remote_ip, local_ip)} & self.cuts
         if is_cut or remote_ip not in self.scopes:
             await trio.sleep(timeout_ms / 1000.0)
             return None
-        local_end = MemorySocket(self, local_ip, remote_ip)
-        remote_end = MemorySocket(self, remote_ip, local_ip)
-        local_end.peer = remote_end
-        remote_end.peer = local_end
-        self.nursery.start_soon(self._serve, remote_end)
-        return local_end
-
-    async def _serve(self, sock: MemorySocket) -> None:
-        """Serve the accepted end of a connection as the process on its machine does."""
-        ip = sock.local_ip
+        local_link = self._create_link(local_ip, remote_ip)
+        remote_link = self._create_link(remote_ip, local_ip)
+        local_link.attach(remote_link)
+        self.nursery.start_soon(self._serve, remote_link)
+        return local_link
+
+    def _create_link(self, local_ip: str, remote_ip: str) -> MemoryLink:
+        link = MemoryLink(local_ip, remote_ip, lambda: (local_ip, remote_ip) not in self.cuts)
+        self.links.append(link)
+        return link
+
+    async def _serve(self, link: MemoryLink) -> None:
+        """Serve an accepted connection as the process on its machine does."""
+        ip = link.local
         CURRENT_MACHINE.set(ip)
-        link = MemoryLink(sock, self.nursery)
         connection = PeerConnection(link, VirtualClock())  # type: ignore[arg-type]
         if ip in self.control_planes:
             await self.control_planes[ip].peer_server.serve(connection)
@@ -229,7 +191,7 @@
         control_plane = ControlPlane(settings, nursery, self.random.getrandbits(32))
         self.control_planes[settings.ip] = control_plane
         nursery.start_soon(control_plane.replication.run)
-        nursery.start_soon(control_plane.replication.tick)
+        nursery.start_soon(control_plane.replication.send_heartbeats)
         nursery.start_soon(control_plane.maintenance.run)
 
     def _run_data_plane(self, settings: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
@@ -253,7 +215,7 @@
         """End a machine's process at once; its disk stays."""
         self.scopes.pop(ip).cancel()
         self.control_planes.pop(ip, None)
-        for link in [link for link in self.links if link.sock.local_ip == ip]:
+        for link in [link for link in self.links if link.local == ip]:
             link.close()
 
     # Waiting.
@@ -348,7 +310,7 @@
             monkeypatch.setattr(dataplane_process, "Udp", lambda ip, port: MemoryDatagrams(system, ip))
             for module in (connection_module, gossip):
                 monkeypatch.setattr(module, "connect", system.connect)
-                monkeypatch.setattr(module, "Link", MemoryLink)
+                monkeypatch.setattr(module, "Link", lambda link, _: link)
             for ip in CONTROL_PLANES[:control_planes]:
                 await system.start_control_plane(ip, is_first_start=ip in CONTROL_PLANES[:3])
             await system.wait_until_settled()
--- a/wickspring/controlplane/peer_server.py
+++ b/wickspring/controlplane/peer_server.py
@@ -32,7 +32,7 @@
         where the message is malformed.
         """
         if session.is_control_plane_node:
-            self._replication.take(session.connection, wire_message)
+            self._replication.on_message(session.connection, wire_message)
             return
         message = DATA_PLANE_REQUESTS.decode(wire_message)
         if isinstance(message, Hello):
@@ -44,6 +44,6 @@
         session.connection.name = hello.ip
         if hello.is_node:
             session.is_control_plane_node = True
-            self._replication.called(session.name)
+            self._replication.peers.on_incoming_connection(session.name)
         else:
             self._data_plane_messages.connected(session, hello)
