--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -190,12 +190,12 @@
             connection.about["core"] = True
         return lambda message: control_plane._take(connection, message)
     if one["from"] == CONTROL:
-        return lambda message: data_plane.control_client.take(connection, message)
+        return lambda message: data_plane.control_client.on_message(connection, message)
     if one["transport"] == "udp":
-        return lambda message: data_plane.gossip._take(connection.name, message)
+        return lambda message: data_plane.gossip.on_datagram(connection.name, message)
     if kind == "fetch":
-        return lambda message: data_plane.tell_all(connection, int(message[1]), bytes(message[2]))
-    return lambda message: data_plane.take(connection, message)
+        return lambda message: data_plane.send_state(connection, int(message[1]), bytes(message[2]))
+    return lambda message: data_plane.on_peer_message(connection, message)
 
 
 def cut_short(one: dict[str, Any]) -> list[Any]:
@@ -213,7 +213,8 @@
         await site.until_safe(CONTROL_PLANES[0], 1)
         await site.until(
             lambda: (
-                data_plane.control_client.informed and data_plane.control_client.routing_table.version == 1
+                data_plane.control_client.informed
+                and data_plane.control_client.config.routing_table.version == 1
             )
         )
         _WHO.set(
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -245,18 +245,18 @@
                 message = spoil(random, random.choice(messages if known else datagrams))
                 try:
                     if known:
-                        data_plane.control_client.take(cast(PeerConnection, Heard()), message)
+                        data_plane.control_client.on_message(cast(PeerConnection, Heard()), message)
                     elif message[1] == "127.0.9.9":
-                        data_plane.gossip._take("127.0.9.9", message)
+                        data_plane.gossip.on_datagram("127.0.9.9", message)
                 except DECODE_ERRORS:
                     refused += 1
             assert refused > 300
-            for berth in data_plane.choice.candidates.values():
-                parse_address(berth.server.address)
-            data_plane.choice.forget(data_plane.clock.now(), 1.0)
-            data_plane._digest()
+            for candidate in data_plane.endpoints.candidates.values():
+                parse_address(candidate.endpoint.address)
+            data_plane.endpoints.forget(data_plane.clock.now(), 1.0)
+            data_plane.endpoints.digest()
             nursery.cancel_scope.cancel()
-            data_plane.wire.close()
+            data_plane.datagrams.close()
 
     trio.run(play)
 
@@ -269,13 +269,13 @@
         async with trio.open_nursery() as nursery:
             data_plane = DataPlane(settings_module.parse_settings(settings), nursery, 1)
             members = ["10.1.0.33", "10.4.0.22"]  # the second is no seed, and the teller does not reach it
-            data_plane.control_client.take(
+            data_plane.control_client.on_message(
                 cast(PeerConnection, Heard()), ["view", 2, members, ["10.1.0.33"], 8]
             )
-            assert set(members) <= set(data_plane.control_client.callers)
-            assert {data_plane.control_client.owner(f"t{n}") for n in range(50)} == set(members)
+            assert set(members) <= set(data_plane.control_client.connections.clients)
+            assert {data_plane.control_client.connections.owner(f"t{n}") for n in range(50)} == set(members)
             nursery.cancel_scope.cancel()
-            data_plane.wire.close()
+            data_plane.datagrams.close()
 
     trio.run(play)
 
--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -16,7 +16,7 @@
 from wickspring.controlplane.load_tracker import OFFERS, LoadTracker
 from wickspring.controlplane.process import ControlPlane
 from wickspring.controlplane.replication.view import View
-from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
+from wickspring.dataplane.policy.endpoint_selection import AttemptResult, EndpointSelector
 
 
 def servers(count: int, zone: str = "a") -> list[Endpoint]:
@@ -29,7 +29,7 @@
     load_tracker, data_planes = LoadTracker(seed), [EndpointSelector("a", seed + n) for n in range(8)]
     for data_plane in data_planes:
         for one in lot:
-            data_plane.heard(0.0, one)
+            data_plane.update(0.0, one)
     free = {one.id: [0.0, 0.0] for one in lot}  # when each slot is free
     ends: list[tuple[float, int, str]] = []
     now, waited, work = 0.0, list[float](), 100.0
@@ -37,23 +37,23 @@
         now += random.expovariate(0.16)
         while ends and ends[0][0] <= now:
             at, whose, id_ = heapq.heappop(ends)
-            ratio = data_planes[whose].ended(
-                at, data_planes[whose].candidates[id_], round(at * 1e6), "r", True
+            ratio = data_planes[whose].attempt_ended(
+                at, data_planes[whose].candidates[id_], round(at * 1e6), "r", AttemptResult.SUCCESS
             )
             load_tracker.ended(at, f"p{whose}", id_, ratio)
         number = random.randrange(8)
         data_plane = data_planes[number]
         offers = load_tracker.offers(now, "a", lot) if told else ()
-        berth = data_plane.pick(now, "s", "r", set(), offers)
-        assert berth is not None
-        slots = free[berth.server.id]
+        candidate = data_plane.pick(now, "s", "r", set(), offers)
+        assert candidate is not None
+        slots = free[candidate.endpoint.id]
         begins = max(now, min(slots))
         took = random.expovariate(1.0 / work)
         slots[slots.index(min(slots))] = begins + took
         waited.append(begins - now)
-        data_plane.sent(now, berth, round((begins + took) * 1e6))
-        load_tracker.sent(f"p{number}", berth.server.id)
-        heapq.heappush(ends, (begins + took, number, berth.server.id))
+        data_plane.attempt_started(now, candidate, round((begins + took) * 1e6))
+        load_tracker.sent(f"p{number}", candidate.endpoint.id)
+        heapq.heappush(ends, (begins + took, number, candidate.endpoint.id))
     return sum(waited) / len(waited)
 
 
@@ -79,28 +79,36 @@
 
 
 def test_a_pilot_leaves_out_what_it_knows_better() -> None:
-    choice = EndpointSelector("a", 1, warm=lambda id_: id_ != "i1")
+    selector = EndpointSelector("a", 1, has_idle_connection=lambda id_: id_ != "i1")
     for one in servers(4):
-        choice.heard(0.0, one)
-    choice.left({"i0": DRAINING})
+        selector.update(0.0, one)
+    selector.mark_departures({"i0": DRAINING})
     offers = [("i0", 0.5), ("i1", 1.0), ("i2", 1.2), ("i9", 0.1)]
-    chosen = choice.pick(1.0, "s", "r", set(), offers)
-    assert chosen is not None and chosen.server.id == "i2"  # i1 is to be dialled, i0 leaves, i9 is not known
-    again = choice.pick(1.0, "s", "r", {"i1", "i2"}, offers)
-    assert again is not None and again.server.id == "i3"
+    chosen = selector.pick(1.0, "s", "r", set(), offers)
+    assert (
+        chosen is not None and chosen.endpoint.id == "i2"
+    )  # i1 is to be dialled, i0 leaves, i9 is not known
+    again = selector.pick(1.0, "s", "r", {"i1", "i2"}, offers)
+    assert again is not None and again.endpoint.id == "i3"
 
 
 def test_a_server_with_too_much_to_do_is_not_taken_for_a_dead_one() -> None:
-    choice = EndpointSelector("a", 1)
+    selector = EndpointSelector("a", 1)
     for one in servers(2):
-        choice.heard(0.0, one)
-    busy, dead = choice.candidates["i0"], choice.candidates["i1"]
-    for number, berth in enumerate((busy, dead)):
-        choice.sent(10.0, berth, number)
-    choice.sent(10.0, busy, 9)
-    choice.ended(900.0, busy, 9, "r", True)
-    assert choice.ended(1200.0, busy, 0, "r", False, True) == 0.0 and busy.shunned_until == 0.0
-    assert choice.ended(1200.0, dead, 1, "r", False, True) < 0.0 and dead.shunned_until > 1200.0
+        selector.update(0.0, one)
+    busy, dead = selector.candidates["i0"], selector.candidates["i1"]
+    for number, candidate in enumerate((busy, dead)):
+        selector.attempt_started(10.0, candidate, number)
+    selector.attempt_started(10.0, busy, 9)
+    selector.attempt_ended(900.0, busy, 9, "r", AttemptResult.SUCCESS)
+    assert (
+        selector.attempt_ended(1200.0, busy, 0, "r", AttemptResult.TIMEOUT) == 0.0
+        and busy.ejected_until == 0.0
+    )
+    assert (
+        selector.attempt_ended(1200.0, dead, 1, "r", AttemptResult.TIMEOUT) < 0.0
+        and dead.ejected_until > 1200.0
+    )
 
 
 class Heard:
@@ -122,7 +130,7 @@
             for one in servers(2):
                 control_plane.registry.beat(control_plane.clock.now(), one)
             heard = Heard()
-            ask = ["berth", 1, "s", "a"]
+            ask = ["candidate", 1, "s", "a"]
             control_plane._take(cast(PeerConnection, heard), ask)  # of two seeds it reaches only itself
             assert heard.said.pop() == ("berths", 1, [], 2)
             control_plane.core.chain.view = View(
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -90,7 +90,9 @@
         others = [one for ip, one in site.control_planes.items() if ip != victim]
         assert (await replace(others[0], 2)).status == 200
         await site.until(
-            lambda: all(one.control_client.routing_table.version == 2 for one in site.data_planes.values())
+            lambda: all(
+                one.control_client.config.routing_table.version == 2 for one in site.data_planes.values()
+            )
         )
         site.cut(victim, way=way, spare=DATA_PLANES)  # pilots, servers and operators reach both sides
         begun = trio.current_time()
@@ -113,7 +115,8 @@
             assert (await replace(others[0], version, "other")).status == 409
             await site.until(
                 lambda number=version: all(  # type: ignore[misc]
-                    one.control_client.routing_table.version == number for one in site.data_planes.values()
+                    one.control_client.config.routing_table.version == number
+                    for one in site.data_planes.values()
                 ),
                 1.0,
             )
@@ -164,13 +167,15 @@
         await leave_new_pilots_the_old(site, restarted)
         begun = trio.current_time()
         data_plane = await site.start_pilot(DATA_PLANES[0])
-        took = await site.until(lambda: data_plane.control_client.routing_table.version == 1, 6.0)
+        took = await site.until(lambda: data_plane.control_client.config.routing_table.version == 1, 6.0)
         assert took >= ALONE_MS / 1000.0 and trio.current_time() - begun < 6.0
-        assert data_plane.control_client.standing is (ConfigStatus.HELD if restarted else ConfigStatus.SAFE)
+        assert data_plane.control_client.config_status is (
+            ConfigStatus.HELD if restarted else ConfigStatus.SAFE
+        )
         assert not data_plane.control_client.in_contact
         site.heal()
-        await site.until(lambda: data_plane.control_client.routing_table.version == 2)
-        await site.until(lambda: data_plane.control_client.standing is ConfigStatus.CURRENT, 0.5)
+        await site.until(lambda: data_plane.control_client.config.routing_table.version == 2)
+        await site.until(lambda: data_plane.control_client.config_status is ConfigStatus.CURRENT, 0.5)
         assert site.taken[DATA_PLANES[0]] == [1, 2]
 
     play(monkeypatch, cut_off)
@@ -207,7 +212,7 @@
         data_plane = await site.start_pilot(DATA_PLANES[0])
         await trio.sleep(0.9)
         site.cuts -= {(DATA_PLANES[0], CONTROL_PLANES[0]), (CONTROL_PLANES[0], DATA_PLANES[0])}
-        await site.until(lambda: data_plane.control_client.routing_table.version == 2)
+        await site.until(lambda: data_plane.control_client.config.routing_table.version == 2)
         await trio.sleep(3.0)
         taken.extend(site.taken[DATA_PLANES[0]])
 
@@ -232,10 +237,10 @@
         site.cut(second, spare=(first,))
         alone = await site.start_pilot(second)
         alone.gossip.introduce([first])
-        await site.until(lambda: alone.control_client.routing_table.version == 1)
-        assert alone.state()[:2] == (1, digest_of(text(1))) and not alone.control_client.in_contact
+        await site.until(lambda: alone.control_client.config.routing_table.version == 1)
+        assert alone.state_digest()[:2] == (1, digest_of(text(1))) and not alone.control_client.in_contact
         assert (await replace(site.control_planes[CONTROL_PLANES[0]], 2)).status == 200
-        await site.until(lambda: alone.control_client.routing_table.version == 2)
+        await site.until(lambda: alone.control_client.config.routing_table.version == 2)
 
     play(monkeypatch, apart)
 
@@ -251,7 +256,7 @@
         control_plane._safe(control_plane.core.chain.replica)
 
     monkeypatch.setattr(ControlPlane, "_begin", hasty)
-    monkeypatch.setattr(config_adoption, "ALONE_MS", 0.0)  # and a pilot that takes what comes first
+    monkeypatch.setattr(config_adoption, "FALLBACK_AFTER_MS", 0.0)  # and a pilot that takes what comes first
     assert plays_first_news(monkeypatch, True) == [1, 2]
 
 
@@ -396,7 +401,7 @@
         data_plane = await site.start_pilot(DATA_PLANES[0])
         for id_ in ("silent", "ended", "well"):
             assert (await beat(victim, id_, 40)).status == 200
-        await site.until(lambda: len(data_plane.choice.candidates) == 3)
+        await site.until(lambda: len(data_plane.endpoints.candidates) == 3)
         site.cut(victim.settings.ip, spare=DATA_PLANES)
         assert (await site.until_safe(CONTROL_PLANES[0], 2)).status == 200
         assert (await beat(control_plane, "ended", 41, "draining")).status == 200
@@ -411,7 +416,7 @@
 
             monkeypatch.setattr(connection, "send", noted)
         seq = 41
-        while not data_plane.choice.candidates["silent"].lost:
+        while not data_plane.endpoints.candidates["silent"].unresponsive:
             seq += 1
             assert seq < 60
             assert (await beat(control_plane, "well", seq)).status == 200
@@ -422,13 +427,17 @@
             seq += 1
             await beat(control_plane, "well", seq)
             await trio.sleep(1.0)
-        assert data_plane.choice.candidates["silent"].lost and not data_plane.choice.takes("ended")
-        assert not data_plane.choice.candidates["well"].lost
+        assert data_plane.endpoints.candidates["silent"].unresponsive and not data_plane.endpoints.accepts(
+            "ended"
+        )
+        assert not data_plane.endpoints.candidates["well"].unresponsive
         assert any(m[0] == "whole" for m in heard) and not any(m[0] in ("lost", "sum") for m in heard)
         site.heal()
         await site.until(lambda: victim.look() is QuorumContact.SETTLED)
-        assert not data_plane.choice.candidates["well"].lost and not data_plane.choice.takes("ended")
-        assert data_plane.choice.candidates["silent"].lost
+        assert not data_plane.endpoints.candidates["well"].unresponsive and not data_plane.endpoints.accepts(
+            "ended"
+        )
+        assert data_plane.endpoints.candidates["silent"].unresponsive
         assert (await beat(victim, "well", seq + 1)).status == 200
         assert [one.id for one in victim.registry.whole() if one.state == READY] == ["well"]
 
@@ -436,15 +445,15 @@
 
 
 def test_lists_that_are_not_fresh_bring_nobody_back() -> None:
-    choice = EndpointSelector("a", 1)
-    choice.heard(0.0, server("i1", 4))
-    choice.silent(["i1"])
-    assert not choice.heard(1.0, server("i1", 9), fresh=False) and choice.candidates["i1"].lost
-    assert choice.heard(1.0, server("i2", 9), fresh=False) and not choice.candidates["i2"].lost
-    choice.left({"i2": GONE})
-    choice.heard(2.0, server("i2", 99))
-    assert not choice.takes("i2")
-    assert choice.heard(3.0, server("i1", 10)) and not choice.candidates["i1"].lost
+    endpoints = EndpointSelector("a", 1)
+    endpoints.update(0.0, server("i1", 4))
+    endpoints.mark_unresponsive(["i1"])
+    assert not endpoints.update(1.0, server("i1", 9), fresh=False) and endpoints.candidates["i1"].unresponsive
+    assert endpoints.update(1.0, server("i2", 9), fresh=False) and not endpoints.candidates["i2"].unresponsive
+    endpoints.mark_departures({"i2": GONE})
+    endpoints.update(2.0, server("i2", 99))
+    assert not endpoints.accepts("i2")
+    assert endpoints.update(3.0, server("i1", 10)) and not endpoints.candidates["i1"].unresponsive
 
 
 def test_a_beat_that_came_elsewhere_brings_a_server_back() -> None:
@@ -477,25 +486,25 @@
             version += random.randint(0, 1)  # a head's own, confirmed to nobody
         mark = random.choice("xy") if standing is ConfigStatus.HELD else safe.get(version, "x")
         copy = copy_of(version, mark, standing)
-        before = mine.version, mine.standing
-        advice = mine.told(now, copy, random.random() < 0.5)
+        before = mine.version, mine.status
+        advice = mine.offer(now, copy, random.random() < 0.5)
         contact_at = now if standing is ConfigStatus.CURRENT else contact_at
-        due = mine.due(now)
+        due = mine.fallback(now)
         assert advice is not AdoptionAction.FENCE  # one safe text a number: the fence never falls
-        if advice in (AdoptionAction.TAKE, AdoptionAction.GIVE_WAY):
+        if advice in (AdoptionAction.ADOPT, AdoptionAction.REPLACE_UNCOMMITTED):
             assert standing >= ConfigStatus.SAFE
             assert before[0] or standing is ConfigStatus.CURRENT
-            assert advice is AdoptionAction.TAKE or before == (version, ConfigStatus.HELD)
-            mine.took(copy)
+            assert advice is AdoptionAction.ADOPT or before == (version, ConfigStatus.HELD)
+            mine.adopted(copy)
         elif due is not None:
-            assert not before[0] and now - contact_at >= config_adoption.ALONE_MS
-            mine.took(due)
+            assert not before[0] and now - contact_at >= config_adoption.FALLBACK_AFTER_MS
+            mine.adopted(due)
         numbers.append(mine.version)
-        if mine.standing is ConfigStatus.SAFE:
+        if mine.status is ConfigStatus.SAFE:
             assert mine.digest == digest_of(text(mine.version, safe[mine.version]))
     assert numbers == sorted(numbers)
-    mine.told(now, copy_of(newest, safe[newest], ConfigStatus.CURRENT))
-    assert mine.version <= newest or mine.standing is ConfigStatus.HELD
+    mine.offer(now, copy_of(newest, safe[newest], ConfigStatus.CURRENT))
+    assert mine.version <= newest or mine.status is ConfigStatus.HELD
 
 
 def test_the_fence_takes_the_text_of_one_in_contact_and_says_so(
@@ -508,24 +517,26 @@
         control_plane = site.control_planes[CONTROL_PLANES[0]]
         await replace(control_plane, 1)
         data_plane = await site.start_pilot(DATA_PLANES[0])
-        await site.until(lambda: data_plane.control_client.routing_table.version == 1)
-        good = data_plane.control_client.packed
+        await site.until(lambda: data_plane.control_client.config.routing_table.version == 1)
+        good = data_plane.control_client.config.packed
         other = zlib.compress(text(1, "other"))
         connection = next(iter(control_plane.data_planes))
         for standing, by_control_plane in ((ConfigStatus.SAFE, True), (ConfigStatus.CURRENT, False)):
             told = ["chart", 1, other, digest_of(text(1, "other")), int(standing)]
-            data_plane.control_client.take(connection, told, by_control_plane)
-            assert data_plane.control_client.packed == good
-        data_plane.control_client.take(
+            data_plane.control_client.on_config_offer(told, by_control_plane)
+            assert data_plane.control_client.config.packed == good
+        data_plane.control_client.on_message(
             connection, ["chart", 1, other, digest_of(text(1)), int(ConfigStatus.CURRENT)]
         )
-        assert data_plane.control_client.packed == good  # not the text of its digest: half a copy is none
-        data_plane.control_client.take(
+        assert (
+            data_plane.control_client.config.packed == good
+        )  # not the text of its digest: half a copy is none
+        data_plane.control_client.on_message(
             connection, ["chart", 1, other, digest_of(text(1, "other")), int(ConfigStatus.CURRENT)]
         )
-        assert data_plane.control_client.packed == other
+        assert data_plane.control_client.config.packed == other
         await site.until(
-            lambda: data_plane.control_client.packed == good
+            lambda: data_plane.control_client.config.packed == good
         )  # its lighthouses have another still
 
     play(monkeypatch, two_texts)
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -12,7 +12,7 @@
 from wickspring.common.routing_table import Route, Tenant
 from wickspring.controlplane.quota_counter import QuotaCounter
 from wickspring.dataplane.policy.attempts import AttemptOutcome, Attempts
-from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
+from wickspring.dataplane.policy.endpoint_selection import AttemptResult, EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
 from wickspring.dataplane.policy.retry_budget import RetryBudget
 
@@ -106,7 +106,7 @@
     while now < 60_000.0:
         now += random.expovariate(0.2)
         budget = random.choice(budgets)
-        budget.first(now)
+        budget.record_first(now)
         firsts.append(now)
         if random.random() < 0.6 and budget.take(now, fleet):
             further.append(now)
@@ -124,30 +124,31 @@
 
 
 def test_what_leaves_is_never_chosen_again_whatever_is_told_after() -> None:
-    choice = EndpointSelector("a", 1)
+    selector = EndpointSelector("a", 1)
     for number in range(3):
-        choice.heard(0.0, server(number))
-    choice.left({"i0": DRAINING})
-    choice.heard(1.0, server(0, seq=9))  # a late word that it is ready
-    choice.heard(1.0, server(1, state=DRAINING, seq=2))
-    choice.heard(2.0, server(1, seq=1))
-    assert {one.server.id for _ in range(50) if (one := choice.pick(3.0, "s", "r", set()))} == {"i2"}
-    assert choice.pick(3.0, "s", "r", {"i2"}) is None
-    assert not choice.takes("i0") and not choice.takes("i1")
+        selector.update(0.0, server(number))
+    selector.mark_departures({"i0": DRAINING})
+    selector.update(1.0, server(0, seq=9))  # a late word that it is ready
+    selector.update(1.0, server(1, state=DRAINING, seq=2))
+    selector.update(2.0, server(1, seq=1))
+    assert {one.endpoint.id for _ in range(50) if (one := selector.pick(3.0, "s", "r", set()))} == {"i2"}
+    assert selector.pick(3.0, "s", "r", {"i2"}) is None
+    assert not selector.accepts("i0") and not selector.accepts("i1")
 
 
 def test_the_failing_and_the_silent_are_passed_over_while_others_do() -> None:
-    choice = EndpointSelector("a", 2)
+    selector = EndpointSelector("a", 2)
     for number in range(4):
-        choice.heard(0.0, server(number))
-    for number, candidate in enumerate(choice.candidates.values()):
-        choice.sent(0.0, candidate, number)
-        choice.ended(100.0, candidate, number, "r", number != 0)
-    silent = choice.candidates["i1"]
-    choice.sent(100.0, silent, 9)
-    chosen = [one.server.id for _ in range(200) if (one := choice.pick(600.0, "s", "r", set()))]
+        selector.update(0.0, server(number))
+    for number, candidate in enumerate(selector.candidates.values()):
+        result = AttemptResult.SUCCESS if number else AttemptResult.FAILURE
+        selector.attempt_started(0.0, candidate, number)
+        selector.attempt_ended(100.0, candidate, number, "r", result)
+    silent = selector.candidates["i1"]
+    selector.attempt_started(100.0, silent, 9)
+    chosen = [one.endpoint.id for _ in range(200) if (one := selector.pick(600.0, "s", "r", set()))]
     assert chosen.count("i0") == 0 and chosen.count("i1") < 10
-    assert choice.pick(100.0, "s", "r", {"i1", "i2", "i3"}) is choice.candidates["i0"]  # better than none
+    assert selector.pick(100.0, "s", "r", {"i1", "i2", "i3"}) is selector.candidates["i0"]  # better than none
 
 
 def route(pure: bool, tries: int = 2) -> Route:
@@ -159,7 +160,7 @@
     """Outcomes at random: no second try unless the first is known not to have run, and no false promise."""
     random = Random(seed)
     pure = random.random() < 0.5
-    tries = Attempts(route(pure, random.randint(1, 4)), "s", 0.0, 2000.0)
+    attempts = Attempts(route(pure, random.randint(1, 4)), "s", 0.0, 2000.0)
     may_have_run, now = False, 0.0
     out: list[str] = []
     while now < 1990.0:
@@ -167,15 +168,15 @@
         if out and random.random() < 0.6:
             outcome = random.choice([one for one in AttemptOutcome if one is not AttemptOutcome.ANSWERED])
             out.pop()
-            tries.end(outcome)
-            may_have_run |= not outcome.never
-        elif tries.may_send(now):
+            attempts.finish(outcome)
+            may_have_run |= not outcome.not_executed
+        elif attempts.may_send(now):
             assert pure or (not may_have_run and not out)
-            tries.begin(f"i{tries.sent}")
+            attempts.start(f"i{attempts.sent}")
             out.append("x")
-        if tries.verdict is ErrorKind.NO_SERVER:
+        if attempts.final_error is ErrorKind.NO_SERVER:
             assert not may_have_run and not out
-    assert tries.sent <= tries.route.tries
+    assert attempts.sent <= attempts.route.tries
 
 
 @pytest.mark.parametrize(("told", "kept"), [(True, True), (False, False)])
--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -13,11 +13,11 @@
 import trio
 
 from wickspring.common.errors import ErrorKind
-from wickspring.dataplane import request as way
 from wickspring.dataplane import upstream
 from wickspring.dataplane.policy.attempts import AttemptOutcome, Attempts
-from wickspring.dataplane.process import DataPlane
-from wickspring.dataplane.request import Request
+from wickspring.dataplane.request import response
+from wickspring.dataplane.request.forwarding import Forwarder
+from wickspring.dataplane.request.model import Request
 from wickspring.dataplane.upstream import UpstreamConnection
 from wickspring.lab.emulation.local_gateway import HOST, KEY, PREFIX
 from wickspring.lab.simulation.request_path import (
@@ -181,7 +181,7 @@
 
 
 def resent(outcome: AttemptOutcome) -> bool:
-    return outcome in (AttemptOutcome.TURNED_AWAY, AttemptOutcome.UNSENT, AttemptOutcome.BROKEN)
+    return outcome in (AttemptOutcome.REJECTED, AttemptOutcome.UNSENT, AttemptOutcome.BROKEN)
 
 
 def left_over(reader: AnswerReader) -> bool:
@@ -198,27 +198,38 @@
 
 
 def ended_by_any(
-    gateway: DataPlane, request: Request, *about: Any, ended: Callable[..., None] = DataPlane._ended
+    forwarder: Forwarder,
+    request: Request,
+    *about: Any,
+    ended: Callable[..., None] = Forwarder._on_attempt_end,
 ) -> None:
-    if request.passing:
-        request.passing = about[1]
-    ended(gateway, request, *about)
+    if request.streaming_attempt:
+        request.streaming_attempt = about[1]
+    ended(forwarder, request, *about)
 
 
-REFUSES = (Attempts, "verdict", property(lambda _: ErrorKind.NO_SERVER))
-BY_PLACE, LEFT_OVER = (upstream, "is_for", by_place), (AnswerReader, "reusable", left_over)
+REFUSES = (Attempts, "final_error", property(lambda _: ErrorKind.NO_SERVER))
+BY_PLACE, LEFT_OVER = (upstream, "answers_attempt", by_place), (AnswerReader, "reusable", left_over)
 OTHER, TWICE, REFUSED = "not what a server said", "ran twice", "refused though it ran"
 DEFECTS: dict[str, tuple[int, str, list[Any]]] = {  # the seed that finds it, what is found, what is changed
     "an answer matched by its place": (1, OTHER, [BY_PLACE]),
-    "sent again after a reset": (0, TWICE, [(AttemptOutcome, "never", property(resent))]),
+    "sent again after a reset": (0, TWICE, [(AttemptOutcome, "not_executed", property(resent))]),
     "a cut answer that looks whole": (63, OTHER, [(Http1Connection, "end", whole_whatever)]),
     "refused though it may have run": (0, "what may have run is not refused", [REFUSES]),
-    "refused, without the invariant": (0, REFUSED, [REFUSES, (way, "holds", by_place)]),
+    "refused, without the invariant": (0, REFUSED, [REFUSES, (response, "holds", by_place)]),
     "left over for the next": (0, "no bytes are left over", [LEFT_OVER, BY_PLACE]),
     "left over, without the invariant": (0, OTHER, [LEFT_OVER, BY_PLACE, (upstream, "holds", by_place)]),
     "unsent until all is written": (82, REFUSED, [(UpstreamConnection, "written", Http1Link.written)]),
-    "a flowing answer ended by another try": (34, "Too little data", [(DataPlane, "_ended", ended_by_any)]),
-    "a long body sent twice": (0, "a body that its client did not send", [(DataPlane, "_streams", by_place)]),
+    "a flowing answer ended by another try": (
+        34,
+        "Too little data",
+        [(Forwarder, "_on_attempt_end", ended_by_any)],
+    ),
+    "a long body sent twice": (
+        0,
+        "a body that its client did not send",
+        [(Forwarder, "_start_body_stream", by_place)],
+    ),
 }
 
 
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -203,14 +203,14 @@
     def _pilot(self, told: settings_module.NodeSettings, nursery: trio.Nursery) -> None:
         made = self.data_planes[told.ip] = DataPlane(told, nursery, self.random.getrandbits(32))
         numbers = self.taken[told.ip] = []
-        charted = made.control_client._charted
+        on_routing_table = made.on_routing_table
 
         def noted(routing_table: Any) -> None:
             numbers.append(routing_table.version)
-            charted(routing_table)
+            on_routing_table(routing_table)
 
-        made.control_client._charted = noted
-        for task in (made.control_client.tick, made.gossip.run):
+        made.on_routing_table = noted  # type: ignore[method-assign]
+        for task in (made.control_client.run, made.gossip.run):
             nursery.start_soon(task)
 
     def kill(self, ip: str) -> None:
--- /dev/null
+++ b/wickspring/dataplane/control_client/connections.py
@@ -0,0 +1,170 @@
+"""The connections to the nodes of the control plane.
+
+A data plane connects to the seeds of its settings and to every node that a node names. Each tenant's count
+and each service's load is kept by one node, its owner, which all processes choose alike by rendezvous hashing
+(Thaler and Ravishankar, 1998).
+"""
+
+from __future__ import annotations
+
+import hashlib
+from collections.abc import Iterator
+from dataclasses import dataclass
+from random import Random
+from typing import Protocol
+
+import trio
+
+from wickspring.common.config_status import QuorumContact
+from wickspring.common.connection import Message, PeerConnection, ReconnectingClient
+from wickspring.common.seeds import SeedList
+from wickspring.common.settings import NodeSettings
+from wickspring.net.clock import Clock
+
+FORGET_NODE_MS = 60_000.0  # out of reach, after which a node is forgotten that is neither seed nor member
+_STATUS_KEY = "status"  # under which a connection bears what its node has reported
+
+ConfigIdentity = tuple[int, bytes]  # version of a configuration, digest of its document
+
+
+@dataclass(slots=True)
+class NodeStatus:
+    """What a node of the control plane has reported on one connection, and been sent."""
+
+    contact: QuorumContact = QuorumContact.NONE
+    endpoints_digest: int | None = None
+    committed_digest: bytes = b""  # of the last committed configuration
+    sent_config: ConfigIdentity | None = None  # this data plane's configuration, as last sent
+
+
+def status_of(connection: PeerConnection) -> NodeStatus:
+    """Return what the node at the other end has reported so far."""
+    status = connection.about.get(_STATUS_KEY)
+    if not isinstance(status, NodeStatus):
+        status = NodeStatus()
+        connection.about[_STATUS_KEY] = status
+    return status
+
+
+class ConnectionHandler(Protocol):
+    """Where the events of connections go."""
+
+    def on_connect(self, connection: PeerConnection) -> None:
+        """Introduce this data plane on a new connection."""
+
+    def on_message(self, connection: PeerConnection, message: Message) -> None:
+        """Take in a message."""
+
+    def on_disconnect(self, client: ReconnectingClient) -> None:
+        """Forget what was asked on a connection that has ended."""
+
+
+class ControlPlaneConnections:
+    """All connections of one data plane to the control plane, and the members that own counts."""
+
+    def __init__(
+        self,
+        settings: NodeSettings,
+        clock: Clock,
+        nursery: trio.Nursery,
+        random: Random,
+        handler: ConnectionHandler,
+    ) -> None:
+        self.clients: dict[str, ReconnectingClient] = {}  # by IP
+        self.members: list[str] = []  # IPs of the replicas, by the view of the highest epoch
+        self.epoch = -1
+        self._settings = settings
+        self._clock = clock
+        self._nursery = nursery
+        self._random = random
+        self._handler = handler
+        self._seeds = SeedList(settings)
+        self._owners: dict[str, str] = {}
+        self.connect(settings.seed_ips())
+
+    # Connecting and forgetting.
+
+    def connect(self, ips: list[str]) -> None:
+        """Keep a connection to each of these nodes."""
+        for ip in ips:
+            if ip not in self.clients:
+                self.clients[ip] = self._start_client(ip)
+
+    def _start_client(self, ip: str) -> ReconnectingClient:
+        handler = self._handler
+        client = ReconnectingClient(
+            (ip, self._settings.talk_port),
+            self._clock,
+            self._nursery,
+            self._random,
+            handler.on_connect,
+            handler.on_message,
+            handler.on_disconnect,
+        )
+        self._nursery.start_soon(client.run)
+        return client
+
+    def connect_to_seeds(self) -> None:
+        """Keep a connection to each seed, as the settings file names them now."""
+        self.connect(self._seeds.ips(self._clock.now(), bool(self.live)))
+
+    def forget_unreachable(self, now: float) -> None:
+        """Close connections to nodes that are neither seeds nor members and have long been out of reach."""
+        keep = {*self._settings.seed_ips(), *self.members}
+        for ip, client in list(self.clients.items()):
+            if client.live:
+                client.tried_at = now
+            elif ip not in keep and now - client.tried_at > FORGET_NODE_MS:
+                client.close()
+                del self.clients[ip]
+
+    # Reachability.
+
+    @property
+    def live(self) -> list[str]:
+        """The IPs of the nodes in reach."""
+        return [ip for ip, client in self.clients.items() if client.live]
+
+    def live_connections(self) -> Iterator[PeerConnection]:
+        """Return the connections to the nodes in reach."""
+        for client in self.clients.values():
+            if client.live and client.connection is not None:
+                yield client.connection
+
+    def best_contact(self) -> QuorumContact:
+        """Return the best contact with a quorum that any node in reach has reported."""
+        contacts = (status_of(connection).contact for connection in self.live_connections())
+        return max(contacts, default=QuorumContact.NONE)
+
+    # Owners of counts.
+
+    def update_view(self, epoch: int, members: list[str]) -> bool:
+        """Take up the members of a view; return False where its epoch is not higher than the present one."""
+        if epoch <= self.epoch:
+            return False
+        self.epoch = epoch
+        self.members = members
+        self.connect(members)  # whoever reports them may not have reached them all itself yet
+        self._owners.clear()
+        return True
+
+    def owner(self, key: str) -> str:
+        """Return the IP of the member that owns a tenant's or service's count; "" where none is known."""
+        owner = self._owners.get(key)
+        if owner is None:
+            owner = max(self.members, key=lambda ip: _weight(key, ip), default="")
+            self._owners[key] = owner
+        return owner
+
+    def owner_client(self, key: str) -> ReconnectingClient | None:
+        """Return the client of a count's owner; None where it is not known."""
+        return self.clients.get(self.owner(key))
+
+    def live_owner_client(self, key: str) -> ReconnectingClient | None:
+        """Return the client of a count's owner; None where it is not in reach."""
+        client = self.owner_client(key)
+        return client if client is not None and client.live else None
+
+
+def _weight(key: str, ip: str) -> bytes:
+    return hashlib.blake2b(f"{key} {ip}".encode(), digest_size=8).digest()
--- /dev/null
+++ b/wickspring/dataplane/control_client/endpoint_sync.py
@@ -0,0 +1,81 @@
+"""What control and data planes report of endpoints, and the comparison that finds what was missed."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from random import Random
+
+from wickspring.common.config_status import QuorumContact
+from wickspring.common.endpoints import Endpoint
+from wickspring.dataplane.control_client.connections import ControlPlaneConnections, status_of
+from wickspring.dataplane.control_client.listener import ControlListener
+from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
+from wickspring.net.clock import Clock
+
+
+class EndpointSync:
+    """Keeps the endpoints up to date."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        random: Random,
+        connections: ControlPlaneConnections,
+        endpoints: EndpointSelector,
+        listener: ControlListener,
+    ) -> None:
+        self.complete_from: set[str] = set()  # nodes that have sent all endpoints they know
+        self._clock = clock
+        self._random = random
+        self._connections = connections
+        self._endpoints = endpoints
+        self._listener = listener
+
+    def on_changes(self, records: Iterable[object]) -> None:
+        """Take in changed endpoints, and have those passed on that were not known."""
+        now = self._clock.now()
+        changed = []
+        for record in records:
+            endpoint = Endpoint.unpack(record, now)
+            if self._endpoints.update(now, endpoint):
+                changed.append(endpoint.pack(now))
+        if changed:
+            self._listener.on_endpoint_changes("servers", changed)
+
+    def on_departures(self, departures: dict[str, int]) -> None:
+        """Take in endpoints that drain or are gone, and have those passed on that were not known."""
+        changes = self._endpoints.mark_departures(departures)
+        if changes:
+            self._listener.on_endpoint_changes("leaving", changes)
+
+    def on_unresponsive(self, endpoint_ids: Iterable[str]) -> None:
+        """Take in endpoints whose heartbeats the control plane no longer receives."""
+        self._endpoints.mark_unresponsive(endpoint_ids)
+
+    def on_snapshot(
+        self, sender: str, records: Iterable[object], departures: dict[str, int], fresh: bool
+    ) -> None:
+        """Take in all endpoints that a process knows; `fresh` if it is in contact with a quorum."""
+        now = self._clock.now()
+        self._endpoints.mark_departures(departures)
+        if fresh or self._connections.best_contact() < QuorumContact.SETTLED:  # else another knows better
+            for record in records:
+                self._endpoints.update(now, Endpoint.unpack(record, now), fresh)
+        self.complete_from.add(sender)
+        self._listener.on_informed()
+
+    def complete_from_majority(self, member_count: int) -> bool:
+        """Return whether a majority of so many members has sent all endpoints."""
+        return len(self.complete_from & set(self._connections.members)) > member_count // 2
+
+    def compare(self) -> None:
+        """Ask one of the best connected nodes for all endpoints if its digest differs from ours."""
+        digest = self._endpoints.digest()
+        best = self._connections.best_contact()
+        differing = []
+        for connection in self._connections.live_connections():
+            status = status_of(connection)
+            if status.contact == best and status.endpoints_digest not in (None, digest):
+                differing.append(connection)
+        if differing:
+            self._random.choice(differing).send("whole")
--- /dev/null
+++ b/wickspring/dataplane/control_client/listener.py
@@ -0,0 +1,29 @@
+"""What the client of the control plane asks of the data plane, and reports to it."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from wickspring.common.routing_table import RoutingTable
+
+# For each tenant with recent usage: how many windows ago, and the units used in that window.
+UsageReports = list[tuple[str, list[tuple[int, int]]]]
+
+
+class ControlListener(Protocol):
+    """The data plane, as the client of the control plane sees it."""
+
+    def usage_reports(self) -> UsageReports:
+        """Return the recent usage of all tenants at this data plane."""
+
+    def on_routing_table(self, routing_table: RoutingTable) -> None:
+        """Use a configuration that has just been adopted."""
+
+    def on_endpoint_changes(self, kind: str, changes: object) -> None:
+        """Pass changes of endpoints on to other data planes."""
+
+    def on_data_planes(self, ips: list[str]) -> None:
+        """Contact other data planes that the control plane has named."""
+
+    def on_informed(self) -> None:
+        """Take note that a configuration or a complete list of endpoints has come."""
--- /dev/null
+++ b/wickspring/dataplane/control_client/load_client.py
@@ -0,0 +1,55 @@
+"""Load of endpoints, across all data planes: advice on which are best, reports of requests in flight."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+
+from wickspring.dataplane.control_client.connections import ControlPlaneConnections
+
+# Endpoint ids with their costs, and how many endpoints of the service the control plane knows.
+AdviceHandler = Callable[[list[tuple[str, float]], int], None]
+
+
+class LoadClient:
+    """Asks the owner of a service's load for advice, and reports to it."""
+
+    def __init__(self, connections: ControlPlaneConnections, numbers: Iterator[int], zone: str) -> None:
+        self._connections = connections
+        self._numbers = numbers
+        self._zone = zone
+        self._pending: dict[int, AdviceHandler] = {}
+
+    def request_advice(self, service: str, on_advice: AdviceHandler) -> int:
+        """Ask for the best endpoints of a service.
+
+        Return a number to `cancel` the request by, or 0 where the owner is not in reach.
+        """
+        client = self._connections.live_owner_client(service)
+        if client is None:
+            return 0
+        number = next(self._numbers)
+        self._pending[number] = on_advice
+        client.send("berth", number, service, self._zone)
+        return number
+
+    def cancel(self, number: int) -> None:
+        """Wait no longer for advice."""
+        self._pending.pop(number, None)
+
+    def on_advice(self, number: int, endpoints: list[tuple[str, float]], known: int) -> None:
+        """Hand advice over to whoever asked for it."""
+        on_advice = self._pending.pop(number, None)
+        if on_advice is not None:
+            on_advice(endpoints, known)
+
+    def request_started(self, service: str, endpoint_id: str) -> str:
+        """Report an attempt as in flight; return the owner's IP for `request_finished`, "" if not sent."""
+        owner = self._connections.owner(service)
+        client = self._connections.clients.get(owner)
+        return owner if client is not None and client.send("out", endpoint_id) else ""
+
+    def request_finished(self, owner: str, endpoint_id: str, latency_ratio: float) -> None:
+        """Report the end of an attempt, with its latency by the typical one (0: unknown, -1: failed)."""
+        client = self._connections.clients.get(owner)
+        if client is not None:
+            client.send("in", endpoint_id, round(latency_ratio, 2))
--- /dev/null
+++ b/wickspring/dataplane/control_client/quota_client.py
@@ -0,0 +1,95 @@
+"""Quota counts at the control plane: units added, given back and reported to the owner of each count."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+
+from wickspring.common.connection import PeerConnection, ReconnectingClient
+from wickspring.dataplane.control_client.connections import ControlPlaneConnections
+from wickspring.dataplane.control_client.listener import ControlListener
+
+ADD_TIMEOUT_MS = 90.0  # for an add to be answered, beyond which the data plane decides alone
+NOT_OWNER_LIMIT = -1  # reported as the limit where the node asked does not own the count
+
+# Total with the unit added, limit (below 0: the node asked is not the owner), ms to the end of the window.
+QuotaReplyHandler = Callable[[int, int, float], None]
+
+
+@dataclass(slots=True)
+class _PendingAdd:
+    """An add that has not been answered yet."""
+
+    client: ReconnectingClient
+    on_reply: QuotaReplyHandler
+
+
+class QuotaClient:
+    """Has the usage of tenants counted."""
+
+    def __init__(
+        self, connections: ControlPlaneConnections, numbers: Iterator[int], listener: ControlListener
+    ) -> None:
+        self._connections = connections
+        self._numbers = numbers
+        self._listener = listener
+        self._pending: dict[int, _PendingAdd] = {}
+
+    def add(self, tenant: str, is_repeat: bool, on_reply: QuotaReplyHandler) -> int:
+        """Add a unit to a tenant's count.
+
+        Return a number to `abandon` the add by, or 0 where the owner is not in reach.
+        """
+        client = self._connections.live_owner_client(tenant)
+        if client is None:
+            return 0
+        number = next(self._numbers)
+        self._pending[number] = _PendingAdd(client, on_reply)
+        client.send("add", number, tenant, is_repeat, self._connections.epoch)
+        return number
+
+    def abandon(self, number: int, on_late_reply: QuotaReplyHandler) -> None:
+        """Wait no longer for an add; a late reply goes to `on_late_reply`, if one comes."""
+        pending = self._pending.get(number)
+        if pending is not None:
+            pending.on_reply = on_late_reply
+
+    def on_total(self, number: int, total: int, limit: int, window_end_ms: float) -> None:
+        """Hand over the reply to an add."""
+        pending = self._pending.pop(number, None)
+        if pending is not None:
+            pending.on_reply(total, limit, window_end_ms)
+
+    def on_owner_moved(self, number: int) -> None:
+        """Hand over that an add went to a node that does not own the count."""
+        self.on_total(number, 0, NOT_OWNER_LIMIT, 0.0)
+
+    def on_disconnect(self, client: ReconnectingClient) -> None:
+        """Forget adds on a connection that has ended: the next one begins with a usage report."""
+        lost = [number for number, pending in self._pending.items() if pending.client is client]
+        for number in lost:
+            del self._pending[number]
+
+    def report_spent(self, tenant: str) -> None:
+        """Report a unit that the owner has not counted, and that was forwarded all the same."""
+        client = self._connections.owner_client(tenant)
+        if client is not None:
+            client.send("spent", tenant)
+
+    def refund(self, tenant: str) -> None:
+        """Take back the unit of a request that has not been executed and never will be."""
+        client = self._connections.owner_client(tenant)
+        if client is not None:
+            client.send("back", tenant)
+
+    def send_usage(self, connection: PeerConnection) -> None:
+        """Report all recent usage to a node, which may own counts from now on."""
+        for tenant, windows in self._listener.usage_reports():
+            connection.send("past", tenant, windows)
+
+    def send_usage_to_members(self) -> None:
+        """Report all recent usage to all members of a new view."""
+        for ip in self._connections.members:
+            client = self._connections.clients.get(ip)
+            if client is not None and client.connection is not None:
+                self.send_usage(client.connection)
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -1,11 +1,13 @@
-"""How pilots know each other, and pass on what one of them has been told.
-
-Each pilot probes the others in turn with datagrams. One that does not answer is asked after through a few
-others; one whom none of them reaches is doubted, and the doubt goes round before it counts as gone
-(`gossip.members`). Each probe and its answer carry what the sender holds: the version of the configuration
-and its digest, how many servers it knows to leave, and a number for all that it knows. News goes to a few
-others at once; whoever finds itself behind fetches the rest over a cable. So a pilot that no lighthouse
-reaches still hears what the others hear, and nothing ever goes back in number.
+"""Gossip among data planes: who is a member, and what any of them has learned.
+
+Membership follows SWIM (Das, Gupta and Motivala, 2002; `membership.swim`). In each round a data plane probes
+one other by datagram. One that does not answer with an ack is probed indirectly, through a few others; one
+that none of them reaches is suspected, and the suspicion is disseminated before it counts as failed.
+
+Each probe and ack carry the digest of the sender's state: the version of its configuration, how many departed
+endpoints it knows, a checksum of its endpoints. Changes of endpoints are sent to a few members at once;
+whoever finds itself behind fetches the rest over a connection (anti-entropy). So a data plane that reaches no
+control plane still learns what the others learn, and no version ever goes back.
 """
 
 from __future__ import annotations
@@ -26,39 +28,40 @@
 from wickspring.net.datagrams import Datagrams
 from wickspring.net.link import Link, connect
 
-ROUND_S = 1.0
-WORD_S = 0.25  # for an answer to a probe
-FETCH_S = 1.5
-MATES = 3  # pilots that a piece of news is passed to
-NAMED = 8  # members that a probe names with what is held of them, another stretch each time
-ENTRIES = 24  # of members in one answer, at most; while nobody comes or goes there are none
-DOUBTS = 4
-MOST_DATAGRAM = 1200  # bytes; more than a packet of the network would be lost with any part of it
-PIECE = 6  # servers in one datagram of news
-DIAL_MS = 300.0
-
-# Version of the configuration and digest of its text, servers that leave, a number for all servers.
+PROBE_INTERVAL_S = 1.0
+PROBE_INTERVAL_JITTER = (0.8, 1.2)
+ACK_TIMEOUT_S = 0.25
+INDIRECT_ACK_TIMEOUT_S = 2 * ACK_TIMEOUT_S
+FETCH_TIMEOUT_S = 1.5
+CONNECT_TIMEOUT_MS = 300.0
+FANOUT = 3  # members that a change is sent to
+DIGEST_MEMBERS = 8  # members whose versions a probe carries, another range each time
+MAX_ENTRIES = 24  # entries of members in one ack; while nobody joins or fails there are none
+MAX_SUSPICIONS = 4  # in one datagram
+MAX_DATAGRAM_BYTES = 1200  # a larger one would be fragmented, and lost with any fragment
+
+# Version of the configuration, digest of its document, departed endpoints, checksum of all endpoints.
 GossipDigest = tuple[int, bytes, int, int]
 
 
 class GossipHost(Protocol):
-    """What a pilot holds, and where what is fetched goes."""
+    """The data plane, as its gossip sees it."""
 
-    def state(self) -> GossipDigest:
-        """Return the state to compare."""
+    def state_digest(self) -> GossipDigest:
+        """Return what members compare to find out who is behind."""
 
-    def tell_all(self, connection: PeerConnection, version: int, digest: bytes) -> None:
-        """Tell all that is held; the configuration only where it is above a version, or another text."""
+    def send_state(self, connection: PeerConnection, version: int, digest: bytes) -> None:
+        """Send all that is known; the configuration only where a member's version or text differs."""
 
-    def take(self, connection: PeerConnection, message: Message) -> None:
-        """Take in what another pilot tells."""
+    def on_peer_message(self, connection: PeerConnection, message: Message) -> None:
+        """Take in what another data plane reports."""
 
-    def alone(self) -> bool:
-        """Tell whether no lighthouse is in reach."""
+    def is_isolated(self) -> bool:
+        """Return whether no control plane is in reach."""
 
 
 class GossipNode:
-    """One pilot among the others."""
+    """One data plane among the others."""
 
     def __init__(
         self,
@@ -67,194 +70,238 @@
         clock: Clock,
         nursery: trio.Nursery,
         random: Random,
-        holds: GossipHost,
-        wire: Datagrams,
+        host: GossipHost,
+        datagrams: Datagrams,
     ) -> None:
-        self.ip, self.port, self.clock, self.nursery, self.random = ip, port, clock, nursery, random
-        self.holds, self.wire = holds, wire
-        now = clock.now() / 1000.0
+        self.ip = ip
+        self.port = port
+        self.clock = clock
+        self.nursery = nursery
+        self.random = random
+        self.host = host
+        self.datagrams = datagrams
+        now_s = clock.now() / 1000.0
         self.members: Membership[MemberInfo] = Membership(
-            ip, now, MemberInfo(ip), ROUND_S, random.getrandbits(32), now
+            ip, now_s, MemberInfo(ip), PROBE_INTERVAL_S, random.getrandbits(32), now_s
         )
-        self._number = 0
-        self._waits: dict[int, Callable[[], None]] = {}
-        self._fetching = False
+        self._probe_number = 0
+        self._pending_acks: dict[int, Callable[[], None]] = {}
+        self._is_fetching = False
 
     @property
     def size(self) -> int:
-        """How many pilots are not gone, this one among them."""
+        """How many data planes have not failed, this one among them."""
         return self.members.size
 
     def introduce(self, ips: list[str]) -> None:
-        """Talk to these pilots, which a lighthouse has named."""
+        """Probe these data planes, which a control plane has named."""
         for ip in ips:
             if ip != self.ip and self.members.about(ip) is None:
-                self._probe(ip)
+                self._send_probe(ip)
 
-    def pass_on(self, kind: str, told: Any) -> None:
-        """Tell a piece of news to a few others."""
+    def broadcast(self, kind: str, changes: object) -> None:
+        """Send changes to a few members, each of whom passes on what it did not know."""
         living = self.members.living()
-        for name in self.random.sample(living, min(MATES, len(living))):
-            self._send(name, kind, told)
-
-    # Datagrams.
-
-    def _send(self, ip: str, *message: object) -> None:
-        data = msgpack.packb([message[0], self.ip, *message[1:]])
-        if len(data) <= MOST_DATAGRAM:
-            self.wire.send(ip, data)
-
-    def _entries(self, entries: tuple[Entry[MemberInfo], ...]) -> list[Any]:
-        told = []
-        for one in entries[:ENTRIES]:
-            left = None if one.content is None else one.content.left
-            told.append([one.owner, one.incarnation, one.beat, one.number, left])
-        return told
-
-    def _hear(self, told: list[Any]) -> None:
-        entries = [
-            Entry(parse_ip(o), float(i), int(b), int(n), None if left is None else MemberInfo(o, bool(left)))
-            for o, i, b, n, left in told
-        ]
-        self.members.hear(entries)
-
-    def _doubts(self, ip: str) -> list[Any]:
-        return [[one.name, one.incarnation, one.beat, one.by] for one in self.members.doubts(ip, DOUBTS)]
+        for ip in self.random.sample(living, min(FANOUT, len(living))):
+            self._send(ip, kind, changes)
 
-    def _probe(self, ip: str, answered: Callable[[], None] = lambda: None) -> int:
-        self._number += 1
-        self._waits[self._number] = answered
-        digest = self.members.digest(NAMED)
-        heard = [digest.low, digest.high, digest.heard]
-        self._send(ip, "probe", self._number, heard, list(self.holds.state()), self._doubts(ip))
-        return self._number
+    # Failure detection.
 
     async def run(self) -> None:
-        """Probe one of the others after another, and give up those that are gone."""
+        """Probe one member in each round, for as long as the process lives."""
         self.nursery.start_soon(self._receive)
         while True:
-            await trio.sleep(ROUND_S * self.random.uniform(0.8, 1.2))
+            await trio.sleep(PROBE_INTERVAL_S * self.random.uniform(*PROBE_INTERVAL_JITTER))
             for name in self.members.tick(self.clock.now() / 1000.0):
                 logs.log_event("pilot_gone", data_plane=name, left=self.members.size)
             self.members.write(MemberInfo(self.ip), beat=False)
             target = self.members.target()
             if target is not None:
-                self.nursery.start_soon(self._ask, target)
-
-    async def _ask(self, ip: str) -> None:
-        """Probe one; through others where it does not answer."""
-        answered = trio.Event()
-        number = self._probe(ip, answered.set)
-        with trio.move_on_after(WORD_S):
-            await answered.wait()
-        self._waits.pop(number, None)
-        if answered.is_set():
+                self.nursery.start_soon(self._probe, target)
+
+    async def _probe(self, ip: str) -> None:
+        """Probe a member directly, then through others, and record whether it was reached."""
+        acked = trio.Event()
+        if await self._probe_directly(ip, acked):
             self.members.reached(ip)
             return
         for helper in self.members.helpers(ip):
-            self._number += 1
-            self._waits[self._number] = answered.set
-            self._send(helper, "reach", self._number, ip)
-        with trio.move_on_after(2 * WORD_S):
-            await answered.wait()
-        if answered.is_set():
+            number = self._expect_ack(acked.set)
+            self._send(helper, "reach", number, ip)
+        if await _is_set_within(INDIRECT_ACK_TIMEOUT_S, acked):
             self.members.vouched(ip)
         else:
             self.members.unreached(ip)
 
-    async def _reach(self, asker: str, number: int, ip: str) -> None:
-        answered = trio.Event()
-        mine = self._probe(ip, answered.set)
-        with trio.move_on_after(WORD_S):
-            await answered.wait()
-        self._waits.pop(mine, None)
-        if answered.is_set():
+    async def _probe_directly(self, ip: str, acked: trio.Event) -> bool:
+        number = self._send_probe(ip, acked.set)
+        is_acked = await _is_set_within(ACK_TIMEOUT_S, acked)
+        self._pending_acks.pop(number, None)
+        return is_acked
+
+    async def _probe_for(self, asker: str, number: int, ip: str) -> None:
+        """Probe a member for another one, which it did not answer."""
+        if await self._probe_directly(ip, trio.Event()):
             self._send(asker, "reached", number)
 
+    def _send_probe(self, ip: str, on_ack: Callable[[], None] = lambda: None) -> int:
+        number = self._expect_ack(on_ack)
+        digest = self.members.digest(DIGEST_MEMBERS)
+        versions = [digest.low, digest.high, digest.heard]
+        self._send(ip, "probe", number, versions, list(self.host.state_digest()), self._suspicions(ip))
+        return number
+
+    def _expect_ack(self, on_ack: Callable[[], None]) -> int:
+        self._probe_number += 1
+        self._pending_acks[self._probe_number] = on_ack
+        return self._probe_number
+
+    def _on_ack(self, number: int) -> None:
+        on_ack = self._pending_acks.pop(number, None)
+        if on_ack is not None:
+            on_ack()
+
+    # Datagrams.
+
+    def _send(self, ip: str, *message: object) -> None:
+        data = msgpack.packb([message[0], self.ip, *message[1:]])
+        if len(data) <= MAX_DATAGRAM_BYTES:
+            self.datagrams.send(ip, data)
+
     async def _receive(self) -> None:
         while True:
-            data, ip = await self.wire.receive()
+            data, ip = await self.datagrams.receive()
             try:
                 message = msgpack.unpackb(data)
                 if message[1] == ip:
-                    self._take(ip, message)
+                    self.on_datagram(ip, message)
             except DECODE_ERRORS:
-                continue  # not of this system, or spoilt
+                continue  # not of this system, or damaged
 
-    def _take(self, ip: str, message: list[Any]) -> None:
+    def on_datagram(self, ip: str, message: list[Any]) -> None:
+        """Take in a datagram; raise one of `DECODE_ERRORS` where it is not well formed."""
         name = message[0]
         if name == "probe":
-            _, _, number, (low, high, heard), state, doubts = message
-            known = {str(k): (float(v[0]), int(v[1]), int(v[2])) for k, v in heard.items()}
-            news = self.members.answer(Digest(ip, known, low, high), ENTRIES)
-            entries = (*news.entries, *self.members.fresh(ENTRIES - len(news.entries)))
-            self._send(ip, "word", number, self._entries(entries), list(self.holds.state()), self._doubts(ip))
-            self._hear([[ip, *heard[ip], False]] if ip in heard else [])
-            self._doubted(doubts)
-            self._compare(ip, state)
+            self._on_probe(ip, message)
         elif name == "word":
-            _, _, number, entries, state, doubts = message
-            self._hear(entries)
-            answered = self._waits.pop(int(number), None)
-            if answered is not None:
-                answered()
-            self._doubted(doubts)
-            self._compare(ip, state)
+            self._on_probe_ack(ip, message)
         elif name == "reach":
-            self.nursery.start_soon(self._reach, ip, int(message[2]), parse_ip(message[3]))
+            self.nursery.start_soon(self._probe_for, ip, int(message[2]), parse_ip(message[3]))
         elif name == "reached":
-            answered = self._waits.pop(int(message[2]), None)
-            if answered is not None:
-                answered()
+            self._on_ack(int(message[2]))
         elif name in ("servers", "leaving"):
-            self.holds.take(PeerConnection(_NOWHERE, self.clock), [name, message[2]])
+            self.host.on_peer_message(PeerConnection(_NO_LINK, self.clock), [name, message[2]])
+
+    def _on_probe(self, ip: str, message: list[Any]) -> None:
+        """Answer a probe, then learn from it."""
+        _, _, number, (low, high, versions), state, suspicions = message
+        known = {
+            str(name): (float(incarnation), int(heartbeat), int(content))
+            for name, (incarnation, heartbeat, content) in versions.items()
+        }
+        answer = self.members.answer(Digest(ip, known, low, high), MAX_ENTRIES)
+        entries = (*answer.entries, *self.members.fresh(MAX_ENTRIES - len(answer.entries)))
+        self._send(
+            ip,
+            "word",
+            number,
+            _pack_entries(entries),
+            list(self.host.state_digest()),
+            self._suspicions(ip),
+        )
+        if ip in versions:
+            self._merge_entries([[ip, *versions[ip], False]])
+        self._on_suspicions(suspicions)
+        self._compare_state(ip, state)
+
+    def _on_probe_ack(self, ip: str, message: list[Any]) -> None:
+        _, _, number, entries, state, suspicions = message
+        self._merge_entries(entries)
+        self._on_ack(int(number))
+        self._on_suspicions(suspicions)
+        self._compare_state(ip, state)
+
+    def _merge_entries(self, packed: list[Any]) -> None:
+        self.members.hear([_unpack_entry(entry) for entry in packed])
+
+    def _suspicions(self, ip: str) -> list[Any]:
+        """Return the suspicions to send to a member, always with the one against itself if there is one."""
+        return [
+            [suspicion.name, suspicion.incarnation, suspicion.beat, suspicion.by]
+            for suspicion in self.members.doubts(ip, MAX_SUSPICIONS)
+        ]
 
-    def _doubted(self, doubts: list[Any]) -> None:
-        self.members.doubted(Suspicion(str(n), float(i), int(b), str(by)) for n, i, b, by in doubts)
+    def _on_suspicions(self, packed: list[Any]) -> None:
+        self.members.doubted(
+            Suspicion(str(name), float(incarnation), int(heartbeat), str(by))
+            for name, incarnation, heartbeat, by in packed
+        )
+
+    # Anti-entropy.
 
-    # Gaps.
+    def _compare_state(self, ip: str, theirs: list[Any]) -> None:
+        """Fetch the state of a member that is ahead, or, while isolated, of one that differs."""
+        version, digest, departures, checksum = self.host.state_digest()
+        is_ahead = theirs[0] > version or theirs[2] > departures
+        differs = theirs[3] != checksum or (theirs[0] == version and theirs[1] != digest)
+        if self._is_fetching or not (is_ahead or (differs and self.host.is_isolated())):
+            return
+        self._is_fetching = True
+        self.nursery.start_soon(self._fetch_state, ip)
 
-    def _compare(self, ip: str, told: list[Any]) -> None:
-        """Fetch from a pilot that is ahead, or, where no lighthouse is in reach, from one that differs."""
-        mine = self.holds.state()
-        ahead = told[0] > mine[0] or told[2] > mine[2]
-        differs = told[3] != mine[3] or (told[0] == mine[0] and told[1] != mine[1])
-        if (ahead or (differs and self.holds.alone())) and not self._fetching:
-            self._fetching = True
-            self.nursery.start_soon(self._fetch, ip)
+    async def _fetch_state(self, ip: str) -> None:
+        try:
+            with trio.move_on_after(FETCH_TIMEOUT_S):
+                sock = await connect((ip, self.port), CONNECT_TIMEOUT_MS)
+                if sock is not None:
+                    await self._read_state(PeerConnection(Link(sock, self.nursery), self.clock))
+        finally:
+            self._is_fetching = False
 
-    async def _fetch(self, ip: str) -> None:
+    async def _read_state(self, connection: PeerConnection) -> None:
+        version, digest, _, _ = self.host.state_digest()
         try:
-            with trio.move_on_after(FETCH_S):
-                sock = await connect((ip, self.port), DIAL_MS)
-                if sock is None:
-                    return
-                connection = PeerConnection(Link(sock, self.nursery), self.clock)
-                try:
-                    connection.send("fetch", *self.holds.state()[:2])
-                    await connection.read(self.holds.take)
-                finally:
-                    connection.close()
+            connection.send("fetch", version, digest)
+            await connection.read(self.host.on_peer_message)
         finally:
-            self._fetching = False
+            connection.close()
 
     async def serve(self, connection: PeerConnection) -> None:
-        """Tell all to a pilot that fetches."""
+        """Send the state to a member that fetches it."""
+        with trio.move_on_after(FETCH_TIMEOUT_S):
+            await connection.read(self._on_fetch)
+        connection.close()
 
-        def take(connection: PeerConnection, message: Message) -> None:
-            if message[0] == "fetch":
-                self.holds.tell_all(connection, int(message[1]), bytes(message[2]))
-                connection.link.finish()
+    def _on_fetch(self, connection: PeerConnection, message: Message) -> None:
+        if message[0] == "fetch":
+            self.host.send_state(connection, int(message[1]), bytes(message[2]))
+            connection.link.finish()
 
-        with trio.move_on_after(FETCH_S):
-            await connection.read(take)
-        connection.close()
+
+async def _is_set_within(seconds: float, event: trio.Event) -> bool:
+    with trio.move_on_after(seconds):
+        await event.wait()
+    return event.is_set()
+
+
+def _pack_entries(entries: tuple[Entry[MemberInfo], ...]) -> list[Any]:
+    packed = []
+    for entry in entries[:MAX_ENTRIES]:
+        has_left = None if entry.content is None else entry.content.left
+        packed.append([entry.owner, entry.incarnation, entry.beat, entry.number, has_left])
+    return packed
+
+
+def _unpack_entry(packed: list[Any]) -> Entry[MemberInfo]:
+    owner, incarnation, heartbeat, number, has_left = packed
+    content = None if has_left is None else MemberInfo(owner, bool(has_left))
+    return Entry(parse_ip(owner), float(incarnation), int(heartbeat), int(number), content)
 
 
-class _Nowhere:
-    """The link of news that came by datagram: nothing is said back on it."""
+class _NoLink:
+    """The link of a change that came by datagram: nothing is sent back on it."""
 
     broken = True
 
 
-_NOWHERE: Any = _Nowhere()
+_NO_LINK: Any = _NoLink()
--- a/wickspring/dataplane/policy/attempts.py
+++ b/wickspring/dataplane/policy/attempts.py
@@ -1,8 +1,8 @@
-"""The tries of one request: what may follow an outcome, and what the client is told in the end.
+"""The attempts of one request: when a further one is allowed, and the error that it may end with.
 
-A request that may run once goes to a second server only where the first has said that it did not run it, or
-where no byte of it can have been read. `never` says that of the request as a whole: without it, neither 429
-nor 503 may be answered.
+A request that may be executed only once goes to a second endpoint only where the first says that it did not
+execute it, or where no byte of it can have been read. `Attempts.not_executed` says so of the whole request:
+without it, neither 429 nor 503 may be returned (`docs/design/answers.md`). No I/O; times are milliseconds.
 """
 
 from __future__ import annotations
@@ -14,72 +14,77 @@
 from wickspring.common.routing_table import Route
 from wickspring.core.invariants import holds
 
-END_MS = 12.0  # before a deadline at which the final answer is given
-WORTH_MS = 25.0  # of its time that must be left for a further try to make sense
-HEDGE_TIMES, HEDGE_AIM = 2.6, 0.35  # usual answer times, and share of the aim, after which a pure request
-# whose server is silent is also sent to another
-HEDGE_LEFT = 2.0  # of the budget that only failures may take
+FINAL_RESPONSE_MARGIN_MS = 12.0  # before a client's deadline, at which the final response is sent
+MIN_ATTEMPT_MS = 25.0  # that must be left before the deadline for a further attempt to be of use
+HEDGE_TYPICAL_FACTOR = 2.6  # multiple of a route's typical latency after which an attempt is hedged
+HEDGE_TARGET_SHARE = 0.35  # share of a route's target latency before which no attempt is hedged
+HEDGE_BUDGET_RESERVE = 2.0  # attempts of the retry budget that hedging leaves to real failures
 
 
 class AttemptOutcome(Enum):
-    """How a try ended."""
+    """How an attempt ended. The values are part of the names of counters in the log."""
 
-    ANSWERED = "answered"  # whole and sealed, whatever its status
-    TURNED_AWAY = "turned_away"  # the server says that it has not run
-    UNSENT = "unsent"  # no byte of it can have been read
-    BROKEN = "broken"  # it may have run
-    SILENT = "silent"  # its time was over
+    ANSWERED = "answered"  # a complete response of the endpoint's own, of any status
+    REJECTED = "turned_away"  # the endpoint says that it has not executed the request
+    UNSENT = "unsent"  # no byte of the request can have been read
+    BROKEN = "broken"  # the request may have been executed
+    TIMED_OUT = "silent"  # no response before the deadline
 
     @property
-    def never(self) -> bool:
-        """Tell whether the try has not run and never will."""
-        return self in (AttemptOutcome.TURNED_AWAY, AttemptOutcome.UNSENT)
+    def not_executed(self) -> bool:
+        """Whether the attempt has not been executed and never will be."""
+        return self in (AttemptOutcome.REJECTED, AttemptOutcome.UNSENT)
 
 
 @dataclass(slots=True)
 class Attempts:
-    """What the decisions on one request rest on. Times are ms."""
+    """The attempts of one request so far. Times are milliseconds."""
 
     route: Route
     service: str
-    begun: float
-    until: float  # when the final answer is due
-    tried: set[str] = field(default_factory=set)
-    out: int = 0
+    started_at: float
+    deadline: float  # when the final response is due
+    tried: set[str] = field(default_factory=set)  # endpoint ids
+    in_flight: int = 0
     sent: int = 0
-    never: bool = True  # none of its tries can have run
+    not_executed: bool = True  # no attempt can have been executed
     timed_out: bool = False
-    streamed: bool = False  # the part of its body that is not held has begun to go out
+    body_streamed: bool = False  # the part of the body that is not buffered has begun to go out
     ended: bool = False
 
     def may_send(self, now: float) -> bool:
-        """Tell whether a further try is allowed by all but the budget."""
-        if self.ended or self.streamed or self.sent >= self.route.tries or self.until - now < WORTH_MS:
+        """Return whether a further attempt is allowed by everything but the retry budget."""
+        if self.ended or self.body_streamed or self.sent >= self.route.tries:
             return False
-        return self.route.pure or (self.never and self.out == 0)
-
-    def begin(self, server: str) -> None:
-        """Note a try as sent."""
-        holds(self.route.pure or (self.never and self.out == 0), "what may run once is out once")
-        holds(not self.streamed, "a body that is not held goes out once")
-        self.tried.add(server)
-        self.out += 1
+        return self.deadline - now >= MIN_ATTEMPT_MS and self._repeatable
+
+    @property
+    def _repeatable(self) -> bool:
+        return self.route.pure or (self.not_executed and self.in_flight == 0)
+
+    def start(self, endpoint_id: str) -> None:
+        """Record an attempt as sent."""
+        holds(self._repeatable, "what may run once is out once")
+        holds(not self.body_streamed, "a body that is not held goes out once")
+        self.tried.add(endpoint_id)
+        self.in_flight += 1
         self.sent += 1
 
-    def end(self, outcome: AttemptOutcome) -> None:
-        """Note how a try ended."""
-        holds(self.out > 0, "a try ends once")
-        self.out -= 1
-        self.never = self.never and outcome.never
-        self.timed_out = self.timed_out or outcome is AttemptOutcome.SILENT
+    def finish(self, outcome: AttemptOutcome) -> None:
+        """Record how an attempt ended."""
+        holds(self.in_flight > 0, "a try ends once")
+        self.in_flight -= 1
+        self.not_executed = self.not_executed and outcome.not_executed
+        self.timed_out = self.timed_out or outcome is AttemptOutcome.TIMED_OUT
 
-    def hedge_at(self, usual: float) -> float:
-        """Return when a silent try of a pure request is to be followed by another."""
-        return self.begun + max(HEDGE_TIMES * usual, HEDGE_AIM * 1000.0 * self.route.target_s)
+    def hedge_at(self, typical_ms: float) -> float:
+        """Return when an unanswered attempt of a repeatable request is followed by another."""
+        earliest_ms = HEDGE_TARGET_SHARE * 1000.0 * self.route.target_s
+        return self.started_at + max(HEDGE_TYPICAL_FACTOR * typical_ms, earliest_ms)
 
     @property
-    def verdict(self) -> ErrorKind:
-        """Return what a request without a good answer ends with."""
-        if self.never and self.out == 0:
+    def final_error(self) -> ErrorKind:
+        """The error that a request without a good response ends with."""
+        if self.not_executed and self.in_flight == 0:
             return ErrorKind.NO_SERVER
         return ErrorKind.TIMED_OUT if self.timed_out else ErrorKind.MAY_HAVE_RUN
--- a/wickspring/dataplane/policy/config_adoption.py
+++ b/wickspring/dataplane/policy/config_adoption.py
@@ -1,12 +1,13 @@
-"""Which configuration a pilot goes by, of the copies that it is told. No I/O; times are ms.
+"""Which configuration a data plane adopts, of the copies that it is offered.
 
-A pilot never goes back in number. One that has a configuration takes a higher one that is known to have
-been safe, whoever tells it. One that has none takes what a process in contact with the core tells, and waits
-for that: what others hand it may be old, or never have become safe. Only where nobody in contact has said
-anything for `ALONE_MS` it goes by the last known, which serves more than nothing does.
+A data plane never goes back to a lower version. One that has a configuration adopts a higher version that is
+known to have been committed, whoever offers it. One that has none adopts what a process in contact with a
+quorum offers, and waits for that: what others offer may be old, or never have been committed. Only where
+nobody in contact has said anything for `FALLBACK_AFTER_MS` it adopts the last known copy.
 
-Under its own number it takes another text only where its own was never known to be safe, or where a
-lighthouse in contact says so. The second must not happen: it is the fence behind the core's own rules.
+Within its own version it adopts another text only where its own was never known to be committed, or where a
+control plane in contact says so. The second must not happen: it is a fence behind the replication protocol
+(`docs/design/control.md`). No I/O; times are milliseconds.
 """
 
 from __future__ import annotations
@@ -16,85 +17,91 @@
 
 from wickspring.common.config_status import ConfigStatus
 
-ALONE_MS = 1500.0  # without a word of anybody in contact, after which the last known is better than nothing
+FALLBACK_AFTER_MS = 1500.0  # without word from a process in contact, until the last known copy is adopted
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigCopy:
-    """A copy as it was told; `packed` is the text as it came."""
+    """A copy of the configuration as it was offered; `packed` is its compressed document."""
 
     version: int
     digest: bytes
     packed: bytes
-    standing: ConfigStatus
+    status: ConfigStatus
 
 
 class AdoptionAction(Enum):
-    """What to do with a copy."""
+    """What to do with an offered copy."""
 
-    PASS_OVER = "pass_over"
-    WAIT = "wait"
-    TAKE = "take"
-    GIVE_WAY = "give_way"  # take it instead of a text of the same number that was never known to be safe
-    FENCE = "fence"  # take it instead of a text of the same number that was: this must not happen
+    IGNORE = "ignore"
+    WAIT = "wait"  # keep it until it is confirmed, or nothing better comes
+    ADOPT = "adopt"
+    REPLACE_UNCOMMITTED = "replace_uncommitted"  # own text of this version was never known to be committed
+    FENCE = "fence"  # own text of this version was committed, and so is this one: must not happen
 
 
 class ConfigAdoption:
-    """What one pilot goes by, and what it would go by for want of better."""
+    """The configuration that one data plane has adopted, and the copy that it keeps in reserve."""
 
     def __init__(self, now: float) -> None:
-        self.version, self.digest, self.standing = 0, b"", ConfigStatus.HELD
-        self.waiting: ConfigCopy | None = None
-        self._current_at = now
-
-    def told(self, now: float, copy: ConfigCopy, by_control_plane: bool = True) -> AdoptionAction:
-        """Say what to do with a copy; it counts as taken up only with `took`."""
-        if copy.standing is ConfigStatus.CURRENT:
-            self._current_at = now
+        self.version = 0
+        self.digest = b""
+        self.status = ConfigStatus.HELD
+        self.pending: ConfigCopy | None = None
+        self._last_contact_at = now
+
+    def offer(self, now: float, copy: ConfigCopy, by_control_plane: bool = True) -> AdoptionAction:
+        """Return what to do with a copy; it counts as adopted only with `adopted`."""
+        if copy.status is ConfigStatus.CURRENT:
+            self._last_contact_at = now
         if copy.version < self.version or not copy.version:
-            return AdoptionAction.PASS_OVER
+            return AdoptionAction.IGNORE
         if copy.version == self.version:
-            return self._same_number(copy, by_control_plane)
+            return self._same_version(copy, by_control_plane)
+        if copy.status is ConfigStatus.CURRENT or (self.version and copy.status is ConfigStatus.SAFE):
+            return AdoptionAction.ADOPT
         if self.version:
-            return AdoptionAction.TAKE if copy.standing >= ConfigStatus.SAFE else AdoptionAction.PASS_OVER
-        if copy.standing is ConfigStatus.CURRENT:
-            return AdoptionAction.TAKE
-        best = self.waiting
-        if best is None or (copy.standing, copy.version) > (best.standing, best.version):
-            self.waiting = copy
+            return AdoptionAction.IGNORE
+        best = self.pending
+        if best is None or (copy.status, copy.version) > (best.status, best.version):
+            self.pending = copy
         return AdoptionAction.WAIT
 
-    def _same_number(self, copy: ConfigCopy, by_control_plane: bool) -> AdoptionAction:
+    def _same_version(self, copy: ConfigCopy, by_control_plane: bool) -> AdoptionAction:
         if copy.digest == self.digest:
-            self.standing = max(self.standing, min(copy.standing, ConfigStatus.SAFE))
-            return AdoptionAction.PASS_OVER
-        if self.standing is ConfigStatus.HELD and copy.standing >= ConfigStatus.SAFE:
-            return AdoptionAction.GIVE_WAY
-        if by_control_plane and copy.standing is ConfigStatus.CURRENT:
+            self.status = max(self.status, min(copy.status, ConfigStatus.SAFE))
+            return AdoptionAction.IGNORE
+        if self.status is ConfigStatus.HELD and copy.status >= ConfigStatus.SAFE:
+            return AdoptionAction.REPLACE_UNCOMMITTED
+        if by_control_plane and copy.status is ConfigStatus.CURRENT:
             return AdoptionAction.FENCE
-        return AdoptionAction.PASS_OVER
-
-    def confirmed(self, now: float, version: int, digest: bytes) -> ConfigCopy | None:
-        """Hear from somebody in contact what holds; return the copy that waited for just that."""
-        self._current_at = now
-        waiting, told = self.waiting, (version, digest)
-        if version and told == (self.version, self.digest):
-            self.standing = ConfigStatus.SAFE
-        elif not self.version and waiting is not None and told == (waiting.version, waiting.digest):
-            return ConfigCopy(version, digest, waiting.packed, ConfigStatus.CURRENT)
+        return AdoptionAction.IGNORE
+
+    def confirm(self, now: float, version: int, digest: bytes) -> ConfigCopy | None:
+        """Take note of what a process in contact reports as committed; return the copy that awaited this."""
+        self._last_contact_at = now
+        pending = self.pending
+        committed = (version, digest)
+        if version and committed == (self.version, self.digest):
+            self.status = ConfigStatus.SAFE
+        elif not self.version and pending is not None and committed == (pending.version, pending.digest):
+            return ConfigCopy(version, digest, pending.packed, ConfigStatus.CURRENT)
         return None
 
-    def due(self, now: float) -> ConfigCopy | None:
-        """Return the copy to go by for want of better, once that is due."""
-        return self.waiting if not self.version and now - self._current_at >= ALONE_MS else None
+    def fallback(self, now: float) -> ConfigCopy | None:
+        """Return the copy to adopt for want of a better one, once that is due."""
+        if self.version or now - self._last_contact_at < FALLBACK_AFTER_MS:
+            return None
+        return self.pending
 
-    def took(self, copy: ConfigCopy) -> None:
-        """Go by a copy from now on."""
-        self.version, self.digest = copy.version, copy.digest
-        self.standing = min(copy.standing, ConfigStatus.SAFE)
-        self.waiting = None
+    def adopted(self, copy: ConfigCopy) -> None:
+        """Record a copy as the one in use."""
+        self.version = copy.version
+        self.digest = copy.digest
+        self.status = min(copy.status, ConfigStatus.SAFE)
+        self.pending = None
 
-    def drop(self, copy: ConfigCopy) -> None:
+    def discard(self, copy: ConfigCopy) -> None:
         """Forget a copy that cannot be used."""
-        if self.waiting is copy:
-            self.waiting = None
+        if self.pending is copy:
+            self.pending = None
--- a/wickspring/dataplane/policy/endpoint_selection.py
+++ b/wickspring/dataplane/policy/endpoint_selection.py
@@ -1,207 +1,240 @@
-"""Which server a request goes to, by what this pilot has seen of each and what it has been told."""
+"""Choosing the endpoint of an attempt, by what this data plane has observed and what it has been told.
+
+The control plane's advice comes first. Without it a few endpoints are drawn at random, most of them in the
+data plane's own zone, and the one with the lowest cost is chosen (Mitzenmacher, "The Power of Two Choices in
+Randomized Load Balancing", 2001). An endpoint that fails is ejected for a while that doubles with each
+failure in a row. No I/O; times are milliseconds.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
+from collections.abc import Callable, Iterable, Sequence
+from dataclasses import dataclass, field, replace
+from enum import Enum
 from random import Random
 
-from wickspring.common.endpoints import READY, Endpoint
+from wickspring.common.endpoints import READY, Endpoint, endpoints_digest
+
+LOCAL_SAMPLE_SIZE = 4  # endpoints drawn in the own zone
+REMOTE_SAMPLE_SIZE = 2  # endpoints drawn in other zones
+SMOOTHING = 10.0  # responses in a moving average
+LATENCY_RATIO_BOUNDS = (0.3, 5.0)
+EJECTION_MS = 400.0  # after a first failure
+MAX_EJECTION_DOUBLINGS = 4  # failures in a row that still lengthen an ejection
+MAX_QUIET_RATIO = 2.5  # typical latencies without a response, after which each further one adds to the cost
+
+# Factors on the cost of an endpoint.
+WARMING_UP_COST = 2.0
+OTHER_ZONE_COST = 1.4
+CONNECT_COST = 1.3  # a connection must be opened first
+UNRESPONSIVE_COST = 4.0  # the control plane no longer receives its heartbeats
+EJECTED_COST = 10.0  # plus one for each failure in a row
+
+
+Advice = Sequence[tuple[str, float]]  # endpoint ids and their costs, as the control plane sees them
 
-NEAR_DRAWS, FAR_DRAWS = 4, 2  # servers drawn of the own zone and of others, of which the best is taken
-MEMORY = 10.0  # answers in a mean
-SLOW_LEAST, SLOW_MOST = 0.3, 5.0
-SHUN_MS, SHUN_MOST = 400.0, 4  # after a failure, doubled with each further one in a row
-COLD_COST = 2.0  # times as much a cold server costs
-OTHER_ZONE_COST = 1.4  # times as much as one in the own zone
-QUIET_TIMES = 2.5  # usual answer times that a server may be silent before each further one costs
-DIAL_COST = 1.3  # times as much one costs to which a connection must be opened
-LOST_COST = 4.0  # times as much one costs that the lighthouses no longer hear
+
+class AttemptResult(Enum):
+    """What the end of an attempt says of its endpoint."""
+
+    SUCCESS = "success"
+    FAILURE = "failure"
+    TIMEOUT = "timeout"
+    REJECTED = "rejected"  # the endpoint answered without executing the request
 
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """One server as this pilot knows it."""
+    """One endpoint as this data plane knows it."""
 
-    server: Endpoint
-    out: dict[int, float] = field(default_factory=dict)  # tries out, and when each was sent
-    slow: float = 1.0  # its answer times, by those of its service
+    endpoint: Endpoint
+    in_flight: dict[int, float] = field(default_factory=dict)  # attempt number to start time, oldest first
+    latency_ratio: float = 1.0  # its latency by the typical latency of the routes, moving average
     failures: int = 0  # in a row
-    shunned_until: float = 0.0
-    lost: bool = False
-    heard_at: float = 0.0
+    ejected_until: float = 0.0
+    unresponsive: bool = False
+    last_response_at: float = 0.0
 
 
 class EndpointSelector:
-    """The servers of all services, and which one to take."""
-
-    def __init__(self, zone: str, seed: int, warm: Callable[[str], bool] = lambda _: True) -> None:
-        self.zone, self.random, self.warm = zone, Random(seed), warm
+    """The endpoints of all services, and the choice among them."""
+
+    def __init__(
+        self, zone: str, seed: int, has_idle_connection: Callable[[str], bool] = lambda _: True
+    ) -> None:
+        self.zone = zone
+        self.random = Random(seed)
+        self.has_idle_connection = has_idle_connection
         self.candidates: dict[str, EndpointState] = {}
-        self.services: dict[str, dict[str, EndpointState]] = {}  # those that take work
-        self.leaving: dict[str, int] = {}
-        self.usual: dict[str, float] = {}  # mean answer time of a route, ms
+        self.services: dict[str, dict[str, EndpointState]] = {}  # the endpoints that accept new requests
+        self.departures: dict[str, int] = {}  # endpoint id to DRAINING or GONE
+        self.typical_ms: dict[str, float] = {}  # moving average of the latency of a route
 
-    # News.
+    # Membership.
 
-    def heard(self, now: float, server: Endpoint, fresh: bool = True) -> bool:
-        """Take in what is told of a server; True where that is news.
+    def update(self, now: float, endpoint: Endpoint, fresh: bool = True) -> bool:
+        """Take in what is reported of an endpoint; return whether others are to be told.
 
-        What is not fresh, of a lighthouse that may not know who has ended, brings no lost one back.
+        A report that is not fresh, from a control plane that may not know who has ended, brings no
+        unresponsive endpoint back.
         """
-        known = self.candidates.get(server.id)
-        news = known is None or (known.lost and fresh) or server.state > known.server.state
+        known = self.candidates.get(endpoint.id)
         if known is None:
-            known = self.candidates[server.id] = EndpointState(server, heard_at=now)
-        elif server.seq >= known.server.seq or server.state > known.server.state:
-            state = max(server.state, known.server.state)
-            if state != server.state:
-                server = Endpoint(
-                    server.id,
-                    server.service,
-                    server.address,
-                    server.zone,
-                    server.slots,
-                    state,
-                    server.seq,
-                    server.cold_until,
-                    server.generation,
-                )
-            if known.server.service != server.service:
-                self.services.get(known.server.service, {}).pop(server.id, None)
-            known.server = server
-        known.lost = known.lost and not fresh
+            self.candidates[endpoint.id] = known = EndpointState(endpoint, last_response_at=now)
+            self._place(known)
+            return True
+        previous = known.endpoint
+        changed = (known.unresponsive and fresh) or endpoint.state > previous.state
+        if endpoint.seq >= previous.seq or endpoint.state > previous.state:
+            state = max(endpoint.state, previous.state)  # never back from draining or gone
+            known.endpoint = endpoint if endpoint.state == state else replace(endpoint, state=state)
+            if previous.service != endpoint.service:
+                self.services.get(previous.service, {}).pop(endpoint.id, None)
+        known.unresponsive = known.unresponsive and not fresh
         self._place(known)
-        return news
-
-    def left(self, leaving: dict[str, int]) -> dict[str, int]:
-        """Take in who leaves, for good; return those for whom that is news."""
-        news = {id_: state for id_, state in leaving.items() if self.leaving.get(id_, READY) < state}
-        for id_, state in news.items():
-            self.leaving[id_] = max(state, self.leaving.get(id_, READY))
-            candidate = self.candidates.get(id_)
-            if candidate is not None:
-                self._place(candidate)
-        return news
-
-    def silent(self, ids: list[str]) -> None:
-        """Take in whom the lighthouses no longer hear."""
-        for id_ in ids:
-            candidate = self.candidates.get(id_)
-            if candidate is not None:
-                candidate.lost = True
+        return changed
+
+    def mark_departures(self, departures: dict[str, int]) -> dict[str, int]:
+        """Take in which endpoints drain or are gone, for good; return those for whom that is new."""
+        known = self.departures
+        changes = {name: state for name, state in departures.items() if known.get(name, READY) < state}
+        known.update(changes)
+        for endpoint_id in changes.keys() & self.candidates.keys():
+            self._place(self.candidates[endpoint_id])
+        return changes
+
+    def mark_unresponsive(self, endpoint_ids: Iterable[str]) -> None:
+        """Take in whose heartbeats the control plane no longer receives."""
+        for endpoint_id in endpoint_ids:
+            if endpoint_id in self.candidates:
+                self.candidates[endpoint_id].unresponsive = True
 
     def _place(self, candidate: EndpointState) -> None:
-        server = candidate.server
-        takes = max(server.state, self.leaving.get(server.id, READY)) == READY
-        place = self.services.setdefault(server.service, {})
-        if takes:
-            place[server.id] = candidate
+        endpoint = candidate.endpoint
+        accepting = self.services.setdefault(endpoint.service, {})
+        if max(endpoint.state, self.departures.get(endpoint.id, READY)) == READY:
+            accepting[endpoint.id] = candidate
         else:
-            place.pop(server.id, None)
-
-    def takes(self, id_: str) -> bool:
-        """Tell whether new work may go to a server."""
-        candidate = self.candidates.get(id_)
-        return candidate is not None and id_ in self.services.get(candidate.server.service, ())
-
-    # Choosing.
-
-    def cost(self, now: float, candidate: EndpointState, usual: float) -> float:
-        """Return about how long an answer takes there, by the usual time."""
-        slots = max(1, candidate.server.slots)
-        cost = candidate.slow * (1.0 + len(candidate.out) / slots)
-        if candidate.server.cold_until > now:
-            cost *= COLD_COST
-        if candidate.server.zone != self.zone:
+            accepting.pop(endpoint.id, None)
+
+    def accepts(self, endpoint_id: str) -> bool:
+        """Return whether an endpoint accepts new requests."""
+        known = self.candidates.get(endpoint_id)
+        return known is not None and endpoint_id in self.services.get(known.endpoint.service, ())
+
+    def digest(self) -> int:
+        """Return a number that two processes share if they know the same endpoints."""
+        known = self.candidates.items()
+        return endpoints_digest(
+            state.endpoint for name, state in known if not state.unresponsive and self.accepts(name)
+        )
+
+    def forget(self, now: float, after_ms: float) -> None:
+        """Forget departed and unresponsive endpoints that have nothing in flight."""
+        for endpoint_id, candidate in list(self.candidates.items()):
+            unused = candidate.unresponsive or not self.accepts(endpoint_id)
+            if unused and not candidate.in_flight and now - candidate.last_response_at > after_ms:
+                self.services.get(candidate.endpoint.service, {}).pop(endpoint_id, None)
+                del self.candidates[endpoint_id]
+
+    # Selection.
+
+    def cost(self, now: float, candidate: EndpointState, typical_ms: float) -> float:
+        """Return about how long a response takes, as a multiple of the typical latency."""
+        endpoint = candidate.endpoint
+        in_flight = candidate.in_flight
+        cost = candidate.latency_ratio * (1.0 + len(in_flight) / max(1, endpoint.slots))
+        if endpoint.cold_until > now:
+            cost *= WARMING_UP_COST
+        if endpoint.zone != self.zone:
             cost *= OTHER_ZONE_COST
-        if candidate.lost:
-            cost *= LOST_COST
-        if not self.warm(candidate.server.id):
-            cost *= DIAL_COST
-        if candidate.out and usual > 0:
-            quiet = (now - max(candidate.heard_at, next(iter(candidate.out.values())))) / usual
-            cost *= 1.0 + max(0.0, quiet - QUIET_TIMES)
-        if now < candidate.shunned_until:
-            cost *= 10.0 + candidate.failures
+        if candidate.unresponsive:
+            cost *= UNRESPONSIVE_COST
+        if not self.has_idle_connection(endpoint.id):
+            cost *= CONNECT_COST
+        if in_flight and typical_ms > 0:
+            quiet_since = max(candidate.last_response_at, next(iter(in_flight.values())))
+            cost *= 1.0 + max(0.0, (now - quiet_since) / typical_ms - MAX_QUIET_RATIO)
+        if now < candidate.ejected_until:
+            cost *= EJECTED_COST + candidate.failures
         return cost
 
     def pick(
-        self, now: float, service: str, route: str, tried: set[str], offers: Sequence[tuple[str, float]] = ()
+        self, now: float, service: str, route: str, tried: set[str], advice: Advice = ()
     ) -> EndpointState | None:
-        """Choose a server of a service that has not been tried, if there is one of those offered."""
-        best, least = None, float("inf")
-        for id_, cost in offers:
-            candidate = self.services.get(service, {}).get(id_)
-            if candidate is None or id_ in tried or now < candidate.shunned_until:
-                continue
-            cost *= 1.0 if self.warm(id_) else DIAL_COST
-            if cost < least:
-                best, least = candidate, cost
-        if best is not None:
-            return best
-        takes = [one for id_, one in self.services.get(service, {}).items() if id_ not in tried]
-        if not takes:
+        """Choose an endpoint that has not been tried, of the advised ones (id and cost) if possible."""
+        accepting = self.services.get(service, {})
+        advised = self._pick_advised(now, accepting, tried, advice) if advice else None
+        if advised is not None:
+            return advised
+        untried = [state for endpoint_id, state in accepting.items() if endpoint_id not in tried]
+        if not untried:
             return None
-        well = [one for one in takes if now >= one.shunned_until and not one.lost]
-        near = [one for one in well or takes if one.server.zone == self.zone]
-        far = [one for one in well or takes if one.server.zone != self.zone]
-        drawn = self.random.sample(near, min(NEAR_DRAWS, len(near)))
-        drawn += self.random.sample(far, min(FAR_DRAWS + NEAR_DRAWS - len(drawn), len(far)))
-        usual = self.usual.get(route, 0.0)
-        return min(drawn, key=lambda one: (self.cost(now, one, usual), self.random.random()))
-
-    # What becomes of tries.
-
-    def sent(self, now: float, candidate: EndpointState, number: int) -> None:
-        """Note a try as out."""
-        candidate.out[number] = now
-
-    def ended(
-        self,
-        now: float,
-        candidate: EndpointState,
-        number: int,
-        route: str,
-        good: bool | None,
-        silent: bool = False,
+        healthy = [state for state in untried if now >= state.ejected_until and not state.unresponsive]
+        typical_ms = self.typical_ms.get(route, 0.0)
+        sample = self._sample(healthy or untried)
+        return min(sample, key=lambda state: (self.cost(now, state, typical_ms), self.random.random()))
+
+    def _pick_advised(
+        self, now: float, accepting: dict[str, EndpointState], tried: set[str], advice: Advice
+    ) -> EndpointState | None:
+        best, lowest_cost = None, float("inf")
+        for endpoint_id, cost in advice:
+            candidate = accepting.get(endpoint_id)
+            if candidate is None or endpoint_id in tried or now < candidate.ejected_until:
+                continue
+            if not self.has_idle_connection(endpoint_id):
+                cost *= CONNECT_COST
+            if cost < lowest_cost:
+                best = candidate
+                lowest_cost = cost
+        return best
+
+    def _sample(self, states: list[EndpointState]) -> list[EndpointState]:
+        local = [state for state in states if state.endpoint.zone == self.zone]
+        remote = [state for state in states if state.endpoint.zone != self.zone]
+        sample = self.random.sample(local, min(LOCAL_SAMPLE_SIZE, len(local)))
+        remote_size = REMOTE_SAMPLE_SIZE + LOCAL_SAMPLE_SIZE - len(sample)
+        return sample + self.random.sample(remote, min(remote_size, len(remote)))
+
+    # Observation.
+
+    def attempt_started(self, now: float, candidate: EndpointState, number: int) -> None:
+        """Record an attempt as in flight."""
+        candidate.in_flight[number] = now
+
+    def attempt_ended(
+        self, now: float, candidate: EndpointState, number: int, route: str, result: AttemptResult
     ) -> float:
-        """Note how a try ended: a whole answer, a failure (or silence), or neither (turned away).
+        """Record how an attempt ended.
 
-        Return its time by what is usual, 0 where that says nothing of the server, below 0 where it failed.
+        Return its latency as a multiple of the typical one, 0 where the result says nothing of the endpoint,
+        -1 where the endpoint failed.
         """
-        begun = candidate.out.pop(number, now)
-        if good is None:
-            candidate.heard_at = now
+        started_at = candidate.in_flight.pop(number, now)
+        if result is AttemptResult.REJECTED:
+            candidate.last_response_at = now
             return 0.0
-        if good:
-            candidate.heard_at, candidate.failures, candidate.shunned_until, candidate.lost = (
-                now,
-                0,
-                0.0,
-                False,
-            )
-            took = max(1.0, now - begun)
-            usual = self.usual.get(route, 0.0)
-            self.usual[route] = usual + (took - usual) / (4 * MEMORY) if usual else took
-            slow = min(SLOW_MOST, max(SLOW_LEAST, took / max(1.0, self.usual[route])))
-            candidate.slow += (slow - candidate.slow) / MEMORY
-            return slow
-        if silent and candidate.heard_at > begun:
-            return 0.0  # it has answered others since: it has too much to do, and shunning it would not help
-        candidate.failures = min(SHUN_MOST, candidate.failures + 1)
-        candidate.shunned_until = now + SHUN_MS * 2.0 ** (candidate.failures - 1) * self.random.uniform(
-            0.7, 1.3
-        )
+        if result is AttemptResult.SUCCESS:
+            return self._record_success(now, candidate, route, max(1.0, now - started_at))
+        if result is AttemptResult.TIMEOUT and candidate.last_response_at > started_at:
+            return 0.0  # it has answered others since: it is overloaded, and ejection would not help
+        self._eject(now, candidate)
         return -1.0
 
-    def forget(self, now: float, after_ms: float) -> None:
-        """Forget servers that have left or are long lost and owe no answer."""
-        for id_, candidate in list(self.candidates.items()):
-            if (
-                not candidate.out
-                and (not self.takes(id_) or candidate.lost)
-                and now - candidate.heard_at > after_ms
-            ):
-                self.services.get(candidate.server.service, {}).pop(id_, None)
-                del self.candidates[id_]
+    def _record_success(self, now: float, candidate: EndpointState, route: str, latency_ms: float) -> float:
+        candidate.last_response_at = now
+        candidate.failures = 0
+        candidate.ejected_until = 0.0
+        candidate.unresponsive = False
+        typical_ms = self.typical_ms.get(route, 0.0) or latency_ms
+        self.typical_ms[route] = typical_ms = typical_ms + (latency_ms - typical_ms) / (4 * SMOOTHING)
+        lowest, highest = LATENCY_RATIO_BOUNDS
+        ratio = min(highest, max(lowest, latency_ms / max(1.0, typical_ms)))
+        candidate.latency_ratio += (ratio - candidate.latency_ratio) / SMOOTHING
+        return ratio
+
+    def _eject(self, now: float, candidate: EndpointState) -> None:
+        candidate.failures = min(MAX_EJECTION_DOUBLINGS, candidate.failures + 1)
+        ejection_ms = EJECTION_MS * 2.0 ** (candidate.failures - 1)
+        candidate.ejected_until = now + ejection_ms * self.random.uniform(0.7, 1.3)
--- a/wickspring/dataplane/policy/retry_budget.py
+++ b/wickspring/dataplane/policy/retry_budget.py
@@ -1,52 +1,64 @@
-"""The budget of further tries: what all pilots together may send to a service beyond each request's first.
+"""The retry budget: how many attempts beyond each request's first all data planes may send to a service.
 
-Each pilot earns a share of its own first tries, and has an even part of the rule's slack; so the sum over all
-pilots stays under the bound without any talk.
+Each data plane earns a share of its own first attempts and has an even part of the rule's slack, so the sum
+over all data planes stays under the bound without any communication. No I/O; times are milliseconds.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
 
 EARNED_SHARE = 0.85  # of the rule's ratio
-SLACK_SHARE = 0.6  # of the rule's slack that is handed out; pilots that start anew have their part again
-STEP_MS = 500.0
-UNKNOWN_FLEET = 32  # pilots that are reckoned with until their number is told
+SLACK_SHARE = 0.6  # of the rule's slack that is handed out; a restarted data plane has its part again
+BUCKET_MS = 500.0
+DEFAULT_DATA_PLANE_COUNT = 32  # assumed until the control plane reports how many there are
+
+
+@dataclass(slots=True)
+class _Bucket:
+    number: int
+    first_attempts: int = 0
+    retries: int = 0
 
 
 class RetryBudget:
-    """Further tries to one service."""
+    """The further attempts to one service over a sliding window."""
 
     def __init__(self, ratio: float, window_s: float, slack: float) -> None:
-        self.ratio, self.steps, self.slack = ratio, int(1000.0 * window_s / STEP_MS), slack
-        self._steps: deque[list[int]] = deque()  # number, firsts, further ones
-        self.firsts = self.further = 0
-
-    def _step(self, now: float) -> list[int]:
-        step = int(now / STEP_MS)
-        while self._steps and self._steps[0][0] < step - self.steps:
-            _, firsts, further = self._steps.popleft()
-            self.firsts -= firsts
-            self.further -= further
-        if not self._steps or self._steps[-1][0] != step:
-            self._steps.append([step, 0, 0])
-        return self._steps[-1]
-
-    def first(self, now: float) -> None:
-        """Note the first try of a request."""
-        self._step(now)[1] += 1
-        self.firsts += 1
-
-    def left(self, now: float, fleet: int) -> float:
-        """Return how many further tries may go now."""
-        self._step(now)
-        part = SLACK_SHARE * self.slack / (fleet or UNKNOWN_FLEET)
-        return part + EARNED_SHARE * self.ratio * self.firsts - self.further
-
-    def take(self, now: float, fleet: int) -> bool:
-        """Take one further try; False where none is left."""
-        if self.left(now, fleet) < 1.0:
+        self.ratio = ratio
+        self.slack = slack
+        self.first_attempts = 0
+        self.retries = 0
+        self._bucket_count = int(1000.0 * window_s / BUCKET_MS)
+        self._buckets: deque[_Bucket] = deque()  # oldest first
+
+    def _current_bucket(self, now: float) -> _Bucket:
+        number = int(now / BUCKET_MS)
+        buckets = self._buckets
+        while buckets and buckets[0].number < number - self._bucket_count:
+            expired = buckets.popleft()
+            self.first_attempts -= expired.first_attempts
+            self.retries -= expired.retries
+        if not buckets or buckets[-1].number != number:
+            buckets.append(_Bucket(number))
+        return buckets[-1]
+
+    def record_first(self, now: float) -> None:
+        """Record the first attempt of a request."""
+        self._current_bucket(now).first_attempts += 1
+        self.first_attempts += 1
+
+    def available(self, now: float, data_plane_count: int) -> float:
+        """Return how many further attempts may be sent now; a count of 0 means that it is not known."""
+        self._current_bucket(now)
+        slack = SLACK_SHARE * self.slack / (data_plane_count or DEFAULT_DATA_PLANE_COUNT)
+        return slack + EARNED_SHARE * self.ratio * self.first_attempts - self.retries
+
+    def take(self, now: float, data_plane_count: int) -> bool:
+        """Take one further attempt; return False where none is available."""
+        if self.available(now, data_plane_count) < 1.0:
             return False
-        self._step(now)[2] += 1
-        self.further += 1
+        self._current_bucket(now).retries += 1
+        self.retries += 1
         return True
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -1,8 +1,10 @@
-"""A pilot process: what it is told, what it carries requests with, and its start and end."""
+"""A data plane process: its parts, how they are connected, and its start and end."""
 
 from __future__ import annotations
 
+import socket
 from collections.abc import Mapping
+from dataclasses import dataclass
 from random import Random
 
 import msgspec
@@ -12,17 +14,21 @@
 from wickspring.common import logs
 from wickspring.common.bootstrap import Bootstrap
 from wickspring.common.connection import Message, PeerConnection, accept_connections
-from wickspring.common.endpoints import endpoints_digest
 from wickspring.common.errors import ErrorDetail, ErrorKind, GatewayError
 from wickspring.common.routing_table import RoutingTable
-from wickspring.common.settings import Address, NodeSettings
+from wickspring.common.settings import NodeSettings
 from wickspring.connections.limits import ConnectionLimits
-from wickspring.connections.pools import Conn
-from wickspring.dataplane.control_client import ControlClient
+from wickspring.dataplane.control_client.client import ControlClient
+from wickspring.dataplane.control_client.listener import UsageReports
 from wickspring.dataplane.gossip import GossipDigest, GossipNode
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
-from wickspring.dataplane.request import RequestHandler
+from wickspring.dataplane.readiness import ReadinessProbe, serve_readiness
+from wickspring.dataplane.request.admission import Admission
+from wickspring.dataplane.request.forwarding import Forwarder
+from wickspring.dataplane.request.model import IncomingRequest, RequestContext
+from wickspring.dataplane.request.response import Responder
+from wickspring.dataplane.request.startup_queue import StartupQueue
 from wickspring.dataplane.upstream import ConnectionDefaults, UpstreamConnection
 from wickspring.interface import Readiness
 from wickspring.net.calls import Client
@@ -32,122 +38,149 @@
 from wickspring.net.http1_front import Http1Connection, Patience
 from wickspring.net.link import Link
 from wickspring.net.listening import accept, close_listener, take_rest
-from wickspring.net.upstream.carrier import Carrier
 from wickspring.net.upstream.manager import Upstream
 
-CONN_SHARE = 0.9  # of a server's connections that all pilots together take
-CONNS_LEAST, CONNS_MOST = 3, 64
-IDLE_SHARE = 0.85  # of that time, that connections are kept
-FORGET_MS = 20_000.0
-READY_WITHOUT_MS = 2500.0  # after which a pilot with a configuration serves by what one lighthouse told
-FIGURES_MS = 10_000.0
-ACCEPT_ON_S = 0.4  # after SIGTERM, for connections that are on their way
+CONNECTION_SHARE = 0.9  # of an endpoint's connections that all data planes together open
+MIN_CONNECTIONS = 3  # to one endpoint
+MAX_CONNECTIONS = 64
+DEFAULT_DATA_PLANE_COUNT = 16  # that share an endpoint's connections, until their number is reported
+RESERVED_FDS = 200  # descriptors that are not for clients or endpoints
+FORGET_ENDPOINT_MS = 20_000.0
+READY_BY_ONE_MS = 2500.0  # since the start, after which one control plane's endpoints suffice to be ready
+STATISTICS_MS = 10_000.0
+DRAIN_ACCEPT_S = 0.4  # after SIGTERM, in which connections that are on their way are still accepted
+DRAIN_SHARE = 0.93  # of the time between SIGTERM and SIGKILL that requests in progress have
+DRAIN_POLL_S = 0.02
+CLOSE_S = 0.1  # for the last bytes to go out
 
+INITIAL_LIMITS = ConnectionLimits(
+    most_per_server=MIN_CONNECTIONS,
+    wait_ms=400.0,
+    ahead_most=0,
+    pause_first_ms=60.0,
+    pause_most_ms=500.0,
+    idle_share=0.85,
+)
 
-class DataPlane(RequestHandler):
-    """One pilot."""
+
+@dataclass(slots=True, frozen=True)
+class _PoolEntry:
+    """An endpoint as the connection pools know it, and whether it accepted requests by then."""
+
+    accepts: bool
+    entry: api.ServerEntry
+
+
+class DataPlane(Host):
+    """One data plane."""
+
+    parts_run = True  # endpoints may execute a request by a part of its body
 
     def __init__(self, settings: NodeSettings, nursery: trio.Nursery, seed: int) -> None:
         super().__init__(nursery, settings.limits.memory_mb)
-        self.settings, self.random = settings, Random(seed)
-        bounds = settings.guarantees
-        self.choice = EndpointSelector(settings.zone, self.random.getrandbits(32), self._warm)
-        self.quota = QuotaPolicy(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack)
-        self.control_client = ControlClient(
-            settings,
-            self.clock,
-            nursery,
-            self.random,
-            self.choice,
-            lambda: self.quota.past(self.clock.now()),
-            self._digest,
-            self._charted,
-            self._pass_on,
-            self._introduced,
-            self._informed,
+        self.settings = settings
+        self.random = Random(seed)
+        self.started_at = self.clock.now()
+        self.limits = INITIAL_LIMITS
+        self.patience = Patience()
+        self._ready = False
+        self._pool_entries: dict[str, _PoolEntry] = {}
+        self.endpoints = EndpointSelector(
+            settings.zone, self.random.getrandbits(32), self._has_idle_connection
         )
-        self.wire = Udp(settings.ip, settings.talk_port)
+        rules = settings.guarantees
+        self.quota = QuotaPolicy(rules.quota_window_s, rules.quota_excess, rules.quota_slack)
+        self.control_client = ControlClient(settings, self.clock, nursery, self.random, self.endpoints, self)
+        self.datagrams = Udp(settings.ip, settings.talk_port)
         self.gossip = GossipNode(
-            settings.ip, settings.talk_port, self.clock, nursery, self.random, self, self.wire
-        )
-        self.entries: dict[str, tuple[bool, api.ServerEntry]] = {}
-        self.addresses: dict[str, Address] = {}
-        self.limits = ConnectionLimits(
-            most_per_server=CONNS_LEAST,
-            wait_ms=400.0,
-            ahead_most=0,
-            pause_first_ms=60.0,
-            pause_most_ms=500.0,
-            idle_share=IDLE_SHARE,
+            settings.ip, settings.talk_port, self.clock, nursery, self.random, self, self.datagrams
         )
-        self.upstream = Upstream(
+        self.upstream = self._build_upstream()
+        self.request_context = self._build_request_context()
+        self.responder = Responder(self.request_context)
+        self.forwarder = Forwarder(self.request_context, self.responder)
+        self.admission = Admission(self.request_context, self.forwarder, self.responder)
+        self.startup_queue = StartupQueue(self.request_context, self.responder, self._handle)
+
+    def _build_upstream(self) -> Upstream:
+        return Upstream(
             ConnectionDefaults(self.random.getrandbits(32)),
             self.limits,
             lambda: self.sockets,
             lambda: len(self.connections),
             self.clock,
             self.timers,
-            nursery,
-            self._entry,
-            self._carrier,
+            self.nursery,
+            self._pool_entry,
+            UpstreamConnection,
         )
-        self.patience = Patience()
-        self.ready = False
+
+    def _build_request_context(self) -> RequestContext:
+        return RequestContext(
+            settings=self.settings,
+            clock=self.clock,
+            timers=self.timers,
+            random=self.random,
+            endpoints=self.endpoints,
+            quota=self.quota,
+            config=self.control_client.config,
+            quota_client=self.control_client.quota,
+            load_client=self.control_client.load,
+            upstream=self.upstream,
+            data_plane_count=self.data_plane_count,
+        )
+
+    # Clients.
 
     @property
     def sockets(self) -> int:
-        """How many descriptors this process may have."""
-        return self.settings.limits.max_fds - 200
+        """How many descriptors this process may have for clients and endpoints."""
+        return self.settings.limits.max_fds - RESERVED_FDS
 
     @property
-    def fleet(self) -> int:
-        """How many pilots there are, as many as anybody counts; 0 where nobody has said."""
-        others = self.gossip.size
-        return max(self.control_client.fleet, others if others > 1 else 0)
-
-    # What is told.
-
-    def _digest(self) -> int:
-        return endpoints_digest(
-            [
-                one.server
-                for id_, one in self.choice.candidates.items()
-                if not one.lost and self.choice.takes(id_)
-            ]
-        )
+    def flowing(self) -> int:
+        """How many long bodies and responses are in progress."""
+        requests = self.request_context.requests.values()
+        return sum(request.feed is not None or request.streaming_attempt > 0 for request in requests)
 
-    def _pass_on(self, kind: str, told: object) -> None:
-        self.gossip.pass_on(kind, told)
+    def ask(
+        self,
+        client: Client,
+        method: str,
+        target: str,
+        headers: Mapping[str, str],
+        body: bytes,
+        feed: Feed | None = None,
+    ) -> None:
+        """Handle a client's request."""
+        self._handle(IncomingRequest(client, method, target, headers, body, feed))
 
-    def _introduced(self, ips: list[str]) -> None:
-        self.gossip.introduce(ips)
+    def _handle(self, incoming: IncomingRequest) -> None:
+        context = self.request_context
+        context.event_counts["asked"] += 1
+        if context.can_route():
+            self.admission.admit(incoming)
+        else:
+            self.startup_queue.hold(incoming)
 
-    def state(self) -> GossipDigest:
-        """Return what the other pilots compare with theirs."""
-        mine = self.control_client.adoption
-        return mine.version, mine.digest, len(self.choice.leaving), self._digest()
-
-    def tell_all(self, peer_connection: PeerConnection, version: int, digest: bytes) -> None:
-        """Tell another pilot all that is held here."""
-        now, control_client = self.clock.now(), self.control_client
-        mine = control_client.adoption
-        if mine.version > version or (mine.version == version and mine.digest != digest):
-            peer_connection.send(
-                "chart", mine.version, control_client.packed, mine.digest, int(control_client.standing)
-            )
-        known = [one.server.pack(now) for one in self.choice.candidates.values() if not one.lost]
-        peer_connection.send("whole", known, self.choice.leaving, control_client.in_contact)
-
-    def take(self, peer_connection: PeerConnection, message: Message) -> None:
-        """Take in what another pilot tells."""
-        if message[0] in ("chart", "whole", "servers", "leaving"):
-            self.control_client.take(peer_connection, message, by_control_plane=False)
-
-    def alone(self) -> bool:
-        """Tell whether no lighthouse is in reach."""
-        return not self.control_client.live
-
-    def _charted(self, routing_table: RoutingTable) -> None:
+    def leave(self, number: int) -> None:
+        """Forget a client that has gone away."""
+        self.startup_queue.on_client_gone(number)
+        self.responder.on_client_gone(number)
+
+    def data_plane_count(self) -> int:
+        """Return how many data planes there are, by the highest count; 0 where it is not known."""
+        members = self.gossip.size
+        return max(self.control_client.data_plane_count, members if members > 1 else 0)
+
+    # `ControlListener`: what the control plane reports.
+
+    def usage_reports(self) -> UsageReports:
+        """Return the recent usage of all tenants at this data plane."""
+        return self.quota.past(self.clock.now())
+
+    def on_routing_table(self, routing_table: RoutingTable) -> None:
+        """Adapt timeouts and connection limits to a new configuration."""
         bounds = routing_table.bounds
         self.patience = Patience(
             silent=1000.0 * bounds.idle_s,
@@ -156,94 +189,131 @@
             most_head=bounds.head,
             most_body=bounds.body,
         )
-        caps = [one.most_conns for one in routing_table.services.values() if one.most_conns > 0]
-        part = CONN_SHARE * min(caps, default=CONNS_MOST) / max(1, self.fleet or 16)
-        most = max(CONNS_LEAST, min(CONNS_MOST, int(part)))
-        self.limits = msgspec.structs.replace(self.limits, most_per_server=most)
-        self.upstream.limits = self.upstream.pools.limits = self.limits
-
-    def _entry(self, server: api.ServerId) -> api.ServerEntry | None:
-        id_ = server.decode()
-        if id_ not in self.choice.candidates:
-            self.entries.pop(id_, None)
+        caps = [service.most_conns for service in routing_table.services.values() if service.most_conns > 0]
+        data_planes = max(1, self.data_plane_count() or DEFAULT_DATA_PLANE_COUNT)
+        share = int(CONNECTION_SHARE * min(caps, default=MAX_CONNECTIONS) / data_planes)
+        per_endpoint = max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, share))
+        self.limits = msgspec.structs.replace(self.limits, most_per_server=per_endpoint)
+        self.upstream.limits = self.limits
+        self.upstream.pools.limits = self.limits
+
+    def on_endpoint_changes(self, kind: str, changes: object) -> None:
+        """Pass changes of endpoints on to other data planes."""
+        self.gossip.broadcast(kind, changes)
+
+    def on_data_planes(self, ips: list[str]) -> None:
+        """Contact other data planes that the control plane has named."""
+        self.gossip.introduce(ips)
+
+    def on_informed(self) -> None:
+        """Admit requests that wait for the first configuration and endpoints."""
+        self.startup_queue.release()
+
+    # `GossipHost`: what other data planes compare and fetch.
+
+    def state_digest(self) -> GossipDigest:
+        """Return what other data planes compare with theirs."""
+        adopted = self.control_client.config.adoption
+        departures = len(self.endpoints.departures)
+        return adopted.version, adopted.digest, departures, self.endpoints.digest()
+
+    def send_state(self, connection: PeerConnection, version: int, digest: bytes) -> None:
+        """Send another data plane all that is known here."""
+        control_client = self.control_client
+        config = control_client.config
+        adopted = config.adoption
+        if adopted.version > version or (adopted.version == version and adopted.digest != digest):
+            status = int(control_client.config_status)
+            connection.send("chart", adopted.version, config.packed, adopted.digest, status)
+        now = self.clock.now()
+        known = self.endpoints.candidates.values()
+        records = [candidate.endpoint.pack(now) for candidate in known if not candidate.unresponsive]
+        connection.send("whole", records, self.endpoints.departures, control_client.in_contact)
+
+    def on_peer_message(self, connection: PeerConnection, message: Message) -> None:
+        """Take in what another data plane reports."""
+        if message[0] == "chart":
+            self.control_client.on_config_offer(message, by_control_plane=False)
+        elif message[0] in ("whole", "servers", "leaving"):
+            self.control_client.on_message(connection, message)
+
+    def is_isolated(self) -> bool:
+        """Return whether no control plane is in reach."""
+        return not self.control_client.connections.live
+
+    # Connections to endpoints.
+
+    def _pool_entry(self, server: api.ServerId) -> api.ServerEntry | None:
+        """Return an endpoint as the connection pools are to see it; None where it is forgotten."""
+        endpoint_id = server.decode()
+        if endpoint_id not in self.endpoints.candidates:
+            self._pool_entries.pop(endpoint_id, None)
             return None
-        takes = self.choice.takes(id_)
-        known = self.entries.get(id_)
-        if known is None or known[0] != takes:
-            readiness = Readiness.READY if takes else Readiness.DRAINING
-            known = self.entries[id_] = takes, api.ServerEntry(server, 0, 0, readiness, 1.0, 0.0)
-        return known[1]
-
-    def _warm(self, id_: str) -> bool:
-        """Tell whether a connection to a server is up and idle."""
-        pool = self.upstream.pools.pools.get(id_.encode())
+        accepts = self.endpoints.accepts(endpoint_id)
+        known = self._pool_entries.get(endpoint_id)
+        if known is None or known.accepts != accepts:
+            readiness = Readiness.READY if accepts else Readiness.DRAINING
+            known = _PoolEntry(accepts, api.ServerEntry(server, 0, 0, readiness, 1.0, 0.0))
+            self._pool_entries[endpoint_id] = known
+        return known.entry
+
+    def _has_idle_connection(self, endpoint_id: str) -> bool:
+        pool = self.upstream.pools.pools.get(endpoint_id.encode())
         return pool is not None and any(conn.free > 0 for conn in pool.conns)
 
-    def _carrier(self, upstream: Upstream, conn: Conn) -> Carrier:
-        return UpstreamConnection(upstream, conn)
-
-    # Upkeep.
-
-    def upkeep(self) -> None:
-        """Forget what is past, and tell the figures."""
-        self.later(FIGURES_MS * self.random.uniform(0.9, 1.1), self.upkeep)
-        self.choice.forget(self.clock.now(), FORGET_MS)
+    # Life cycle.
+
+    def start(self, peer_listener: socket.socket) -> None:
+        """Start the tasks of this data plane; other data planes connect to `peer_listener`."""
+        nursery = self.nursery
+        nursery.start_soon(self.timers.run)
+        nursery.start_soon(self.control_client.run)
+        nursery.start_soon(self.gossip.run)
+        nursery.start_soon(accept_connections, peer_listener, self.clock, nursery, self.gossip.serve)
+        self.tidy()
+        self.maintain()
+
+    def maintain(self) -> None:
+        """Forget departed endpoints and log statistics, now and again and again."""
+        self.later(STATISTICS_MS * self.random.uniform(0.9, 1.1), self.maintain)
+        self.endpoints.forget(self.clock.now(), FORGET_ENDPOINT_MS)
         logs.log_event(
             "figures",
-            owed=len(self.requests),
+            owed=len(self.request_context.requests),
             connections=len(self.connections),
-            **self.event_counts,
+            **self.request_context.event_counts,
             **self.upstream.report(),
         )
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether clients are to come here."""
+        """Whether clients are to connect here."""
         if self.draining:
             return False
-        if not self.ready:
-            control_client = self.control_client
-            late = self.clock.now() - self.begun_at > READY_WITHOUT_MS
-            some = bool(control_client.routing_table.version) and bool(control_client.whole_from)
-            self.ready = bool(self.choice.services) and (control_client.informed or (late and some))
-            if self.ready:
-                logs.log_event(
-                    "ready", version=control_client.routing_table.version, servers=len(self.choice.candidates)
-                )
-        return self.ready
-
-
-class ReadinessProbe(Host):
-    """What answers the platform's question whether this pilot is ready."""
-
-    def __init__(self, data_plane: DataPlane) -> None:
-        super().__init__(data_plane.nursery, data_plane.memory_mb)
-        self.data_plane = data_plane
-
-    @property
-    def sockets(self) -> int:
-        """How many descriptors are for this."""
-        return 64
-
-    @property
-    def flowing(self) -> int:
-        """Nothing flows here."""
-        return 0
-
-    def ask(
-        self,
-        client: Client,
-        method: str,
-        target: str,
-        headers: Mapping[str, str],
-        body: bytes,
-        feed: Feed | None = None,
-    ) -> None:
-        """Answer 200 while clients are to come."""
-        client.answer(200 if self.data_plane.is_ready and target.startswith("/readiness") else 503, "", b"")
+        if not self._ready and self._knows_enough():
+            self._ready = True
+            version = self.control_client.config.routing_table.version
+            logs.log_event("ready", version=version, servers=len(self.endpoints.candidates))
+        return self._ready
+
+    def _knows_enough(self) -> bool:
+        control_client = self.control_client
+        if not self.endpoints.services:
+            return False
+        if control_client.informed:
+            return True
+        if self.clock.now() - self.started_at <= READY_BY_ONE_MS:
+            return False
+        return bool(
+            control_client.config.routing_table.version and control_client.endpoint_sync.complete_from
+        )
 
-    def leave(self, number: int) -> None:
-        """Nothing is owed here."""
+    async def drain(self) -> None:
+        """Wait until all requests in progress have ended, then close the connections of clients."""
+        while self.request_context.requests or any(not one.idle() for one in self.connections):
+            await trio.sleep(DRAIN_POLL_S)
+        for connection in list(self.connections):
+            connection.end_quiet()
 
 
 async def serve(link: Link, data_plane: DataPlane) -> None:
@@ -251,45 +321,38 @@
     await data_plane.serve(Http1Connection(link, data_plane, patience=data_plane.patience), link)
 
 
-async def serve_readiness(link: Link, watch: ReadinessProbe) -> None:
-    """Serve one connection of the platform."""
-    await watch.serve(Http1Connection(link, watch, patience=Patience(idle=15_000.0)), link)
-
-
 async def run(started: Bootstrap, seed: int, ended: trio.Event) -> None:
-    """Run a pilot until told to end."""
-    settings, front, ready = started.settings, started.front, started.ready
+    """Run a data plane until `ended` is set; raise GatewayError where the settings name no listeners."""
+    settings = started.settings
+    front = started.front
+    ready = started.ready
     if front is None or ready is None:
         raise GatewayError(
             ErrorDetail(ErrorKind.BAD_SETTINGS, "bind: a pilot needs front_http and ready_addr")
         )
     async with trio.open_nursery() as nursery:
         data_plane = DataPlane(settings, nursery, seed)
-        nursery.start_soon(data_plane.timers.run)
-        nursery.start_soon(data_plane.control_client.tick)
-        nursery.start_soon(data_plane.gossip.run)
-        nursery.start_soon(
-            accept_connections, started.talk, data_plane.clock, nursery, data_plane.gossip.serve
-        )
-        data_plane.tidy()
-        data_plane.upkeep()
-        watch = ReadinessProbe(data_plane)
-        nursery.start_soon(watch.timers.run)
-        watch.tidy()
-        nursery.start_soon(accept, ready, watch, serve_readiness)
+        data_plane.start(started.talk)
+        probe = ReadinessProbe(data_plane, nursery, data_plane.memory_mb)
+        nursery.start_soon(probe.timers.run)
+        probe.tidy()
+        nursery.start_soon(accept, ready, probe, serve_readiness)
         nursery.start_soon(accept, front, data_plane, serve)
         logs.log_event("afloat", ip=settings.ip, zone=settings.zone)
         await ended.wait()
-        data_plane.draining = True
-        logs.log_event("draining", owed=len(data_plane.requests))
-        with trio.move_on_after(0.93 * settings.guarantees.grace_s):
-            await trio.sleep(ACCEPT_ON_S)
-            take_rest(front, data_plane, serve)
-            close_listener(front)
-            while data_plane.requests or any(not one.idle() for one in data_plane.connections):
-                await trio.sleep(0.02)
-            for connection in list(data_plane.connections):
-                connection.end_quiet()
-            await trio.sleep(0.1)
-        logs.log_event("moored", owed=len(data_plane.requests))
+        await _shut_down(data_plane, front)
         nursery.cancel_scope.cancel()
+
+
+async def _shut_down(data_plane: DataPlane, front: socket.socket) -> None:
+    """Take the last connections that are on their way, and let requests in progress end."""
+    requests = data_plane.request_context.requests
+    data_plane.draining = True
+    logs.log_event("draining", owed=len(requests))
+    with trio.move_on_after(DRAIN_SHARE * data_plane.settings.guarantees.grace_s):
+        await trio.sleep(DRAIN_ACCEPT_S)
+        take_rest(front, data_plane, serve)
+        close_listener(front)
+        await data_plane.drain()
+        await trio.sleep(CLOSE_S)
+    logs.log_event("moored", owed=len(requests))
--- /dev/null
+++ b/wickspring/dataplane/request/forwarding.py
@@ -0,0 +1,145 @@
+"""Forwarding of a request: the choice of an endpoint, an attempt, and what follows its outcome."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from wickspring.common.settings import parse_address
+from wickspring.dataplane.policy.attempts import FINAL_RESPONSE_MARGIN_MS, AttemptOutcome
+from wickspring.dataplane.policy.endpoint_selection import AttemptResult, EndpointState
+from wickspring.dataplane.request.hedging import Hedger, RetryBudgets
+from wickspring.dataplane.request.model import Request, RequestContext
+from wickspring.dataplane.request.response import Responder
+from wickspring.dataplane.upstream import BufferedResponse, Exchange
+from wickspring.interface import Status
+from wickspring.net.upstream.carrier import Reply
+
+KEEP_ALIVE_SHARE = 0.9  # of the time that an endpoint keeps an idle connection, by its Keep-Alive header
+MAX_ATTEMPTS_PER_REQUEST = 16  # spacing of the numbers of attempts
+
+_OUTCOMES = {
+    Status.OK: AttemptOutcome.ANSWERED,
+    Status.FULL: AttemptOutcome.REJECTED,
+    Status.CONNECT_FAILED: AttemptOutcome.UNSENT,
+    Status.MOOT: AttemptOutcome.UNSENT,
+    Status.TIMEOUT: AttemptOutcome.TIMED_OUT,
+    Status.ERROR: AttemptOutcome.ANSWERED,
+}
+_ENDPOINT_RESULTS = {
+    Status.OK: AttemptResult.SUCCESS,
+    Status.FULL: AttemptResult.REJECTED,
+    Status.TIMEOUT: AttemptResult.TIMEOUT,
+}
+
+
+class Forwarder:
+    """Sends requests to endpoints."""
+
+    def __init__(self, context: RequestContext, responder: Responder) -> None:
+        self._context = context
+        self._responder = responder
+        self._budgets = RetryBudgets(context)
+        self._hedger = Hedger(context, self._budgets, self.send)
+
+    def send_if_ready(self, request: Request) -> None:
+        """Send the first attempt once quota is granted and advice on endpoints is received or timed out."""
+        attempts = request.attempts
+        if request.quota_granted and request.advice is not None and not attempts.sent and not attempts.ended:
+            self.send(request)
+
+    def send(self, request: Request) -> None:
+        """Send a first or further attempt, or end the request."""
+        attempts = request.attempts
+        now = self._context.clock.now()
+        candidate = self._choose(request, now) if attempts.may_send(now) else None
+        if candidate is None or not self._budgets.pay(attempts, now):
+            self._responder.give_up(request)
+            return
+        attempts.start(candidate.endpoint.id)
+        self._context.upstream.start(self._exchange(request, candidate, now))
+        if attempts.sent == 1:
+            self._hedger.schedule(request)
+
+    def _choose(self, request: Request, now: float) -> EndpointState | None:
+        attempts = request.attempts
+        advice = () if attempts.sent else request.advice or ()
+        return self._context.endpoints.pick(
+            now, attempts.service, attempts.route.name, attempts.tried, advice
+        )
+
+    def _exchange(self, request: Request, candidate: EndpointState, now: float) -> Exchange:
+        """Return the exchange of an attempt, and have it counted as in flight."""
+        context = self._context
+        attempts = request.attempts
+        endpoint = candidate.endpoint
+        number = MAX_ATTEMPTS_PER_REQUEST * request.number + attempts.sent
+        context.endpoints.attempt_started(now, candidate, number)
+        load_owner = context.load_client.request_started(attempts.service, endpoint.id)
+        left_ms = max(1, int(attempts.deadline + FINAL_RESPONSE_MARGIN_MS - now))
+        headers = [*request.headers, ("X-Deadline-Ms", str(left_ms)), ("X-Target-Instance", endpoint.id)]
+        return Exchange(
+            endpoint.id.encode(),
+            parse_address(endpoint.address),
+            not attempts.route.pure,
+            attempts.deadline,
+            id=request.id,
+            host=request.host,
+            method=request.method,
+            target=request.target,
+            headers=headers,
+            body=request.body,
+            feed=request.feed,
+            done=partial(self._on_attempt_end, request, candidate, number, load_owner),
+            flows=partial(self._start_body_stream, request),
+            on_headers=self._on_response_headers,
+            on_stream=partial(self._responder.begin_stream, request, number),
+        )
+
+    def _start_body_stream(self, request: Request) -> bool:
+        """Let the part of a body go out that is not buffered, after which there is no further attempt."""
+        attempts = request.attempts
+        attempts.body_streamed = attempts.body_streamed or not attempts.ended
+        return not attempts.ended
+
+    def _on_response_headers(self, headers: dict[str, str]) -> None:
+        """Learn from an endpoint how long it keeps idle connections."""
+        _, found, parameter = headers.get("keep-alive", "").partition("timeout=")
+        seconds = parameter.split(",")[0].strip() if found else ""
+        if seconds.isdecimal() and int(seconds) > 0:
+            pools = self._context.upstream.pools
+            pools.idle_close = min(pools.idle_close, 1000.0 * KEEP_ALIVE_SHARE * int(seconds))
+
+    def _on_attempt_end(
+        self, request: Request, candidate: EndpointState, number: int, load_owner: str, reply: Reply
+    ) -> None:
+        """Record how an attempt ended, and go on from there."""
+        context = self._context
+        attempts = request.attempts
+        outcome = _OUTCOMES.get(reply.status, AttemptOutcome.BROKEN)
+        attempts.finish(outcome)
+        result = _ENDPOINT_RESULTS.get(reply.status, AttemptResult.FAILURE)
+        now = context.clock.now()
+        ratio = context.endpoints.attempt_ended(now, candidate, number, attempts.route.name, result)
+        if load_owner:
+            context.load_client.request_finished(load_owner, candidate.endpoint.id, ratio)
+        context.event_counts[f"tries[{outcome.value}]"] += 1
+        if attempts.ended:
+            return
+        if not request.streaming_attempt:
+            self._continue(request, outcome, reply, now)
+        elif request.streaming_attempt == number:  # else another attempt's response ends by itself
+            self._responder.end_stream(request, outcome is AttemptOutcome.ANSWERED)
+
+    def _continue(self, request: Request, outcome: AttemptOutcome, reply: Reply, now: float) -> None:
+        """Deliver a response, try again, or give up."""
+        attempts = request.attempts
+        may_send = attempts.may_send(now)
+        if isinstance(reply, BufferedResponse) and outcome is AttemptOutcome.ANSWERED:
+            if reply.code < 500 or not may_send:
+                self._responder.deliver(request, reply)
+                return
+            request.fallback_response = reply
+        if may_send:
+            self.send(request)
+        elif attempts.in_flight == 0:
+            self._responder.give_up(request)
--- /dev/null
+++ b/wickspring/dataplane/request/quota_check.py
@@ -0,0 +1,105 @@
+"""The quota check of one request: one unit is added to its tenant's count, whose total decides.
+
+The count's owner is a node of the control plane. While it does not answer, the data plane decides alone, and
+what it decided is put right with the owner once a late answer shows that the owner has counted otherwise.
+"""
+
+from __future__ import annotations
+
+from functools import partial
+
+from wickspring.common.errors import ErrorKind
+from wickspring.common.routing_table import Tenant
+from wickspring.dataplane.control_client.quota_client import ADD_TIMEOUT_MS, NOT_OWNER_LIMIT
+from wickspring.dataplane.policy.quota import QuotaDecision
+from wickspring.dataplane.policy.retry_budget import DEFAULT_DATA_PLANE_COUNT
+from wickspring.dataplane.request.forwarding import Forwarder
+from wickspring.dataplane.request.model import Request, RequestContext
+from wickspring.dataplane.request.response import Responder
+
+RETRY_AFTER_JITTER = (1.0, 1.2)
+
+
+class QuotaChecker:
+    """Checks the quotas of requests."""
+
+    def __init__(self, context: RequestContext, forwarder: Forwarder, responder: Responder) -> None:
+        self._context = context
+        self._forwarder = forwarder
+        self._responder = responder
+
+    def check(self, request: Request) -> None:
+        """Have a request forwarded or refused by its tenant's quota; one without quota is forwarded."""
+        tenant = request.metered_tenant()
+        if tenant is None:
+            self._grant(request)
+            return
+        self._context.quota.sent(self._context.clock.now(), tenant.name)
+        _PendingUnit(self, self._context, request, tenant).send()
+
+    def decide(self, request: Request, decision: QuotaDecision) -> None:
+        """Carry out a decision on a request that has not ended meanwhile."""
+        if request.attempts.ended:
+            return
+        if decision.goes:
+            self._grant(request)
+            return
+        retry_after_ms = decision.wait * self._context.random.uniform(*RETRY_AFTER_JITTER)
+        self._responder.fail(request, ErrorKind.OVER_QUOTA, retry_after_ms)
+
+    def _grant(self, request: Request) -> None:
+        request.quota_granted = True
+        self._forwarder.send_if_ready(request)
+
+
+class _PendingUnit:
+    """One unit that its count's owner has been asked to add."""
+
+    __slots__ = ("_cancel_timeout", "_checker", "_context", "_number", "_request", "_tenant")
+
+    def __init__(
+        self, checker: QuotaChecker, context: RequestContext, request: Request, tenant: Tenant
+    ) -> None:
+        self._checker = checker
+        self._context = context
+        self._request = request
+        self._tenant = tenant
+        self._number = 0
+
+    def send(self) -> None:
+        """Ask the owner; decide alone where none is in reach or none answers in time."""
+        context = self._context
+        request = self._request
+        self._number = context.quota_client.add(self._tenant.name, request.is_repeat, self._on_reply)
+        if not self._number:
+            self._decide_alone()
+            return
+        due = context.clock.now() + ADD_TIMEOUT_MS
+        self._cancel_timeout = context.timers.at(due, self._decide_alone).cancel
+
+    def _on_reply(self, total: int, limit: int, window_end_ms: float) -> None:
+        self._cancel_timeout()
+        if limit == NOT_OWNER_LIMIT:
+            self._decide_alone(answered=True)
+            return
+        now = self._context.clock.now()
+        decision = self._context.quota.counted(now, self._tenant.name, total, limit, window_end_ms)
+        self._checker.decide(self._request, decision)
+
+    def _decide_alone(self, answered: bool = False) -> None:
+        context = self._context
+        context.event_counts["counted_alone"] += 1
+        data_planes = context.data_plane_count() or DEFAULT_DATA_PLANE_COUNT
+        decision = context.quota.alone(context.clock.now(), self._tenant, data_planes)
+        context.quota_client.abandon(self._number, partial(self._on_late_reply, decision.goes))
+        if decision.goes and answered:
+            context.quota_client.report_spent(self._tenant.name)
+        self._checker.decide(self._request, decision)
+
+    def _on_late_reply(self, granted: bool, total: int, limit: int, window_end_ms: float) -> None:
+        """Put right what a late reply shows the owner to have counted otherwise than was decided here."""
+        counted = 0 <= total <= limit
+        if granted and not counted:
+            self._context.quota_client.report_spent(self._tenant.name)
+        elif counted and not granted:
+            self._context.quota_client.refund(self._tenant.name)
--- /dev/null
+++ b/wickspring/dataplane/request/response.py
@@ -0,0 +1,154 @@
+"""The end of a request: an endpoint's buffered or streamed response, or an error of the data plane's own.
+
+Every request ends exactly once. A status that clients read as "not executed" is returned only where that is
+known (`docs/design/answers.md`).
+"""
+
+from __future__ import annotations
+
+from wickspring.common.errors import ERROR_RESPONSES, ErrorKind
+from wickspring.core.invariants import holds
+from wickspring.dataplane.request.model import Request, RequestContext
+from wickspring.dataplane.upstream import SEAL_HEADER, BufferedResponse, ResponseHead, end_to_end_headers
+from wickspring.net.calls import Client, retry_after
+from wickspring.net.http1_front import Http1Connection
+from wickspring.net.upstream.carrier import Sink
+
+# Statuses that a client reads as: the request has not been executed and never will be.
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+
+
+class ResponseStream:
+    """Passes one attempt's long response on to the client, for as long as the client waits for it."""
+
+    __slots__ = ("attempt_number", "client", "request")
+
+    def __init__(self, request: Request, attempt_number: int, client: Http1Connection) -> None:
+        self.request = request
+        self.attempt_number = attempt_number
+        self.client = client
+
+    def _is_current(self) -> bool:
+        request = self.request
+        if request.client is not self.client or request.attempts.ended:
+            return False
+        return request.streaming_attempt == self.attempt_number
+
+    def write(self, data: bytes) -> None:
+        """Pass a part of the body on."""
+        waits = self.client.number == self.request.number
+        if self._is_current() and holds(waits, "whom an answer is passed on to waits for it"):
+            self.client.write(data)
+
+    async def room(self) -> bool:
+        """Wait until the client has read what was passed on; return False where it has gone."""
+        return self._is_current() and await self.client.room() and self._is_current()
+
+
+class Responder:
+    """Ends requests."""
+
+    def __init__(self, context: RequestContext) -> None:
+        self._context = context
+
+    # Responses of endpoints.
+
+    def deliver(self, request: Request, response: BufferedResponse) -> None:
+        """Give the client a response as it came, unless it would be read as "not executed"."""
+        if response.code in NOT_EXECUTED_STATUSES:
+            self.fail(request, ErrorKind.MAY_HAVE_RUN)
+            return
+        client = request.waiting_client()
+        self._finish(request)
+        self._context.event_counts["answered"] += 1
+        sealed = any(name == SEAL_HEADER and value for name, value in response.pairs)
+        holds(sealed or not 200 <= response.code < 300, "a success bears its seal")
+        if isinstance(client, Http1Connection):
+            client.answer(response.code, "", response.body, end_to_end_headers(response.pairs))
+
+    def begin_stream(self, request: Request, attempt_number: int, head: ResponseHead) -> Sink | None:
+        """Begin a response that is longer than what is buffered; None where it cannot be streamed."""
+        client = request.waiting_client()
+        if request.attempts.ended or request.streaming_attempt or not isinstance(client, Http1Connection):
+            return None
+        if head.length is None and client.http.their_http_version == b"1.0":
+            return None  # without a length, such a client cannot tell a truncated body from a complete one
+        request.streaming_attempt = attempt_number
+        request.cancel_deadline()
+        client.begin(head.length, head.status, end_to_end_headers(head.pairs))
+        return ResponseStream(request, attempt_number, client)
+
+    def end_stream(self, request: Request, complete: bool) -> None:
+        """End a streamed response; the client can tell one that is not complete."""
+        client = request.waiting_client()
+        self._finish(request)
+        if isinstance(client, Http1Connection):
+            client.end(complete)
+
+    # Errors.
+
+    def give_up(self, request: Request) -> None:
+        """End a request that nothing more can be done for, unless an attempt is still in flight."""
+        attempts = request.attempts
+        if attempts.in_flight > 0 and self._context.clock.now() < attempts.deadline:
+            return
+        if request.fallback_response is not None:
+            self.deliver(request, request.fallback_response)
+            return
+        kind = attempts.final_error
+        if kind is ErrorKind.NO_SERVER:
+            self._refund(request)
+        self.fail(request, kind, self._context.retry_after_ms())
+
+    def _refund(self, request: Request) -> None:
+        """Give back the unit of quota of a request that has not been executed and never will be."""
+        context = self._context
+        tenant = request.metered_tenant()
+        if tenant is not None and context.quota.taken_back(context.clock.now(), tenant.name):
+            context.quota_client.refund(tenant.name)
+
+    def on_deadline(self, request: Request) -> None:
+        """End a request whose time is over, unless its response is being streamed."""
+        attempts = request.attempts
+        if not attempts.ended and not request.streaming_attempt:
+            attempts.timed_out = True
+            self.fail(request, attempts.final_error, self._context.retry_after_ms())
+
+    def fail(self, request: Request, kind: ErrorKind, retry_after_ms: float = 0.0) -> None:
+        """End a request with an error."""
+        attempts = request.attempts
+        not_executed = attempts.not_executed and attempts.in_flight == 0
+        truthful = not_executed or ERROR_RESPONSES[kind].status not in NOT_EXECUTED_STATUSES
+        if not holds(truthful, "what may have run is not refused"):
+            kind = ErrorKind.MAY_HAVE_RUN
+        client = request.waiting_client()
+        self._finish(request)
+        if client is not None:
+            self.refuse(client, kind, retry_after_ms)
+
+    def refuse(self, client: Client, kind: ErrorKind, retry_after_ms: float = 0.0) -> None:
+        """Send a client an error."""
+        self._context.event_counts[f"refused[{kind.value}]"] += 1
+        response = ERROR_RESPONSES[kind]
+        client.answer(response.status, retry_after(retry_after_ms) if response.comes_back else "", b"")
+
+    # Ends.
+
+    def on_client_gone(self, number: int) -> None:
+        """Forget a client that has gone away; an attempt that has been sent may end."""
+        request = self._context.requests.get(number)
+        if request is None:
+            return
+        request.client = None
+        if request.attempts.sent == 0 or request.streaming_attempt:
+            self._finish(request)
+
+    def _finish(self, request: Request) -> None:
+        request.attempts.ended = True
+        request.cancel_deadline()
+        request.cancel_hedge()
+        self._context.requests.pop(request.number, None)
+        if not request.attempts.route.pure:  # a repeatable one may bear the id of one that is in progress
+            self._context.unrepeatable_ids.discard(request.id)
+        if request.feed is not None:
+            request.feed.close()
--- a/wickspring/dataplane/upstream.py
+++ b/wickspring/dataplane/upstream.py
@@ -1,4 +1,8 @@
-"""Exchanges with servers: the shared connections, and what an answer must show to be the server's own."""
+"""Exchanges with endpoints: the shared connections, and what proves that a response is the endpoint's own.
+
+An endpoint names the attempt's id in its response and seals each success. A response without them, or one
+that could be spliced from two, is not believed, and its connection is closed (`docs/design/answers.md`).
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,10 @@
 from wickspring.net.upstream.carrier import Job, Reply, Sink
 from wickspring.net.upstream.http1 import AnswerReader, Http1Link
 
-HOP = frozenset(
+ATTEMPT_ID_HEADER = "x-attempt-id"
+SEAL_HEADER = "x-server-seal"
+NOT_EXECUTED_HEADER = "x-not-executed"
+HOP_BY_HOP_HEADERS = frozenset(  # RFC 9110, section 7.6.1; the length is framed anew on each connection
     {
         "connection",
         "keep-alive",
@@ -27,12 +34,16 @@
         "content-length",
     }
 )
-ID, SEAL, NOT_RUN = "x-attempt-id", "x-server-seal", "x-not-executed"
+MISDIRECTED_REQUEST = 421  # RFC 9110, section 15.5.20: the endpoint is not who the request names
+BODILESS_STATUSES = (204, 304)
+_PROTECTED_HEADERS = frozenset({ATTEMPT_ID_HEADER, SEAL_HEADER})  # no connection may name these as its own
 _STATUS_LINE = re.compile(r"HTTP/[0-9.]+ [0-9]{3}")
 
+HeaderPairs = list[tuple[str, str]]
+
 
 class ConnectionDefaults(msgspec.Struct, frozen=True):
-    """What the shared connections need to know of servers; milliseconds."""
+    """What the shared connections need to know of endpoints. Times are milliseconds."""
 
     seed: int
     dial_timeout: float = 220.0
@@ -45,103 +56,124 @@
 
 @dataclass(slots=True)
 class BufferedResponse(Reply):
-    """A server's answer, whole."""
+    """A complete response of an endpoint."""
 
     code: int = 0
-    pairs: list[tuple[str, str]] = field(default_factory=list)
+    pairs: HeaderPairs = field(default_factory=list)
+
+
+@dataclass(slots=True, frozen=True)
+class ResponseHead:
+    """The head of a response that is streamed; a length of None means that it is sent in chunks."""
+
+    status: int
+    pairs: HeaderPairs
+    length: int | None
+
+
+def _ignore_headers(headers: dict[str, str]) -> None:
+    """Learn nothing from the headers of a response."""
+
+
+def _refuse_stream(head: ResponseHead) -> Sink | None:
+    """Let no response through before it is complete."""
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class Exchange(Job):
-    """One try at one server."""
+    """One attempt at one endpoint."""
 
     id: str
-    heard: Callable[[dict[str, str]], None] = lambda _: None  # of each answer's headers
-    flowing: Callable[[int, list[tuple[str, str]], int | None], Sink | None] = lambda *_: None
+    on_headers: Callable[[dict[str, str]], None] = _ignore_headers  # of each buffered response
+    on_stream: Callable[[ResponseHead], Sink | None] = _refuse_stream  # None buffers on
 
 
-def end_to_end_headers(pairs: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers that are not of a single connection, nor named so by it; id and seal always stay."""
-    values = [value for name, value in pairs if name.lower() == "connection"]
-    named = {word.strip().lower() for value in values for word in value.split(",")} - {ID, SEAL}
-    return [(k, v) for k, v in pairs if k.lower() not in HOP and k.lower() not in named]
+def end_to_end_headers(pairs: HeaderPairs) -> HeaderPairs:
+    """Return the headers that are meant for the other end; attempt id and seal always are."""
+    connection_values = [value for name, value in pairs if name.lower() == "connection"]
+    options = {option.strip().lower() for value in connection_values for option in value.split(",")}
+    dropped = HOP_BY_HOP_HEADERS | (options - _PROTECTED_HEADERS) if options else HOP_BY_HOP_HEADERS
+    return [pair for pair in pairs if pair[0].lower() not in dropped]
 
 
-def is_for(reader: AnswerReader, passage: Exchange) -> bool:
-    """Tell whether an answer's head is one, and of the answer to this request.
+def answers_attempt(reader: AnswerReader, exchange: Exchange) -> bool:
+    """Return whether a head belongs to one response, and to this attempt.
 
-    An answer that was cut within a header's value, or within the words beside its status, and is followed by
-    the next one, reads as one head with the status of the first and the id of the second.
+    A response that was cut within a header's value, or within its reason phrase, and is followed by the next
+    one, reads as one head with the status of the first and the id of the second.
     """
     pairs = reader.pairs
-    if [value for name, value in pairs if name == ID] != [passage.id]:
+    if [value for name, value in pairs if name == ATTEMPT_ID_HEADER] != [exchange.id]:
         return False
     return not any(_STATUS_LINE.search(text) for text in (reader.reason, *(value for _, value in pairs)))
 
 
-def is_own(reader: AnswerReader, passage: Exchange) -> bool:
-    """Tell whether an answer is the server's to this request, as far as its head can show.
+def is_authentic(reader: AnswerReader, exchange: Exchange) -> bool:
+    """Return whether a response is the endpoint's to this attempt, as far as its head can show.
 
-    The answer itself must tell its end: one that ends with its connection looks whole wherever it is cut.
+    The response itself must tell its end: one that ends with its connection looks complete wherever it is
+    cut. A success must bear exactly one seal.
     """
-    code, headers = reader.code, dict(reader.pairs)
-    bodiless = code in (204, 304) or passage.method == "HEAD"
+    status = reader.code
+    headers = dict(reader.pairs)
+    bodiless = status in BODILESS_STATUSES or exchange.method == "HEAD"
     if not (bodiless or "content-length" in headers or "transfer-encoding" in headers):
         return False
-    if not is_for(reader, passage):
+    if not answers_attempt(reader, exchange):
         return False
-    seals = [value for name, value in reader.pairs if name == SEAL]
+    seals = [value for name, value in reader.pairs if name == SEAL_HEADER]
     if len(seals) > 1:
         return False
-    return not (200 <= code < 300) or (any(seals) and "content-encoding" not in headers)
+    return not (200 <= status < 300) or (any(seals) and "content-encoding" not in headers)
 
 
 class UpstreamConnection(Http1Link):
-    """A connection to a server of the gateway."""
+    """A connection to an endpoint of the gateway."""
 
-    _before = 0  # bytes that the kernel had taken before the present job
+    _taken_before = 0  # bytes that the kernel had taken before the present job
 
     def begin(self, job: Job) -> None:
         """Write the job; nothing is left over of what came before."""
         holds(not self.reader.http.trailing_data[0], "no bytes are left over for the next request")
         if self.link is not None:
-            self._before = self.link.taken
+            self._taken_before = self.link.taken
         super().begin(job)
 
     def written(self) -> bool:
-        """Tell whether the server can have read a byte: one that runs by the head alone may have run."""
-        return self.sent and self.link is not None and self.link.taken > self._before
+        """Return whether the endpoint can have read a byte; one that executes by the head alone may have."""
+        return self.sent and self.link is not None and self.link.taken > self._taken_before
 
     def read(self, answer: tuple[int, dict[str, str], bytes]) -> Reply:
-        """Take a whole answer for the server's, or its connection for spoilt."""
+        """Return a complete response as the endpoint's own, or close the connection it came on."""
         code, headers, body = answer
-        passage = self.job
-        if not isinstance(passage, Exchange):  # a probe
+        exchange = self.job
+        if not isinstance(exchange, Exchange):  # a health probe
             return Reply(Status.OK if code == 200 else Status.ERROR, body=body)
-        passage.heard(headers)
-        if not is_for(self.reader, passage):
-            # Another request's answer, late: what comes next on this connection is not to be trusted.
-            self._spoilt()
-            return Reply(Status.RESET)
-        if NOT_RUN in headers or code == 421:
+        exchange.on_headers(headers)
+        if not answers_attempt(self.reader, exchange):
+            # The late response of another attempt: what comes next on this connection is not to be trusted.
+            return self._reset()
+        if NOT_EXECUTED_HEADER in headers or code == MISDIRECTED_REQUEST:
             return BufferedResponse(Status.FULL, body=body, code=code, pairs=self.reader.pairs)
-        if not is_own(self.reader, passage):
-            self._spoilt()
-            return Reply(Status.RESET)
+        if not is_authentic(self.reader, exchange):
+            return self._reset()
         status = Status.OK if code < 500 else Status.ERROR
         return BufferedResponse(status, body=body, code=code, pairs=self.reader.pairs)
 
-    def _spoilt(self) -> None:
+    def _reset(self) -> Reply:
+        """Close the connection, whose responses are not to be trusted."""
         self.closed = True
         self.upstream.room(self.conn, 0)
         if self.link is not None:
             self.link.close()
+        return Reply(Status.RESET)
 
     def begins(self, job: Job) -> Sink | None:
-        """Let a long answer through once its head shows whose it is."""
+        """Let a long response through once its head shows whose it is."""
         if not isinstance(job, Exchange):
             return None
         pairs = self.reader.pairs
-        if any(name == NOT_RUN for name, _ in pairs) or not is_own(self.reader, job):
+        not_executed = any(name == NOT_EXECUTED_HEADER for name, _ in pairs)
+        if not_executed or not is_authentic(self.reader, job):
             return None
-        return job.flowing(self.reader.code, pairs, self.reader.length)
+        return job.on_stream(ResponseHead(self.reader.code, pairs, self.reader.length))
--- a/wickspring/lab/experiments/capacity_steps.py
+++ b/wickspring/lab/experiments/capacity_steps.py
@@ -134,15 +134,15 @@
 def of_servers(count: int) -> dict[str, float]:
     """Return what so many servers cost a core machine and an ingress at each step that goes over them."""
     told = servers(count)
-    register, choice, candidates = EndpointRegistry(1500.0), EndpointSelector("a", 1), LoadTracker(1)
+    register, selector, candidates = EndpointRegistry(1500.0), EndpointSelector("a", 1), LoadTracker(1)
     for one in told:
         register.beat(0.0, one)
-        choice.heard(0.0, one)
+        selector.update(0.0, one)
 
     def known() -> EndpointSelector:
         made = EndpointSelector("a", 1)
         for one in servers(count):
-            made.heard(0.0, one)
+            made.update(0.0, one)
         return made
 
     def registered() -> EndpointRegistry:
@@ -156,9 +156,7 @@
         candidates.offers(0.0, "a", mine)
 
     def pilot_digest() -> int:
-        return endpoints_digest(
-            [one.server for id_, one in choice.candidates.items() if not one.lost and choice.takes(id_)]
-        )
+        return selector.digest()
 
     return {
         "whole_bytes": float(len(msgpack.packb(["whole", [one.pack(0.0) for one in told], {}]))),
@@ -168,7 +166,7 @@
         "sweep_ms": took_ms(lambda: register.sweep(1.0)),
         "ingress_mb": held_mb(known),
         "core_mb": held_mb(registered),
-        "pick_us": 1000.0 * took_ms(lambda: choice.pick(0.0, told[0].service, "r", set()), 50),
+        "pick_us": 1000.0 * took_ms(lambda: selector.pick(0.0, told[0].service, "r", set()), 50),
     }
 
 
--- a/wickspring/lab/experiments/capacity_sweeps.py
+++ b/wickspring/lab/experiments/capacity_sweeps.py
@@ -53,7 +53,7 @@
 
 def asked(site: Site) -> float:
     """Return how many requests the ingresses have taken."""
-    return float(sum(one.event_counts["asked"] for one in site.data_planes.values()))
+    return float(sum(one.request_context.event_counts["asked"] for one in site.data_planes.values()))
 
 
 def rates(meter: Meter, shape: Shape, seconds: float) -> Figures:
@@ -156,7 +156,9 @@
             await trio.sleep(seconds / size)
         meter = site.meter
         told = meter.bytes["core>ingress", "configuration"] / shape.ingresses
-        lag = sum(one.control_client.routing_table.version != 1 + size for one in site.data_planes.values())
+        lag = sum(
+            one.control_client.config.routing_table.version != 1 + size for one in site.data_planes.values()
+        )
         return {
             "ingress_in_configuration_bytes": told,
             "ingress_in_configuration_messages": (
--- a/wickspring/lab/simulation/gossip.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -79,17 +79,17 @@
         self.talk = Talk(self.ip, 1, fleet.clock, nursery, random, self, self.wire)
         self.talk.fleet = fleet
 
-    def state(self) -> GossipDigest:
+    def state_digest(self) -> GossipDigest:
         """Return the state to compare."""
         return self.version, bytes(DIGEST_SIZE) if self.version else b"", 0, 0
 
-    def tell_all(self, connection: PeerConnection, version: int, digest: bytes) -> None:
+    def send_state(self, connection: PeerConnection, version: int, digest: bytes) -> None:
         """Nothing is told over cables here."""
 
-    def take(self, connection: PeerConnection, message: Message) -> None:
+    def on_peer_message(self, connection: PeerConnection, message: Message) -> None:
         """Nothing comes over cables here."""
 
-    def alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """Tell that lighthouses are in reach."""
         return False
 
@@ -99,7 +99,7 @@
 
     fleet: Fleet
 
-    async def _fetch(self, ip: str) -> None:
+    async def _fetch_state(self, ip: str) -> None:
         mine, theirs = self.fleet.data_planes[self.ip], self.fleet.data_planes[ip]
         try:
             await trio.sleep(3 * HOP_S)
@@ -109,7 +109,7 @@
                 theirs.wire.sent += DOCUMENT
                 mine.version = theirs.version
         finally:
-            self._fetching = False
+            self._is_fetching = False
 
 
 class Fleet:
--- a/wickspring/lab/simulation/hollow_gateway.py
+++ b/wickspring/lab/simulation/hollow_gateway.py
@@ -430,9 +430,9 @@
 
             def begin() -> None:
                 self._start(nursery, "requests", data_plane.timers.run)
-                self._start(nursery, "ticks", data_plane.control_client.tick)
+                self._start(nursery, "ticks", data_plane.control_client.run)
                 self._start(nursery, "gossip", data_plane.gossip.run)
-                data_plane.upkeep()
+                data_plane.maintain()
 
             return begin
 
--- a/wickspring/lab/simulation/request_path.py
+++ b/wickspring/lab/simulation/request_path.py
@@ -25,9 +25,9 @@
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.routing_table import build_routing_table
 from wickspring.common.settings import Limits, NodeSettings
-from wickspring.dataplane import process as programs
+from wickspring.dataplane import process
 from wickspring.dataplane.process import DataPlane
-from wickspring.dataplane.upstream import NOT_RUN
+from wickspring.dataplane.upstream import NOT_EXECUTED_HEADER
 from wickspring.lab.emulation.local_gateway import HOST, KEY, PREFIX, document
 from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.net import host
@@ -536,11 +536,12 @@
             data_plane.tidy()
             timeout = f'"timeout_s": {self.timeout_s}'.encode()
             routing_table = build_routing_table(document(1, once=ONCE).replace(b'"timeout_s": 2.0', timeout))
-            data_plane.control_client.routing_table, data_plane.control_client.fleet = routing_table, 1
-            data_plane._charted(routing_table)
+            data_plane.control_client.config.routing_table = routing_table
+            data_plane.control_client.data_plane_count = 1
+            data_plane.on_routing_table(routing_table)
             for number, name in enumerate(self.peers):
                 service = ("looker", "doer")[number % 2]
-                data_plane.choice.heard(
+                data_plane.endpoints.update(
                     data_plane.clock.now(), Endpoint(name, service, f"10.0.0.{number}:80", "a", 2)
                 )
             self.nursery = nursery
@@ -554,8 +555,9 @@
             if limit.cancelled_caught:
                 self.books.wrong("a client waits without end")
             await trio.sleep(4.0)  # whoever runs late has run by then
-            if data_plane.requests or data_plane.ids:
-                self.books.wrong("still owed", list(data_plane.requests))
+            context = data_plane.request_context
+            if context.requests or context.unrepeatable_ids:
+                self.books.wrong("still owed", list(context.requests))
             nursery.cancel_scope.cancel()
 
     async def _drain(self) -> None:
@@ -563,12 +565,9 @@
         data_plane = self.data_plane
         await trio.sleep(self.random.uniform(0.0, 1.5))
         data_plane.draining = True
-        await trio.sleep(programs.ACCEPT_ON_S)
+        await trio.sleep(process.DRAIN_ACCEPT_S)
         self.asks = 0
-        while data_plane.requests or any(not one.idle() for one in data_plane.connections):
-            await trio.sleep(0.02)
-        for connection in list(data_plane.connections):
-            connection.end_quiet()
+        await data_plane.drain()
 
     async def _connect(self, conn: Any) -> Link | None:
         random = self.random
@@ -690,7 +689,7 @@
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 self.books.read(id_, status, headers, body)
-                if NOT_RUN in headers and self.books.runs[id_]:
+                if NOT_EXECUTED_HEADER in headers and self.books.runs[id_]:
                     self.books.wrong("said not to have run", id_)
                 return http.trailing_data[0], headers.get("connection") != "close", flows
 
@@ -726,7 +725,7 @@
     try:
         with (
             mock.patch.object(host, "Clock", VirtualClock),
-            mock.patch.object(programs, "Udp", Silence),
+            mock.patch.object(process, "Udp", Silence),
             mock.patch.object(ReconnectingClient, "run", nothing),
         ):
             yield
