--- a/wickspring/dataplane/policy/attempts.py
+++ b/wickspring/dataplane/policy/attempts.py
@@ -56,15 +56,14 @@
         """Return whether a further attempt is allowed by everything but the retry budget."""
         if self.ended or self.body_streamed or self.sent >= self.route.tries:
             return False
-        return self.deadline - now >= MIN_ATTEMPT_MS and self._repeatable
-
-    @property
-    def _repeatable(self) -> bool:
+        if self.deadline - now < MIN_ATTEMPT_MS:
+            return False
         return self.route.pure or (self.not_executed and self.in_flight == 0)
 
     def start(self, endpoint_id: str) -> None:
         """Record an attempt as sent."""
-        holds(self._repeatable, "what may run once is out once")
+        repeatable = self.route.pure or (self.not_executed and self.in_flight == 0)
+        holds(repeatable, "what may run once is out once")
         holds(not self.body_streamed, "a body that is not held goes out once")
         self.tried.add(endpoint_id)
         self.in_flight += 1
--- a/wickspring/dataplane/policy/endpoint_selection.py
+++ b/wickspring/dataplane/policy/endpoint_selection.py
@@ -171,9 +171,10 @@
         if not untried:
             return None
         healthy = [state for state in untried if now >= state.ejected_until and not state.unresponsive]
-        typical_ms = self.typical_ms.get(route, 0.0)
+        typical_ms, draw = self.typical_ms.get(route, 0.0), self.random.random
         sample = self._sample(healthy or untried)
-        return min(sample, key=lambda state: (self.cost(now, state, typical_ms), self.random.random()))
+        costs = [(self.cost(now, state, typical_ms), draw()) for state in sample]  # ties are broken at random
+        return sample[costs.index(min(costs))]
 
     def _pick_advised(
         self, now: float, accepting: dict[str, EndpointState], tried: set[str], advice: Advice
--- a/wickspring/dataplane/request/forwarding.py
+++ b/wickspring/dataplane/request/forwarding.py
@@ -133,13 +133,12 @@
     def _continue(self, request: Request, outcome: AttemptOutcome, reply: Reply, now: float) -> None:
         """Deliver a response, try again, or give up."""
         attempts = request.attempts
-        may_send = attempts.may_send(now)
         if isinstance(reply, BufferedResponse) and outcome is AttemptOutcome.ANSWERED:
-            if reply.code < 500 or not may_send:
+            if reply.code < 500 or not attempts.may_send(now):
                 self._responder.deliver(request, reply)
                 return
             request.fallback_response = reply
-        if may_send:
+        if attempts.may_send(now):
             self.send(request)
         elif attempts.in_flight == 0:
             self._responder.give_up(request)
--- a/wickspring/dataplane/upstream.py
+++ b/wickspring/dataplane/upstream.py
@@ -89,11 +89,14 @@
 
 
 def end_to_end_headers(pairs: HeaderPairs) -> HeaderPairs:
-    """Return the headers that are meant for the other end; attempt id and seal always are."""
-    connection_values = [value for name, value in pairs if name.lower() == "connection"]
+    """Return the headers that are meant for the other end; attempt id and seal always are.
+
+    The names come in lower case, as both ends' connections read them.
+    """
+    connection_values = [value for name, value in pairs if name == "connection"]
     options = {option.strip().lower() for value in connection_values for option in value.split(",")}
     dropped = HOP_BY_HOP_HEADERS | (options - _PROTECTED_HEADERS) if options else HOP_BY_HOP_HEADERS
-    return [pair for pair in pairs if pair[0].lower() not in dropped]
+    return [pair for pair in pairs if pair[0] not in dropped]
 
 
 def answers_attempt(reader: AnswerReader, exchange: Exchange) -> bool:
