--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -14,18 +14,21 @@
 from tests.common.test_decoding import SETTINGS, document
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
+from wickspring.common.digest import digest_of
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
+from wickspring.common.messages import QuotaTotal
 from wickspring.common.settings_file import parse_address
 from wickspring.controlplane.api.calls import ApiRequest
 from wickspring.controlplane.api.heartbeat import Heartbeat
 from wickspring.controlplane.data_plane_sessions import PeerSession
 from wickspring.controlplane.process import ControlPlane
-from wickspring.controlplane.replication.replica import Config, Replica, Update, digest_of
-from wickspring.controlplane.replication.view import View
+from wickspring.controlplane.replication.messages import decode
+from wickspring.controlplane.replication.replica import Config, Replica, Update
+from wickspring.controlplane.replication.view import Member, View
 from wickspring.dataplane.process import DataPlane
 from wickspring.lab.faults.core_faults import Chaos
-from wickspring.membership.anti_entropy import Digest
+from wickspring.membership.anti_entropy import Digest, EntryVersion
 
 ODD: list[Any] = [
     None,
@@ -51,7 +54,7 @@
     {"i": -1},
 ]
 
-_FIRST = View(1, (("a", "first"),), (("a", "first"),)).pack()
+_FIRST = View(1, (Member("a", "first"),), (Member("a", "first"),)).pack()
 PASS = ["pass", _FIRST, 1, Replica(Config(1, 1, b"x", digest_of(b"x")), {"i": 1}).pack()]
 
 
@@ -143,9 +146,9 @@
     async def run() -> None:
         async with trio.open_nursery() as nursery:
             control_plane = ControlPlane(settings_module.parse_settings(settings), nursery, 1)
-            control_plane.replication.lease.take_up(0.0, control_plane.replication.chain.view)
-            control_plane.replication.chain.safe.take(Update(7, json.dumps(document()).encode()), 1)
-            control_plane.on_committed(control_plane.replication.chain.safe)
+            control_plane.replication.lease.install(0.0, control_plane.replication.chain.view)
+            control_plane.replication.chain.committed.apply(Update(7, json.dumps(document()).encode()), 1)
+            control_plane.on_committed(control_plane.replication.chain.committed)
             await play(control_plane)
             nursery.cancel_scope.cancel()
 
@@ -177,6 +180,7 @@
         ["entered", 4, True, None],
         ["servers", [server]],
         ["shadow", {"n": [[0, 2]]}],
+        ["shares", {"10.1.0.2": 900.0}, {"n": {"10.1.0.2": 0.5}}],
         ["alive", [["i1", 4]]],
         ["tell", ["i1"]],
     ]
@@ -199,12 +203,13 @@
         heard = Heard()
         session = PeerSession(cast(PeerConnection, heard))
         control_plane.data_planes.add(session)
-        while control_plane.clock.now() - control_plane.replication.lease.since < 500.0:
+        while control_plane.clock.now() - control_plane.replication.lease.installed_at < 500.0:
             await trio.lowlevel.checkpoint()
         control_plane.peer_server.receive(
             session, ["add", 9, "n", False, control_plane.replication.lease.epoch]
         )
-        assert heard.said[-1][:2] == ("sum", 9)
+        (answer,) = heard.said[-1]
+        assert isinstance(answer, QuotaTotal) and answer.request_number == 9
         control_plane.status()
 
     in_light(tmp_path, play)
@@ -213,8 +218,8 @@
 def test_a_pilot_takes_whatever_comes_over_cables_and_datagrams() -> None:
     random = Random(6)
     server = Endpoint("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
-    digest = Digest("127.0.9.9", {"127.0.9.9": (1.0, 2, 3)}, "", "")
-    probe = [digest.low, digest.high, digest.heard]
+    digest = Digest("127.0.9.9", {"127.0.9.9": EntryVersion(1.0, 2, 3)}, "", "")
+    probe = [digest.low, digest.high, digest.versions]
     messages: list[list[Any]] = [
         ["sum", 1, 3, 9, 20],
         ["moved", 1],
@@ -293,7 +298,9 @@
                 chain = self.machines[to].chain if to in self.machines else None
                 try:
                     if chain is not None:  # what is not read whole changes nothing that is saved or said
-                        copy.deepcopy(chain).receive(self.now, sender, spoil(random, message))
+                        spoilt = decode(spoil(random, message))
+                        if spoilt is not None:
+                            copy.deepcopy(chain).receive(self.now, sender, spoilt)
                 except (*DECODE_ERRORS, AssertionError):
                     nonlocal refused
                     refused += 1
--- a/wickspring/dataplane/control_client/config_sync.py
+++ b/wickspring/dataplane/control_client/config_sync.py
@@ -8,8 +8,8 @@
 
 from wickspring.common import logs
 from wickspring.common.config_status import ConfigStatus
+from wickspring.common.digest import digest_of
 from wickspring.common.routing_table import RoutingTable, build_routing_table
-from wickspring.controlplane.replication.replica import digest_of
 from wickspring.dataplane.control_client.connections import ConfigIdentity
 from wickspring.dataplane.control_client.listener import ControlListener
 from wickspring.dataplane.policy.config_adoption import AdoptionAction, ConfigAdoption, ConfigCopy
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -22,7 +22,7 @@
 from wickspring.common import logs
 from wickspring.common.connection import DECODE_ERRORS, Message, PeerConnection
 from wickspring.common.settings_file import parse_ip
-from wickspring.membership.anti_entropy import Digest, Entry
+from wickspring.membership.anti_entropy import Digest, Entry, EntryVersion
 from wickspring.membership.swim import MemberInfo, Membership, Suspicion
 from wickspring.net.clock import Clock
 from wickspring.net.datagrams import Datagrams
@@ -96,12 +96,12 @@
     def introduce(self, ips: list[str]) -> None:
         """Probe these data planes, which a control plane has named."""
         for ip in ips:
-            if ip != self.ip and self.members.about(ip) is None:
+            if ip != self.ip and self.members.info_of(ip) is None:
                 self._send_probe(ip)
 
     def broadcast(self, kind: str, changes: object) -> None:
         """Send changes to a few members, each of whom passes on what it did not know."""
-        living = self.members.living()
+        living = self.members.active_members()
         for ip in self.random.sample(living, min(FANOUT, len(living))):
             self._send(ip, kind, changes)
 
@@ -114,8 +114,8 @@
             await trio.sleep(PROBE_INTERVAL_S * self.random.uniform(*PROBE_INTERVAL_JITTER))
             for name in self.members.tick(self.clock.now() / 1000.0):
                 logs.log_event("pilot_gone", data_plane=name, left=self.members.size)
-            self.members.write(MemberInfo(self.ip), beat=False)
-            target = self.members.target()
+            self.members.update_own(MemberInfo(self.ip), heartbeat=False)
+            target = self.members.next_probe_target()
             if target is not None:
                 self.nursery.start_soon(self._probe, target)
 
@@ -123,15 +123,15 @@
         """Probe a member directly, then through others, and record whether it was reached."""
         acked = trio.Event()
         if await self._probe_directly(ip, acked):
-            self.members.reached(ip)
+            self.members.record_contact(ip)
             return
-        for helper in self.members.helpers(ip):
+        for helper in self.members.select_helpers(ip):
             number = self._expect_ack(acked.set)
             self._send(helper, "reach", number, ip)
         if await _is_set_within(INDIRECT_ACK_TIMEOUT_S, acked):
-            self.members.vouched(ip)
+            self.members.record_indirect_contact(ip)
         else:
-            self.members.unreached(ip)
+            self.members.suspect(ip)
 
     async def _probe_directly(self, ip: str, acked: trio.Event) -> bool:
         number = self._send_probe(ip, acked.set)
@@ -147,7 +147,7 @@
     def _send_probe(self, ip: str, on_ack: Callable[[], None] = lambda: None) -> int:
         number = self._expect_ack(on_ack)
         digest = self.members.digest(DIGEST_MEMBERS)
-        versions = [digest.low, digest.high, digest.heard]
+        versions = [digest.low, digest.high, digest.versions]
         self._send(ip, "probe", number, versions, list(self.host.state_digest()), self._suspicions(ip))
         return number
 
@@ -196,11 +196,11 @@
         """Answer a probe, then learn from it."""
         _, _, number, (low, high, versions), state, suspicions = message
         known = {
-            str(name): (float(incarnation), int(heartbeat), int(content))
+            str(name): EntryVersion(float(incarnation), int(heartbeat), int(content))
             for name, (incarnation, heartbeat, content) in versions.items()
         }
-        answer = self.members.answer(Digest(ip, known, low, high), MAX_ENTRIES)
-        entries = (*answer.entries, *self.members.fresh(MAX_ENTRIES - len(answer.entries)))
+        answer = self.members.delta(Digest(ip, known, low, high), MAX_ENTRIES)
+        entries = (*answer.entries, *self.members.take_pending(MAX_ENTRIES - len(answer.entries)))
         self._send(
             ip,
             "word",
@@ -222,17 +222,17 @@
         self._compare_state(ip, state)
 
     def _merge_entries(self, packed: list[Any]) -> None:
-        self.members.hear([_unpack_entry(entry) for entry in packed])
+        self.members.merge_entries([_unpack_entry(entry) for entry in packed])
 
     def _suspicions(self, ip: str) -> list[Any]:
         """Return the suspicions to send to a member, always with the one against itself if there is one."""
         return [
-            [suspicion.name, suspicion.incarnation, suspicion.beat, suspicion.by]
-            for suspicion in self.members.doubts(ip, MAX_SUSPICIONS)
+            [suspicion.name, suspicion.incarnation, suspicion.heartbeat, suspicion.accuser]
+            for suspicion in self.members.take_suspicions(ip, MAX_SUSPICIONS)
         ]
 
     def _on_suspicions(self, packed: list[Any]) -> None:
-        self.members.doubted(
+        self.members.merge_suspicions(
             Suspicion(str(name), float(incarnation), int(heartbeat), str(by))
             for name, incarnation, heartbeat, by in packed
         )
@@ -288,7 +288,7 @@
     packed = []
     for entry in entries[:MAX_ENTRIES]:
         has_left = None if entry.content is None else entry.content.left
-        packed.append([entry.owner, entry.incarnation, entry.beat, entry.number, has_left])
+        packed.append([entry.owner, entry.incarnation, entry.heartbeat, entry.content_version, has_left])
     return packed
 
 
