--- a/wickspring/lab/experiments/capacity_sweeps.py
+++ b/wickspring/lab/experiments/capacity_sweeps.py
@@ -105,7 +105,7 @@
 def _change_figures(gateway: VirtualGateway, size: SiteSize, newest_version: int) -> Figures:
     meter = gateway.meter
     versions = [
-        data_plane.control_client.routing_table.version for data_plane in gateway.data_planes.values()
+        data_plane.control_client.config.routing_table.version for data_plane in gateway.data_planes.values()
     ]
     config_flow = "core>ingress", "configuration"
     chain_flow = "core>core", "chain"
