--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of all tests, and which of them may not run beside one another."""
+"""Fixtures for all tests, and the list of those that run in real time."""
 
 from __future__ import annotations
 
@@ -13,28 +13,23 @@
 TESTS = Path(__file__).parent
 
 REAL_TIME_PATHS = (
-    "agent",
+    "agent/test_agent.py",
+    "common/test_malformed_input.py",
+    "fleet/test_parts.py",
     "lab",
     "net",
-    "system",
-    "common/test_malformed_input.py",
-    "connections",
+    "system/test_example.py",
+    "system/test_gateway_processes.py",
 )
-"""Below `tests`: what starts processes, shares loopback addresses or waits by the wall clock."""
+"""Below `tests`: what starts processes, takes fixed loopback addresses or waits by the wall clock."""
 
 
-@pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Give all real-time tests to one worker of pytest-xdist, which runs them one at a time."""
+    """Mark the real-time tests, so that CI can run them apart from those that keep processors busy."""
     for item in items:
-        if _is_real_time(item):
+        path = item.path.relative_to(TESTS)
+        if any(path.is_relative_to(real_time_path) for real_time_path in REAL_TIME_PATHS):
             item.add_marker(pytest.mark.real_time)
-            item.add_marker(pytest.mark.xdist_group("real_time"))
-
-
-def _is_real_time(item: pytest.Item) -> bool:
-    path = item.path.relative_to(TESTS)
-    return any(path.is_relative_to(real_time_path) for real_time_path in REAL_TIME_PATHS)
 
 
 @pytest.fixture
