--- a/tests/fleet/test_protocol.py
+++ b/tests/fleet/test_protocol.py
@@ -204,7 +204,7 @@
 def without_floor(
     one: Home, now: float, request: home.Request, rules: Rules, around: Around
 ) -> tuple[Home, home.Reply]:
-    """A seeded defect: the warden forgets those who hold leave and serve still."""
+    """Seed a defect: the warden forgets those who hold leave and serve still."""
     if isinstance(request, home.TakeSlot):
         forgetful = msgspec.structs.replace(one, slots=HashTrieMap())
         return home.reduce(forgetful, now, request, rules, around)
@@ -214,7 +214,7 @@
 def without_claims(
     one: Home, now: float, request: home.Request, rules: Rules, around: Around
 ) -> tuple[Home, home.Reply]:
-    """A seeded defect: a claim is given whoever holds it."""
+    """Seed a defect: a claim is given whoever holds it."""
     if isinstance(request, home.TakeClaims):
         for name in request.instances:
             record = one.records[name]
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -9,7 +9,7 @@
 import socket
 import subprocess
 import sys
-from collections.abc import AsyncIterator, Iterator
+from collections.abc import AsyncIterator
 from dataclasses import replace
 from pathlib import Path
 from typing import Any
@@ -35,8 +35,8 @@
 
 
 @pytest.fixture
-def folder(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Path]:
-    yield tmp_path_factory.mktemp("h")
+def folder(tmp_path_factory: pytest.TempPathFactory) -> Path:
+    return tmp_path_factory.mktemp("h")
 
 
 class Process:
--- a/tests/net/test_http1.py
+++ b/tests/net/test_http1.py
@@ -253,7 +253,7 @@
                 status, headers, _ = await client.answer()
                 assert (status, headers["connection"]) == (200, "close")
             await trio.sleep(server.ACCEPT_ON_S)
-            with pytest.raises(OSError):
+            with pytest.raises(OSError, match="all attempts to connect"):
                 await client1(here.http1)
 
     run(main)
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -7,7 +7,6 @@
 import subprocess
 import sys
 import time
-from collections.abc import Iterator
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -437,7 +436,7 @@
 
 
 @pytest.fixture
-def seen(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[peer_ingresses.Among]]:
+def seen(monkeypatch: pytest.MonkeyPatch) -> list[peer_ingresses.Among]:
     """Keep the talk of each run, to look at what the ingresses said last."""
     kept: list[peer_ingresses.Among] = []
     real = peer_ingresses.Among.judge
@@ -447,7 +446,7 @@
         real(self, result, record)
 
     monkeypatch.setattr(peer_ingresses.Among, "judge", judge)
-    yield kept
+    return kept
 
 
 def play(name: str, seconds: float, *faults: scenario.Fault | scenario.NetFault, **changes: Any) -> Result:
--- a/wickspring/commands/peers.py
+++ b/wickspring/commands/peers.py
@@ -41,7 +41,7 @@
 
 @click.group()
 def peers() -> None:
-    """The talk between ingresses, where deploy/peers.toml has it on."""
+    """Inspect the communication between ingresses, where deploy/peers.toml enables it."""
 
 
 @peers.command()
--- a/wickspring/connections/pools.py
+++ b/wickspring/connections/pools.py
@@ -215,7 +215,7 @@
         return self._take()
 
     def up(self, now: float, conn: Conn, room: int) -> list[Action]:
-        """A dial has succeeded."""
+        """Take in a dial that has succeeded."""
         if conn.state is State.CLOSED:
             return [Close(conn)]
         pool = self._dialed(conn)
@@ -234,7 +234,7 @@
         return self._take()
 
     def dial_failed(self, now: float, conn: Conn) -> list[Action]:
-        """A dial has failed: one in the line is told, all of them where nothing else can come."""
+        """Take in a failed dial: one waiting request learns of it, all where no other connection can come."""
         pool = self._dialed(conn)
         self._gone(conn)
         self.tally["dials_failed"] += 1
@@ -251,7 +251,7 @@
         return self._take()
 
     def done(self, now: float, want: Want, answered: bool) -> list[Action]:
-        """A request has left its connection: answered whole, or given up where its stream could be reset."""
+        """Free the place of a request that was answered in full, or whose stream could be reset."""
         conn = want.conn
         if conn is None:
             return []
@@ -296,7 +296,7 @@
         want.conn = None
 
     def silent(self, want: Want) -> None:
-        """A request was given up without one byte heard on its connection since.
+        """Note that a request was given up without one byte received on its connection since.
 
         Where one that began later has been answered on another, the server lives and the way is dead: what
         stands between drops links without a word.
@@ -308,7 +308,7 @@
             self.tally["sent_on_silent"] += 1
 
     def stale(self, now: float, want: Want) -> list[Action]:
-        """The connection that a request was assigned to is found closed before a byte went out."""
+        """Note that the connection a request was assigned to was closed before a byte went out."""
         conn, want.conn = want.conn, None
         if conn is not None:
             conn.load -= 1
@@ -319,7 +319,7 @@
         return self.want(now, want)
 
     def room(self, now: float, conn: Conn, room: int) -> list[Action]:
-        """A connection takes more or fewer requests at once than before; 0 for none any more."""
+        """Change how many requests a connection takes at once; 0 for none any more."""
         conn.room = room
         pool = self.pools.get(conn.server)
         if room <= 0 and not conn.load and conn.state is State.UP:
@@ -329,7 +329,7 @@
         return self._take()
 
     def closed(self, now: float, conn: Conn, end: End) -> list[Action]:
-        """A connection has ended; its requests have been told apart (`lost`, or never written)."""
+        """Remove a connection that has ended; each of its requests is known as `lost` or never written."""
         if conn.state is State.CLOSED:
             return []
         if end is End.PEER and not conn.load and conn.room:
@@ -344,7 +344,7 @@
         return self._take()
 
     def gave_up(self, want: Want) -> None:
-        """A request in the line waits no longer."""
+        """Take a request out of the queue, as it waits no longer."""
         pool = self.pools.get(want.server)
         if pool is not None and want in pool.line:
             pool.line.remove(want)
--- a/wickspring/core/reducer.py
+++ b/wickspring/core/reducer.py
@@ -145,7 +145,7 @@
             return self._arrived(now, event.request, event.call_id)
         if isinstance(event, api.Request):
             return self._arrived(now, event, "")
-        elif isinstance(event, api.Withdrawn):
+        if isinstance(event, api.Withdrawn):
             pending = self.pending.get(event.request)
             if pending is None or pending.over:
                 return None
--- a/wickspring/net/handover.py
+++ b/wickspring/net/handover.py
@@ -144,7 +144,7 @@
         """Take a part of the state in."""
 
     def moved(self, server: ServerId, back: float | None) -> None:
-        """A server has been taken out, or put back, at the other process's door."""
+        """Apply a server's removal or return, made at the other process's admin API."""
 
     def peer_holds(self, descriptors: int) -> None:
         """Note how many descriptors the other process holds."""
--- a/wickspring/net/host.py
+++ b/wickspring/net/host.py
@@ -104,7 +104,7 @@
 
     @abstractmethod
     def leave(self, number: int) -> None:
-        """The client has gone away: nothing more is owed."""
+        """Forget a client that has gone away: it is owed no answer."""
 
     def later(self, delay: float, action: Callable[[], None]) -> None:
         """Call `action` after so many milliseconds."""
--- a/wickspring/net/http2_front.py
+++ b/wickspring/net/http2_front.py
@@ -254,7 +254,7 @@
         self.runtime.ask(stream, method, target, headers, bytes(stream.body))
 
     def _reset(self, number: int) -> None:
-        """The client wants no answer on this stream; the other streams are not touched.
+        """Cancel a stream that the client wants no answer on; the other streams are not touched.
 
         Its request is withdrawn: that is its one end in the core, which starts nothing for it any more.
         """
--- a/wickspring/net/runtime.py
+++ b/wickspring/net/runtime.py
@@ -183,7 +183,7 @@
         self.dispatch(core.Arrived(request, call.call_id))
 
     def leave(self, number: int) -> None:
-        """The client has gone away: nothing more is owed."""
+        """Forget a client that has gone away: it is owed no answer."""
         self._clients.pop(number, None)
         self._no_feed(number)
         self._passing.pop(number, None)
--- a/wickspring/net/server.py
+++ b/wickspring/net/server.py
@@ -122,7 +122,7 @@
 
 
 class Operated:
-    """This process as operators at the door and the other process of its ingress see it."""
+    """The present process, as its admin API and the other process of its ingress see it."""
 
     def __init__(self, runtime: Runtime, path: Path | None) -> None:
         self.runtime, self.path = runtime, path
@@ -218,7 +218,7 @@
         succession.adopt(self.runtime.reducer, state)
 
     def moved(self, server: api.ServerId, back: float | None) -> None:
-        """A server has been taken out, or put back, at the other process's door."""
+        """Apply a server's removal or return, made at the other process's admin API."""
         self.runtime.exclude(server) if back is None else self.runtime.include(server, back)
         self._keep()
 
--- a/wickspring/net/upstream/http1.py
+++ b/wickspring/net/upstream/http1.py
@@ -260,7 +260,7 @@
             self.upstream.finish(job, reply)
 
     def abandon(self, job: Job) -> None:
-        """Giving up a written job closes the connection."""
+        """Give up a job, which closes the connection once the job is written."""
         if self.job is job:
             self.job = None
             self.close()
--- a/wickspring/net/upstream/manager.py
+++ b/wickspring/net/upstream/manager.py
@@ -147,31 +147,31 @@
         return Link(sock, self.nursery)
 
     def up(self, conn: Conn, room: int) -> None:
-        """A dial has succeeded, and the connection takes so many jobs at once."""
+        """Take in a dial that has succeeded; its connection takes so many jobs at once."""
         self._perform(self.pools.up(self.clock.now(), conn, room))
 
     def dial_failed(self, conn: Conn) -> None:
-        """A dial has failed."""
+        """Take in a dial that has failed."""
         self._carriers.pop(conn, None)
         self._perform(self.pools.dial_failed(self.clock.now(), conn))
 
     def room(self, conn: Conn, room: int) -> None:
-        """A connection takes more or fewer jobs from now on."""
+        """Change how many jobs a connection takes at once."""
         if conn.room != room:
             self._perform(self.pools.room(self.clock.now(), conn, room))
 
     def finish(self, job: Job, reply: Reply) -> None:
-        """A job has left its connection, which goes on: answered, or never written."""
+        """Free the place of a job on a connection that goes on: it was answered, or never written."""
         answered = reply.status is not Status.CONNECT_FAILED
         self._perform(self.pools.done(self.clock.now(), job, answered))
         job.end(reply)
 
     def left(self, job: Job) -> None:
-        """A job that was given up has left its connection, which goes on."""
+        """Free the place of a job that was given up, on a connection that goes on."""
         self._perform(self.pools.done(self.clock.now(), job, answered=False))
 
     def closed(self, conn: Conn, end: End, lost: list[tuple[Job, Reply, bool]]) -> None:
-        """A connection has ended, and with it these jobs, of which bytes may have been heard."""
+        """Remove a connection that has ended with these jobs, of which bytes may have been received."""
         self._carriers.pop(conn, None)
         for job, reply, heard in lost:
             if reply.status is Status.RESET:
