--- a/tests/common/test_docs.py
+++ b/tests/common/test_docs.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import re
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
@@ -78,3 +79,26 @@
     targets = set(_LINK.findall((ROOT / page).read_text()))
     folder = (ROOT / page).parent
     assert [target for target in sorted(targets) if not (folder / target).exists()] == []
+
+
+def _message_classes() -> Iterator[tuple[str, str, str]]:
+    """Yield name on the wire, class and module of each message."""
+    chain = ROOT / PACKAGE / "controlplane" / "replication" / "messages.py"
+    for path in (*(ROOT / PACKAGE / "common" / "messages").glob("*.py"), chain):
+        module = str(path.relative_to(ROOT / PACKAGE))
+        text = path.read_text()
+        for name, tag in re.findall(r'^class (\w+)\([^)]*?\btag="(\w+)"', text, re.M):
+            yield f"`{tag}`", f"`{name}`", f"`{module}`"
+        for name, kind in re.findall(
+            r'^class (\w+):\n(?:    .*\n|\n)*?    KIND: ClassVar = "(\w+)"', text, re.M
+        ):
+            yield f"`chain`, `{kind}`", f"`{name}`", f"`{module}`"
+
+
+def test_the_glossary_lists_every_message() -> None:
+    section = (ROOT / "docs" / "GLOSSARY.md").read_text().split("## Messages\n", 1)[1].split("\n## ", 1)[0]
+    rows = [line.strip("|").split("|") for line in section.splitlines() if line.startswith("| `")]
+    named = sorted(tuple(cell.strip() for cell in row) for row in rows)
+    classes = sorted(_message_classes())
+    assert len(classes) > 40
+    assert named == classes
