--- a/tests/common/test_messages.py
+++ b/tests/common/test_messages.py
@@ -211,11 +211,11 @@
     refused: list[list[object]] = [["out", 7], ["tick", 7]]
     for wrong in refused:
         assert read_all(data + msgpack.packb(wrong) + data, piece) == sent
-    assert events == ["message_bad"] * 2
+    assert events == ["message_invalid"] * 2
     no_messages: list[object] = [[], [7], {"out": "i1"}, 7]
     for other in no_messages:
         assert read_all(data + msgpack.packb(other) + data, piece) == sent
-    assert events == ["message_bad"] * 2
+    assert events == ["message_invalid"] * 2
 
 
 def test_a_connection_sends_typed_messages() -> None:
--- a/wickspring/common/connection.py
+++ b/wickspring/common/connection.py
@@ -121,7 +121,7 @@
 
     def _log_bad_message(self, error: Exception) -> None:
         reason = repr(error)[:MAX_REASON_CHARACTERS]
-        logs.log_event("message_bad", sender=self.peer_address, reason=reason)
+        logs.log_event("message_invalid", sender=self.peer_address, reason=reason)
 
     def close(self) -> None:
         """Close the connection."""
--- a/wickspring/common/lifecycle.py
+++ b/wickspring/common/lifecycle.py
@@ -23,7 +23,7 @@
 async def _signals(ended: trio.Event, reread: Callable[[], None]) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async for one in signals:
-            logs_module.log_event("signal", number=int(one))
+            logs_module.log_event("signal_received", number=int(one))
             if one == signal.SIGHUP:
                 reread()
             else:
@@ -35,7 +35,7 @@
     try:
         settings_module.parse_settings(settings_file.read_settings_file())
     except GatewayError as error:
-        logs_module.log_event("settings_bad", reason=error)
+        logs_module.log_event("settings_invalid", reason=error)
 
 
 async def _main(run: Run, started: Bootstrap) -> None:
--- a/wickspring/common/seeds.py
+++ b/wickspring/common/seeds.py
@@ -29,5 +29,5 @@
             try:
                 self._ips = parse_settings(settings_file.read_settings_file()).seed_ips()
             except GatewayError as error:
-                logs.log_event("settings_bad", reason=error)
+                logs.log_event("settings_invalid", reason=error)
         return self._ips
--- a/wickspring/controlplane/api/config.py
+++ b/wickspring/controlplane/api/config.py
@@ -33,7 +33,7 @@
         """Validate a configuration, and acknowledge it once it is committed."""
         validated = validate_config(request.body)
         if validated.is_error():  # depends on the document alone, so it is refused without a quorum too
-            logs.log_event("config_refused", reason=validated.error.reason)
+            logs.log_event("config_rejected", reason=validated.error.reason)
             return error_response(validated.error)
         version = validated.ok
         result = await self._control_plane.updates.commit(Update(version, request.body))
--- a/wickspring/controlplane/api/server.py
+++ b/wickspring/controlplane/api/server.py
@@ -76,7 +76,7 @@
         try:
             response = await handler.call(request)
         except Exception as error:  # the fault of one call must not end the process
-            logs.log_event("call_failed", path=request.path, reason=repr(error))
+            logs.log_event("request_failed", path=request.path, reason=repr(error))
             response = ApiResponse(500)
         client.answer(response.status, response.retry_after, response.body)
 
--- a/wickspring/controlplane/api/snapshot.py
+++ b/wickspring/controlplane/api/snapshot.py
@@ -57,5 +57,7 @@
             return not_committed_response(result.outcome, "snapshot", update.version)
         version = result.replica.config.version
         leaving = len(result.replica.departures)
-        logs.log_event("snapshot_brought", version=update.version, held=version, leaving=leaving)
+        logs.log_event(
+            "snapshot_restored", version=update.version, current_version=version, departures=leaving
+        )
         return ApiResponse(200, msgspec.json.encode({"generation": f"r{version}", "leaving": leaving}))
--- a/wickspring/controlplane/api/update_errors.py
+++ b/wickspring/controlplane/api/update_errors.py
@@ -20,5 +20,5 @@
         logs.log_event("config_conflict", version=version)
         return error_response(ErrorDetail(ErrorKind.VERSION_TAKEN, f"r{version} is another text's"))
     if version:
-        logs.log_event("config_not_safe", version=version)
+        logs.log_event("config_not_committed", version=version)
     return error_response(ErrorDetail(ErrorKind.NOT_SAFE_YET, subject))
--- a/wickspring/controlplane/config_distribution.py
+++ b/wickspring/controlplane/config_distribution.py
@@ -47,15 +47,15 @@
         if config.version < known_version or self._is_published(config):
             return False
         if config.version == known_version:
-            logs.log_event("config_two_texts", version=known_version, digest=config.digest.hex())
+            logs.log_event("config_digest_mismatch", version=known_version, digest=config.digest.hex())
         try:
             routing_table = build_routing_table(config.document)
         except (KeyError, TypeError, ValueError) as error:
-            logs.log_event("chart_unusable", version=config.version, reason=repr(error))
+            logs.log_event("config_unusable", version=config.version, reason=repr(error))
             return False
         self.routing_table = routing_table
         self.committed = PackedConfig.from_config(config)
-        logs.log_event("chart", version=config.version)
+        logs.log_event("config_adopted", version=config.version)
         return True
 
     def _is_published(self, config: Config) -> bool:
--- a/wickspring/controlplane/endpoint_service.py
+++ b/wickspring/controlplane/endpoint_service.py
@@ -61,7 +61,7 @@
         if changed is None:
             return
         logs.log_event(
-            "server",
+            "endpoint_changed",
             id=changed.id,
             service=changed.service,
             state=changed.state,
@@ -164,7 +164,7 @@
         lost = sorted(self._unreported_lost & self._registry.lost)
         self._unreported_lost.clear()
         if lost:
-            logs.log_event("servers_silent", ids=",".join(lost))
+            logs.log_event("endpoints_timed_out", ids=",".join(lost))
             self._data_planes.broadcast(EndpointsLost(lost))
 
     @property
--- a/wickspring/controlplane/maintenance.py
+++ b/wickspring/controlplane/maintenance.py
@@ -36,7 +36,7 @@
         elif now - self._since > SHORTFALL_LOG_DELAY_MS:
             self._since = math.inf
             if shortfalls:
-                logs.log_event("core_bears_too_little", lacks="; ".join(shortfalls))
+                logs.log_event("fault_tolerance_shortfall", missing="; ".join(shortfalls))
 
 
 class Maintenance:
--- a/wickspring/controlplane/process.py
+++ b/wickspring/controlplane/process.py
@@ -142,14 +142,14 @@
         replication = control_plane.replication
         _start_tasks(control_plane, started, nursery)
         logs.log_event(
-            "lit",
+            "started",
             disk=replication.chain.me.disk_id,
             epoch=replication.chain.view.epoch,
-            held=replication.chain.replica.config.version,
+            stored_version=replication.chain.replica.config.version,
         )
         await ended.wait()
         await drain(control_plane)
-        logs.log_event("out", epoch=replication.chain.view.epoch)
+        logs.log_event("stopped", epoch=replication.chain.view.epoch)
         nursery.cancel_scope.cancel()
 
 
--- a/wickspring/controlplane/replication/node.py
+++ b/wickspring/controlplane/replication/node.py
@@ -186,12 +186,12 @@
             try:
                 event()
             except (*DECODE_ERRORS, AssertionError) as error:
-                logs.log_event("core_message_bad", reason=error)
+                logs.log_event("replication_message_invalid", reason=error)
 
     def _announce_view(self) -> None:
         view = self.chain.view
         logs.log_event(
-            "view",
+            "view_installed",
             epoch=view.epoch,
             voters=",".join(voter.address for voter in view.voters),
             chain=",".join(member.address for member in view.chain),
@@ -217,7 +217,7 @@
             async with self._disk:
                 await trio.to_thread.run_sync(save)
         except (sqlite3.Error, OSError) as error:
-            logs.log_event("save_failed", reason=error)
+            logs.log_event("store_save_failed", reason=error)
             return False
         return True
 
--- a/wickspring/controlplane/storage.py
+++ b/wickspring/controlplane/storage.py
@@ -129,7 +129,7 @@
             try:
                 return what()
             except (sqlite3.OperationalError, OSError) as error:
-                logs_module.log_event("open_failed", reason=error)
+                logs_module.log_event("store_open_failed", reason=error)
                 self._pause(OPEN_AGAIN_S)
         return what()
 
