--- a/tests/common/test_docs.py
+++ b/tests/common/test_docs.py
@@ -17,6 +17,7 @@
         ROOT / "README.md",
         ROOT / "NOTES.md",
         ROOT / "lab" / "days" / "README.md",
+        ROOT / "tests" / "fixtures" / "README.md",
     )
 )
 PAGES_WITH_PATHS = ("README.md", "docs/ARCHITECTURE.md", "docs/GLOSSARY.md")
