--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -29,10 +29,25 @@
 from wickspring.lab.reports.result import Result
 from wickspring.membership.anti_entropy import AntiEntropyTable
 from wickspring.membership.swim import MemberInfo, Membership, MemberState, Suspicion
-from wickspring.peer_state.counts import KEPT_MOST, LIVES_MOST, Ledger, Told, mates, most
-from wickspring.peer_state.judgements import HEARSAY_MS, OWN_MS, Bad, Judge, Witness, Words, weigh
-from wickspring.peer_state.messages import NUMBERS, Reply, Talk
-from wickspring.peer_state.shares import Parts, Shares
+from wickspring.peer_state.counts import (
+    MAX_INCARNATIONS,
+    MAX_WINDOWS,
+    UsageLedger,
+    UsageSum,
+    peer_slots,
+    upper_bound,
+)
+from wickspring.peer_state.judgements import (
+    HEARSAY_MS,
+    OWN_EVIDENCE_MS,
+    FailingServer,
+    FailureReport,
+    Judge,
+    Witness,
+    weigh,
+)
+from wickspring.peer_state.messages import NUMBERS, PeerMessage, Reply
+from wickspring.peer_state.shares import ShareMessages, Shares
 from wickspring.policy import Policy
 from wickspring.wire import Greeting, Lines
 
@@ -169,43 +184,43 @@
 # Counts.
 
 
-def test_sums_told_twice_or_out_of_order_are_counted_once_and_a_new_life_goes_on_from_the_old() -> None:
-    ledger = Ledger(slot=0, slots=4, life=1.0)
-    ledger.hear(0.0, 1, 10.0, [Told(7, 3, 5.0, 900.0)])
-    ledger.hear(0.0, 1, 10.0, [Told(7, 3, 2.0, 900.0)])
-    ledger.hear(0.0, 1, 10.0, [Told(7, 3, 5.0, 900.0)])
+def test_sums_received_twice_or_out_of_order_count_once_and_a_new_incarnation_continues_the_old() -> None:
+    ledger = UsageLedger(slot=0, slots=4, incarnation=1.0)
+    ledger.merge(0.0, 1, 10.0, [UsageSum(7, 3, 5.0, 900.0)])
+    ledger.merge(0.0, 1, 10.0, [UsageSum(7, 3, 2.0, 900.0)])
+    ledger.merge(0.0, 1, 10.0, [UsageSum(7, 3, 5.0, 900.0)])
     assert ledger.others(7, 3) == 5.0
-    ledger.hear(5.0, 1, 20.0, [Told(7, 3, 4.0, 900.0)])  # it has started again
+    ledger.merge(5.0, 1, 20.0, [UsageSum(7, 3, 4.0, 900.0)])  # it has started again
     assert ledger.others(7, 3) == 9.0
-    (told,) = ledger.relay(6.0, 1, 10)
-    again = Ledger(slot=1, slots=4, life=20.0)
-    again.hear(6.0, 0, 1.0, [], [told])
+    (relayed,) = ledger.take_relayed(6.0, 1, 10)
+    again = UsageLedger(slot=1, slots=4, incarnation=20.0)
+    again.merge(6.0, 0, 1.0, [], [relayed])
     assert again.others(7, 3) == 5.0  # what its own earlier life had sent on
     for life in range(30, 60):
-        ledger.hear(7.0, 1, float(life), [Told(7, 3, 1.0, 900.0)])
+        ledger.merge(7.0, 1, float(life), [UsageSum(7, 3, 1.0, 900.0)])
     assert ledger.others(7, 3) == 39.0
-    assert len(ledger._counts[7, 3].told) <= LIVES_MOST
-    wrong = [Told(7, 3, float("nan"), 900.0), Told(7, 3, -4.0, 900.0), Told(7, 3, 1.0, -1.0)]
-    ledger.hear(8.0, 2, 1.0, wrong)
+    assert len(ledger._windows[7, 3].others) <= MAX_INCARNATIONS
+    wrong = [UsageSum(7, 3, float("nan"), 900.0), UsageSum(7, 3, -4.0, 900.0), UsageSum(7, 3, 1.0, -1.0)]
+    ledger.merge(8.0, 2, 1.0, wrong)
     assert ledger.others(7, 3) == 39.0
 
 
-def test_a_mate_is_told_of_each_change_once_and_again_where_it_was_lost() -> None:
-    ledger = Ledger(slot=0, slots=6, life=1.0)
-    ledger.note(7, 3, 2.0, until=1000.0, first=5, spread=3)
-    assert mates(5, 3, 6, 0) == (5, 1)
-    words = ledger.tell(0.0, 5, 10)
-    assert [(word.customer, word.window, word.units) for word in words] == [(7, 3, 2.0)]
-    assert ledger.tell(0.0, 5, 10) == ()
-    ledger.untold(5, words)
-    assert ledger.tell(0.0, 5, 10) == words
-    assert ledger.tell(0.0, 2, 10) == ()  # not of this customer's set
-    ledger.settle(1000.0 + 2000.0)
+def test_a_peer_is_sent_each_change_once_and_again_where_it_was_lost() -> None:
+    ledger = UsageLedger(slot=0, slots=6, incarnation=1.0)
+    ledger.record(7, 3, 2.0, until=1000.0, first=5, spread=3)
+    assert peer_slots(5, 3, 6, 0) == (5, 1)
+    sums = ledger.take_sums(0.0, 5, 10)
+    assert [(usage.customer, usage.window, usage.units) for usage in sums] == [(7, 3, 2.0)]
+    assert ledger.take_sums(0.0, 5, 10) == ()
+    ledger.send_again(5, sums)
+    assert ledger.take_sums(0.0, 5, 10) == sums
+    assert ledger.take_sums(0.0, 2, 10) == ()  # not of this customer's set
+    ledger.expire(1000.0 + 2000.0)
     assert len(ledger) == 0
-    for customer in range(KEPT_MOST + 50):
-        ledger.note(customer, 1, 1.0, until=1000.0, first=0, spread=2)
-    assert len(ledger) == KEPT_MOST
-    assert most(10.0, 0.01, [(0.25, 400.0), (0.5, 0.0)]) == 11.0
+    for customer in range(MAX_WINDOWS + 50):
+        ledger.record(customer, 1, 1.0, until=1000.0, first=0, spread=2)
+    assert len(ledger) == MAX_WINDOWS
+    assert upper_bound(10.0, 0.01, [(0.25, 400.0), (0.5, 0.0)]) == 11.0
 
 
 def admitted(told: bool, seconds: int = 60) -> float:
@@ -232,9 +247,9 @@
             for one, (_, mine) in enumerate(fleets):
                 for other, (_, theirs) in enumerate(fleets):
                     if one < other:
-                        said = mine.say(now, f"n{other}", other)
-                        answer = theirs.answer(now, f"n{one}", one, float(one), said)
-                        mine.hear(now, f"n{other}", other, float(other), answer)
+                        messages = mine.messages_to(now, f"n{other}", other)
+                        answer = theirs.answer(now, f"n{one}", one, float(one), messages)
+                        mine.on_messages(now, f"n{other}", other, float(other), answer)
     return sent / (16.0 + 9.0 * seconds)
 
 
@@ -249,9 +264,9 @@
 STARTED = {f"s{number}": 0.0 for number in range(10)}
 
 
-def witness(number: int, *servers: str, fails: int = 1, tried: int = 8, age: float = 100.0) -> Witness:
-    bad = tuple(Bad(server, 0.0, fails) for server in servers)
-    return Witness(f"n{number}", f"hall-{number % 3}", Words(bad, tried), age)
+def witness(number: int, *servers: str, failures: int = 1, tried: int = 8, age: float = 100.0) -> Witness:
+    failing = tuple(FailingServer(server, 0.0, failures) for server in servers)
+    return Witness(f"n{number}", f"hall-{number % 3}", FailureReport(failing, tried), age)
 
 
 def avoided(
@@ -262,34 +277,34 @@
 
 def test_three_of_two_halls_move_the_others_and_two_or_one_hall_do_not() -> None:
     assert avoided(*(witness(number, "s1") for number in range(3))) == ["s1"]
-    assert avoided(*(witness(number, "s1", fails=9) for number in range(2))) == []
-    assert avoided(*(witness(3 * number, "s1", fails=9) for number in range(5))) == []
+    assert avoided(*(witness(number, "s1", failures=9) for number in range(2))) == []
+    assert avoided(*(witness(3 * number, "s1", failures=9) for number in range(5))) == []
     assert avoided(*(witness(number, "s1", age=HEARSAY_MS) for number in range(5))) == []
 
 
 def test_a_liar_moves_nobody_and_many_move_no_more_than_the_share() -> None:
     every = [f"s{number}" for number in range(8)]
-    assert avoided(witness(1, *every, fails=9, tried=1000)) == []
-    liars = [witness(number, *every, fails=9, tried=1000) for number in range(6)]
+    assert avoided(witness(1, *every, failures=9, tried=1000)) == []
+    liars = [witness(number, *every, failures=9, tried=1000) for number in range(6)]
     assert len(avoided(*liars)) == 3
     assert weigh(witness(1, *every, tried=9)) == 0.0  # all that it tried: it is cut off itself
-    assert avoided(*(witness(number, *every, fails=9, tried=9) for number in range(6))) == []
+    assert avoided(*(witness(number, *every, failures=9, tried=9) for number in range(6))) == []
 
 
 def test_own_answers_go_first_and_a_restart_ends_what_was_said() -> None:
-    three = [witness(number, "s1", fails=3) for number in range(3)]
+    three = [witness(number, "s1", failures=3) for number in range(3)]
     judge = Judge()
-    judge.seen(1e6 - 10.0, "s1", 0.0, good=True)
+    judge.record(1e6 - 10.0, "s1", 0.0, good=True)
     assert avoided(*three, judge=judge) == []
-    judge.seen(1e6 - 5.0, "s1", 0.0, good=False)  # answers of before go first for a while
+    judge.record(1e6 - 5.0, "s1", 0.0, good=False)  # answers of before go first for a while
     assert avoided(*three, judge=judge) == []
     late = Judge()
-    late.seen(1e6 - OWN_MS, "s1", 0.0, good=True)
+    late.record(1e6 - OWN_EVIDENCE_MS, "s1", 0.0, good=True)
     assert avoided(*three, judge=late) == ["s1"]
     assert avoided(*three, started={**STARTED, "s1": 5.0}) == []
-    assert judge.words(1e6).bad == (Bad("s1", 0.0, 1),)
-    judge.seen(1e6, "s1", 0.0, good=True)
-    assert judge.words(1e6) == Words()
+    assert judge.report(1e6).failing == (FailingServer("s1", 0.0, 1),)
+    judge.record(1e6, "s1", 0.0, good=True)
+    assert judge.report(1e6) == FailureReport()
 
 
 def test_the_module_shuns_what_is_to_be_avoided_while_there_is_another() -> None:
@@ -325,13 +340,13 @@
 def test_rights_go_to_where_they_are_wanted_and_names_that_are_none_are_dropped() -> None:
     one, other = shares(Bounds(retries_per_s=8)), shares(Bounds(retries_per_s=8), 1)
     assert [one.take(0.0, "retries") for _ in range(5)] == [True] * 4 + [False]
-    assert one.wanted(1.0) == [1]
-    said = one.say(1.0, "b", 1)
-    one.hear(2.0, "b", 1, 1.0, other.answer(2.0, "a", 0, 0.0, said))
+    assert one.slots_to_ask(1.0) == [1]
+    messages = one.messages_to(1.0, "b", 1)
+    one.on_messages(2.0, "b", 1, 1.0, other.answer(2.0, "a", 0, 0.0, messages))
     assert one.take(3.0, "retries")  # lent: half of the other's part at most
     assert [other.take(3.0, "retries") for _ in range(4)] == [True] * 3 + [False]
     names = ("x", "cap 9 9", "dials")
-    wrong = Parts(tuple(msgspec.structs.replace(said.asks[0], budget=name) for name in names))
+    wrong = ShareMessages(tuple(msgspec.structs.replace(messages.asks[0], budget=name) for name in names))
     assert other.answer(4.0, "a", 0, 0.0, wrong).grants == ()
     assert one.take(0.0, "probes")  # not bounded by this file
     assert len(other.held) == 1
@@ -363,10 +378,10 @@
     for tells in (True, False):
         one = Shares(make_settings(gateways=2), Bounds(), 0.0, -60_000.0, 1, tells)
         one.sent_on(7, 3, 2.0, 1000.0, 0, 2)
-        one.hear(10.0, "b", 1, 1.0, Parts())
-        assert bool(one.say(11.0, "b", 1).told) is tells
+        one.on_messages(10.0, "b", 1, 1.0, ShareMessages())
+        assert bool(one.messages_to(11.0, "b", 1).sums) is tells
         assert one.hears(12.0, 0, 2) is tells
-        assert one.mates(12.0) == [1] * tells
+        assert one.peer_slots(12.0) == [1] * tells
 
 
 def test_a_successor_spends_nothing_until_its_predecessor_does_not_any_more() -> None:
@@ -482,7 +497,7 @@
     assert sorted(views) == list(range(6))
     for view in views.values():  # the last look before they ended, or while some were already leaving
         assert {one.name for one in view.members} == {f"n{number}" for number in range(6)}
-        assert any(one.hall != view.hall and one.standing != "gone" for one in view.members)
+        assert any(one.hall != view.hall and one.state != "gone" for one in view.members)
 
 
 def test_stopped_killed_and_cut_one_way_ingresses_spend_no_more_than_the_bound(
@@ -513,7 +528,7 @@
     assert result.served > 0
     for number, view in seen[0].views.items():  # how much that helps is shown without processes, above
         assert view.customers > 0
-        assert {one.slot for one in view.members if one.heard_s >= 0.0} >= set(range(6)) - {number}
+        assert {one.slot for one in view.members if one.last_received_s >= 0.0} >= set(range(6)) - {number}
 
 
 def test_sixty_in_virtual_time_find_each_other_and_learn_of_a_bad_server_that_few_have_met() -> None:
@@ -581,7 +596,7 @@
                 process.wait(10)
 
 
-def test_a_stranger_s_words_end_its_link_and_nothing_else(tmp_path: Path) -> None:
+def test_unreadable_messages_end_their_link_and_nothing_else(tmp_path: Path) -> None:
     """One process: garbage, another protocol, another fleet, a slot out of range; then it still answers."""
     place, peers, process = start(tmp_path)
     slots = json.loads((tmp_path / "config.json").read_text())["settings"]["Siblings"]
@@ -606,11 +621,11 @@
                     await trio.sleep(0.05)
             (refused,) = await say(msgspec.json.encode(Greeting(7, 9, "9.9")))
             assert b"speaks protocol 1 to 1" in refused
-            hello, alien = msgspec.json.encode(Greeting()), Talk("x", 0, 99, 1.0)
+            hello, alien = msgspec.json.encode(Greeting()), PeerMessage("x", 0, 99, 1.0)
             answers = await say(hello, b'["talk",3', b"[1]", msgspec.json.encode(alien))
             assert b"cannot be read" in answers[1]
             assert b"Siblings" in answers[3]
-            wild = Talk("y", 10**6, slots, 1.0)
+            wild = PeerMessage("y", 10**6, slots, 1.0)
             assert b"Siblings" in (await say(hello, msgspec.json.encode(wild)))[1]
             stream = await trio.open_tcp_stream("127.0.0.1", place)
             await stream.send_all(b"\x00\xff" * 50_000 + b"\n")
@@ -621,8 +636,8 @@
             view = msgspec.json.decode(shown[1], type=Reply).view
             assert view is not None
             assert [one.name for one in view.members] == [view.name]
-            assert view.troubles["bad_words"] >= 2
-            assert view.troubles["another_protocol"] == 1
+            assert view.error_counts["bad_words"] >= 2
+            assert view.error_counts["another_protocol"] == 1
 
     try:
         trio.run(main)
--- a/wickspring/commands/peers.py
+++ b/wickspring/commands/peers.py
@@ -10,7 +10,7 @@
 
 from wickspring import config
 from wickspring.commands import fail
-from wickspring.peer_state.messages import NUMBERS, Reply, Show, View
+from wickspring.peer_state.messages import NUMBERS, Reply, StatusRequest, View
 from wickspring.tls import Certificates
 from wickspring.wire import WireError, connect
 
@@ -27,7 +27,7 @@
         with trio.fail_after(WITHIN_S):
             link = await connect(address, address, NUMBERS, tls)
             try:
-                reply = await link.ask(Show(), _replies)
+                reply = await link.ask(StatusRequest(), _replies)
             finally:
                 await link.close()
     except trio.TooSlowError as error:
@@ -75,7 +75,7 @@
         click.echo(msgspec.json.format(msgspec.json.encode(view), indent=1).decode())
     else:
         _show(view, everything)
-    heard = sum(one.standing in ("alive", "doubted") for one in view.members)
+    heard = sum(one.state in ("alive", "doubted") for one in view.members)
     if 2 * heard <= view.slots:
         raise fail(f"{view.name} hears {heard} of {view.slots}, itself among them")
 
@@ -92,16 +92,18 @@
     )
     table = Table("ingress", "slot", "hall", "is", "talked s ago", "heard s ago", "says fails", box=None)
     for one in view.members:
-        ages = [f"{age:.1f}" if age >= 0 else "never" for age in (one.reached_s, one.heard_s)]
+        ages = [f"{age:.1f}" if age >= 0 else "never" for age in (one.last_contact_s, one.last_received_s)]
         if one.name == view.name:
             ages = ["-", "-"]
-        table.add_row(one.name, str(one.slot), one.hall, one.standing, *ages, " ".join(one.bad) or "-")
+        table.add_row(
+            one.name, str(one.slot), one.hall, one.state, *ages, " ".join(one.failing_servers) or "-"
+        )
     console.print(table)
     shown = [one for one in view.budgets if everything or " " not in one.name or one.lent or one.borrowed]
     if shown:
         table = Table("budget", "rights", "own part", "free", "in use", "lent", "borrowed", box=None)
         for row in shown:
-            numbers = (row.rights, row.part, row.free, row.busy, row.lent, row.borrowed)
+            numbers = (row.rights, row.part, row.free, row.in_use, row.lent, row.borrowed)
             table.add_row(row.name, *map(str, numbers))
         console.print(table)
     hidden = len(view.budgets) - len(shown)
@@ -109,5 +111,5 @@
         console.print(f"{hidden} more budgets, of which nothing is lent or borrowed (--all)")
     for server, weight in view.avoided.items():
         console.print(f"avoided by hearsay: {server} (weight {weight:.2f})")
-    troubles = ", ".join(f"{name} {times}" for name, times in sorted(view.troubles.items()))
+    troubles = ", ".join(f"{name} {times}" for name, times in sorted(view.error_counts.items()))
     console.print(f"troubles: {troubles or 'none'}")
--- a/wickspring/lab/emulation/peer_ingresses.py
+++ b/wickspring/lab/emulation/peer_ingresses.py
@@ -21,7 +21,7 @@
 from wickspring.lab.faults.network_relay import Relay
 from wickspring.lab.reports.record import Record
 from wickspring.lab.reports.result import Result
-from wickspring.peer_state.messages import NUMBERS, Reply, Show, View
+from wickspring.peer_state.messages import NUMBERS, Reply, StatusRequest, View
 from wickspring.wire import Link, WireError, connect
 
 SAMPLE_S, ASK_S = 0.5, 1.0
@@ -29,14 +29,16 @@
 COUNTER, DISCOVERY = "counter", "discovery"
 _LIAR = """
 from wickspring.peer_state import shares
-from wickspring.peer_state.judgements import Bad, Words
+from wickspring.peer_state.judgements import FailingServer, FailureReport
 
-def words(self, now):
-    known = sorted(self.judge._own.items())
+def failure_report(self, now):
+    known = sorted(self.judge._evidence.items())
     turn = int(now / 1000.0) % max(1, len(known))
-    return Words(tuple(Bad(s, own.started, 9) for s, own in (known[turn:] + known[:turn])[:8]), 1000)
+    chosen = (known[turn:] + known[:turn])[:8]
+    failing = tuple(FailingServer(server, evidence.started, 9) for server, evidence in chosen)
+    return FailureReport(failing, 1000)
 
-shares.Shares.words = words
+shares.Shares.failure_report = failure_report
 from wickspring.cli import main
 main()
 """
@@ -123,7 +125,7 @@
             try:
                 if link is None:
                     link = await connect(self.places[number], f"n{number}", NUMBERS)
-                view = (await link.ask(Show(), _replies)).view
+                view = (await link.ask(StatusRequest(), _replies)).view
                 self._links[number] = link
                 return view
             except (WireError, OSError, trio.BrokenResourceError, msgspec.DecodeError):
--- a/wickspring/lab/simulation/large_peers.py
+++ b/wickspring/lab/simulation/large_peers.py
@@ -26,7 +26,7 @@
 from wickspring.lab.reports.result import Result
 from wickspring.lab.simulation.ingress_site import Timeline
 from wickspring.lab.traffic import schedule as scripts
-from wickspring.peer_state.messages import About, Talk
+from wickspring.peer_state.messages import PeerInfo, PeerMessage
 from wickspring.peer_state.participant import Participant
 from wickspring.peer_state.shares import Shares
 from wickspring.routing.aperture import near
@@ -50,8 +50,8 @@
         bounds = scenario.peers.budgets if scenario.peers.enabled else Bounds()
         shares = Shares(settings, bounds, BASE, BASE - 60_000.0, number, scenario.peers.counts)
         hall = f"hall-{number % scenario.servers.halls}"
-        about = About(f"at-{number}", hall=hall, slot=number, slots=scenario.ingresses.count)
-        self.party = Participant(
+        about = PeerInfo(f"at-{number}", hall=hall, slot=number, slots=scenario.ingresses.count)
+        self.participant = Participant(
             self.name, about, shares, fleet.now, round_s=scenario.peers.round_s, seed=fleet.seed + number
         )
         self.near = near(fleet.servers, number, scenario.ingresses.count)
@@ -67,35 +67,35 @@
     # Talks.
 
     def _round(self) -> None:
-        self.party.tick(self.fleet.now)
-        target = self.party.members.next_probe_target()
-        if self.party.knocks(target):
+        self.participant.tick(self.fleet.now)
+        target = self.participant.members.next_probe_target()
+        if self.participant.should_contact_seed(target):
             self.talk(self.fleet.seed_of(self.number), True)
         if target is not None:
             self._probe(target, True)
 
     def _mates(self) -> None:
-        for name in self.party.due_mates(self.fleet.now):
+        for name in self.participant.due_peers(self.fleet.now):
             self._probe(name, False)
-        for name in self.party.lenders(self.fleet.now)[:1]:
+        for name in self.participant.lenders(self.fleet.now)[:1]:
             self.talk(name, False)
-        self.party.shares.settle(self.fleet.now)
+        self.participant.shares.expire(self.fleet.now)
 
     def _judge(self) -> None:
         fleet, now = self.fleet, self.fleet.now
-        avoid = self.party.judge(now, fleet.started)
+        avoid = self.participant.evaluate_servers(now, fleet.started)
         for server, until in avoid.servers if avoid is not None else ():
             self.shunned[server] = until
             self.learnt.setdefault(server, fleet.timeline.now)
             fleet.wrong += server not in fleet.bad
         fleet.looked += len(fleet.servers)
-        for name in self.party.pressed():
+        for name in self.participant.take_urgent_receivers():
             self.talk(name, True)
 
     def _probe(self, name: str, gossip: bool) -> None:
         if self.talk(name, gossip):
             return
-        fleet, members = self.fleet, self.party.members
+        fleet, members = self.fleet, self.participant.members
 
         def asked() -> None:
             helpers = members.select_helpers(name)
@@ -109,32 +109,39 @@
     def talk(self, name: str, gossip: bool) -> bool:
         """Make one talk; False where it is lost."""
         fleet = self.fleet
-        word = self.party.word(fleet.now, name if self.party.members.info_of(name) else "", gossip)
-        self.given += len(msgspec.json.encode(word)) + 1
+        message = self.participant.message_to(
+            fleet.now, name if self.participant.members.info_of(name) else "", gossip
+        )
+        self.given += len(msgspec.json.encode(message)) + 1
         if not fleet.reaches(self.name, name):
-            fleet.timeline.at(fleet.timeline.now + LOST_MS, partial(self.party.lost, name, word))
+            fleet.timeline.at(
+                fleet.timeline.now + LOST_MS, partial(self.participant.on_message_lost, name, message)
+            )
             return False
-        fleet.timeline.at(fleet.timeline.now + fleet.hop(), partial(fleet.find(name).answer, self, word))
+        fleet.timeline.at(fleet.timeline.now + fleet.hop(), partial(fleet.find(name).answer, self, message))
         return True
 
-    def answer(self, other: VirtualIngress, word: Talk, quiet: bool = False) -> None:
-        """Answer another's word; `quiet`: of that nothing is to be made."""
+    def answer(self, other: VirtualIngress, message: PeerMessage, quiet: bool = False) -> None:
+        """Answer another's message; `quiet`: of that nothing is to be made."""
         fleet = self.fleet
-        reply = self.party.answer(fleet.now, word)
+        reply = self.participant.answer(fleet.now, message)
         self.given += len(msgspec.json.encode(reply)) + 1
-        if reply.talk is not None and not quiet and fleet.reaches(self.name, other.name):
+        if reply.message is not None and not quiet and fleet.reaches(self.name, other.name):
             fleet.timeline.at(
-                fleet.timeline.now + fleet.hop(), partial(other.heard, self, word, reply.talk, reply.wants)
+                fleet.timeline.now + fleet.hop(),
+                partial(other.heard, self, message, reply.message, reply.requested),
             )
 
-    def heard(self, other: VirtualIngress, word: Talk, talk: Talk, wants: tuple[str, ...]) -> None:
+    def heard(
+        self, other: VirtualIngress, message: PeerMessage, answer: PeerMessage, requested: tuple[str, ...]
+    ) -> None:
         """Take an answer in."""
         fleet = self.fleet
-        self.party.heard(fleet.now, talk)
-        if wants:
-            follow = self.party.follow(word, wants)
-            self.given += len(msgspec.json.encode(follow)) + 1
-            heard = partial(other.answer, self, follow, quiet=True)
+        self.participant.on_reply(fleet.now, answer)
+        if requested:
+            entries = self.participant.requested_entries(message, requested)
+            self.given += len(msgspec.json.encode(entries)) + 1
+            heard = partial(other.answer, self, entries, quiet=True)
             fleet.timeline.at(fleet.timeline.now + fleet.hop(), heard)
 
     # Requests.
@@ -144,14 +151,14 @@
         fleet, now = self.fleet, self.fleet.now
         window = int(now / WINDOW_MS)
         until = (window + 1) * WINDOW_MS
-        self.party.shares.sent_on(firm.customer, window, float(units), until, firm.first, firm.spread)
+        self.participant.shares.sent_on(firm.customer, window, float(units), until, firm.first, firm.spread)
         for attempt in range(3):
-            if attempt and not self.party.shares.take(now, "retries"):
+            if attempt and not self.participant.shares.take(now, "retries"):
                 break
             fleet.spends += [now] if attempt else []
             server = self._choose(now)
             good = server not in fleet.bad
-            self.party.shares.judged(now, server, 0.0, good)
+            self.participant.shares.judged(now, server, 0.0, good)
             if good:
                 fleet.served += 1
                 return
@@ -207,7 +214,7 @@
         return self.random.uniform(*HOP_MS)
 
     def reaches(self, one: str, other: str) -> bool:
-        """Tell whether a talk from one to another comes about: words and answers must get through."""
+        """Tell whether a talk from one to another comes about: messages and answers must get through."""
         for sources, targets in self.cuts:
             if (one in sources and other in targets) or (other in sources and one in targets):
                 return False
@@ -279,7 +286,7 @@
     bound = scenario.peers.budgets.retries_per_s
     if bound and scenario.peers.enabled:
         result.budget_overspent_worst = max(0.0, peak(fleet.spends, closed=False) / bound - 1.0)
-    known = [len(one.party.members.entries) for one in fleet.ingresses]
+    known = [len(ingress.participant.members.entries) for ingress in fleet.ingresses]
     if scenario.peers.enabled and min(known) < len(fleet.ingresses):
         result.violations.append(f"members: one knows {min(known)} of {len(fleet.ingresses)}")
     if result.budget_overspent_worst > 0:
--- a/wickspring/net/runtime.py
+++ b/wickspring/net/runtime.py
@@ -119,7 +119,7 @@
 
     def _counted(self, answer: api.CountAnswer) -> None:
         if self.peers is not None:
-            self.peers.counted(answer)
+            self.peers.record_counter_answer(answer)
         self.dispatch(answer)
 
     def _speaks2(self, server: api.ServerId) -> bool:
--- a/wickspring/peer_state/messages.py
+++ b/wickspring/peer_state/messages.py
@@ -1,4 +1,8 @@
-"""What ingresses say to each other and show to an operator: one JSON line each way per exchange."""
+"""Messages between data planes, and the status that operators ask for: one JSON line each way per exchange.
+
+The order of the fields of `array_like` messages, the tags, and the names in `rename` are fixed by the wire;
+the last are also keys of `peers status --json`, which operators' scripts read.
+"""
 
 from __future__ import annotations
 
@@ -6,79 +10,88 @@
 
 from wickspring.membership.anti_entropy import Digest, Entry
 from wickspring.membership.swim import MemberInfo, Suspicion
-from wickspring.peer_state.judgements import Words
-from wickspring.peer_state.shares import Parts
+from wickspring.peer_state.judgements import FailureReport
+from wickspring.peer_state.shares import ShareMessages
 from wickspring.wire import Numbers
 
 NUMBERS = Numbers(1, 1, "ingress")
-MOST_LINE = 64 * 1024  # bytes
+MAX_LINE_BYTES = 64 * 1024
 
 
-class About(MemberInfo, frozen=True, array_like=True):
-    """What an ingress tells all others of itself."""
+class PeerInfo(MemberInfo, frozen=True, array_like=True):
+    """What a data plane says of itself to all others."""
 
     hall: str = ""
-    slot: int = 0  # SelfIndex
-    slots: int = 1  # Siblings
-    program: str = ""
-    words: Words = Words()
+    slot: int = 0  # the setting SelfIndex
+    slots: int = 1  # the setting Siblings
+    program: str = ""  # its version
+    failures: FailureReport = FailureReport()
 
 
-class Talk(msgspec.Struct, frozen=True, tag="talk", array_like=True, omit_defaults=True):
-    """One side's word of a talk; without a digest it is no round of gossip."""
+class PeerMessage(msgspec.Struct, frozen=True, tag="talk", array_like=True, omit_defaults=True):
+    """One side's message of an exchange; without a digest it is no round of gossip."""
 
     sender: str
     slot: int
     slots: int
-    life: float
+    incarnation: float
     digest: Digest | None = None
-    entries: tuple[Entry[About], ...] = ()
-    doubts: tuple[Suspicion, ...] = ()
-    parts: Parts = Parts()
+    entries: tuple[Entry[PeerInfo], ...] = ()
+    suspicions: tuple[Suspicion, ...] = ()
+    shares: ShareMessages = ShareMessages()
 
 
-class Reach(msgspec.Struct, frozen=True, tag="reach", array_like=True):
-    """Ask whether another ingress can be reached from here."""
+class IndirectProbe(msgspec.Struct, frozen=True, tag="reach", array_like=True):
+    """Ask a helper whether it reaches another data plane."""
 
     sender: str
-    name: str
+    target: str
 
 
-class Show(msgspec.Struct, frozen=True, tag="show", array_like=True):
-    """Ask for what this ingress holds and hears."""
+class StatusRequest(msgspec.Struct, frozen=True, tag="show", array_like=True):
+    """Ask for a data plane's status."""
 
 
-Message = Talk | Reach | Show
+Message = PeerMessage | IndirectProbe | StatusRequest
 
 
-class MemberView(msgspec.Struct, frozen=True):
-    """One ingress as another sees it; seconds."""
+class MemberView(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "state": "standing",
+        "last_contact_s": "reached_s",
+        "last_received_s": "heard_s",
+        "failing_servers": "bad",
+    },
+):
+    """One data plane as another sees it; seconds."""
 
     name: str
     slot: int
     hall: str
-    standing: str
+    state: str
     address: str
     program: str
-    reached_s: float  # since they last talked; -1: never
-    heard_s: float  # since its budgets and counts were last heard; -1: never
-    bad: tuple[str, ...] = ()  # ticket servers that fail it, by its own word
+    last_contact_s: float  # since the last exchange; -1: never
+    last_received_s: float  # since its budgets and counts were received; -1: never
+    failing_servers: tuple[str, ...] = ()  # ticket servers that fail it, by its own report
 
 
-class BudgetView(msgspec.Struct, frozen=True):
+class BudgetView(msgspec.Struct, frozen=True, rename={"in_use": "busy"}):
     """One budget as held here, in rights."""
 
     name: str
     rights: int
     part: int
     free: int
-    busy: int
+    in_use: int
     lent: int
     borrowed: int
 
 
-class View(msgspec.Struct, frozen=True):
-    """All that `peers status` shows."""
+class View(msgspec.Struct, frozen=True, rename={"error_counts": "troubles"}):
+    """The status of one data plane among the others."""
 
     name: str
     slot: int
@@ -86,20 +99,22 @@
     hall: str
     members: tuple[MemberView, ...] = ()
     budgets: tuple[BudgetView, ...] = ()
-    avoided: dict[str, float] = {}  # ticket servers avoided by hearsay, with the weight against each
-    customers: int = 0  # customers' windows of which counts are held
-    refused: int = 0  # rights asked for in vain
+    avoided: dict[str, float] = {}  # ticket servers avoided by others' reports, with the weight against each
+    customers: int = 0  # customers' windows of which counts are stored
+    refused: int = 0  # rights requested in vain
     bytes_out: int = 0
     bytes_in: int = 0
     up_s: float = 0.0
-    troubles: dict[str, int] = {}  # bad words, links that broke, talks that were not made
+    error_counts: dict[str, int] = {}  # unreadable messages, broken links, skipped exchanges
 
 
-class Reply(msgspec.Struct, frozen=True, omit_defaults=True):
+class Reply(
+    msgspec.Struct, frozen=True, omit_defaults=True, rename={"message": "talk", "requested": "wants"}
+):
     """The answer to any message; what does not apply is left out."""
 
     error: str = ""
-    talk: Talk | None = None
-    wants: tuple[str, ...] = ()
+    message: PeerMessage | None = None
+    requested: tuple[str, ...] = ()
     reached: bool = False
     view: View | None = None
--- a/wickspring/peer_state/participant.py
+++ b/wickspring/peer_state/participant.py
@@ -1,12 +1,12 @@
-"""One ingress among the others: what it says in each talk, and what it makes of what it hears.
+"""One data plane among the others: whom it exchanges messages with, what it sends, and what it learns.
 
-The host makes the talks (`net/peers.py` over links, `lab/large_peers.py` in virtual time) and tells the time.
-No I/O and no clock; times are ms.
+The host makes the exchanges (`net/peers.py` over links, `lab/simulation/large_peers.py` in virtual time) and
+passes the time. No I/O, no clock; times are ms.
 """
 
 from __future__ import annotations
 
-from collections import Counter as Tally
+from collections import Counter
 from collections.abc import Iterable, Mapping
 from random import Random
 
@@ -14,28 +14,32 @@
 
 from wickspring import interface as api
 from wickspring.membership.anti_entropy import Entry
-from wickspring.membership.swim import Membership, MemberState
-from wickspring.peer_state.judgements import Witness, Words
-from wickspring.peer_state.messages import About, BudgetView, MemberView, Reply, Talk, View
-from wickspring.peer_state.shares import Parts, Shares, server_name
-
-DIGEST_MOST = 4  # members in a digest; few more where there are many
-ENTRIES_MOST, DOUBTS_MOST = 4, 4  # handed on in one talk
-SEED_ODDS, JOIN_ODDS = 0.05, 0.25  # that a round tries a seed; while not all slots are known
-WORDS_MS = 500.0  # between changes of what is told of ticket servers
-TOLD_AT_ONCE = 2  # others that are told at once of a ticket server that newly fails somebody
-AVOID_MS = 1000.0  # that one look at hearsay holds
-MATES_MS, MATES_LOST_MS = 900.0, 300.0  # between talks with the others of a set; while the counter is lost
-LOST_MS = 100.0  # between the last call that was not answered and the last that was
+from wickspring.membership.swim import Membership
+from wickspring.peer_state.directory import NEVER, PeerDirectory
+from wickspring.peer_state.messages import BudgetView, MemberView, PeerInfo, PeerMessage, Reply, View
+from wickspring.peer_state.shares import ShareMessages, Shares, server_name
+
+MS_PER_S = 1000.0
+MIN_DIGEST_NAMES = 4  # few more where there are many members
+MAX_ENTRIES = 4  # piggybacked on one message
+MAX_SUSPICIONS = 4  # piggybacked on one message
+SEED_PROBABILITY = 0.05  # that a round contacts a seed
+JOIN_PROBABILITY = 0.25  # the same while not all slots are known
+FAILURE_REPORT_MS = 500.0  # between changes of the own failure report
+URGENT_RECEIVERS = 2  # others that are told at once of a server that newly fails somebody
+AVOID_MS = 1000.0  # for which one evaluation of others' reports holds
+COUNTS_MS = 900.0  # between exchanges with the others of a customer's set
+COUNTS_WITHOUT_COUNTER_MS = 300.0  # the same while the counter does not answer
+COUNTER_LOST_MS = 100.0  # between the last unanswered call and the last answer
 
 
 class Participant:
-    """What one ingress knows of the others, and they of it."""
+    """What one data plane knows of the others, and what it tells them."""
 
     def __init__(
         self,
         name: str,
-        about: About,
+        info: PeerInfo,
         shares: Shares,
         now: float,
         *,
@@ -43,255 +47,228 @@
         seed: int,
         hearsay_share: float = 0.34,
     ) -> None:
-        self.about, self.shares, self.hearsay_share = about, shares, hearsay_share
+        self.info = info
+        self.shares = shares
+        self.hearsay_share = hearsay_share
         self.random = Random(seed)
-        self.members: Membership[About] = Membership(
-            name, round(now / 1000.0, 3), about, round_s, self.random.getrandbits(32), now / 1000.0
+        now_s = now / MS_PER_S
+        self.members: Membership[PeerInfo] = Membership(
+            name, round(now_s, 3), info, round_s, self.random.getrandbits(32), now_s
         )
-        self.troubles: Tally[str] = Tally()
+        self.directory = PeerDirectory(self.members, info.hall)
+        self.error_counts: Counter[str] = Counter()
         self.avoided: dict[str, float] = {}
-        self.counter_heard, self.counter_asked = now, -1e12
-        self._words_told = -1e12
-        self._pressing = False  # it is new that a ticket server fails somebody: handed on at once
-        self._complains: set[str] = set()  # whom ticket servers fail, by their own word
-        self._halls = {about.hall}  # of all that were ever heard of
-        self._holders: dict[int, set[str]] = {}  # who has told to hold a slot
-        self._words_at: dict[str, tuple[tuple[float, int], float]] = {}  # when an entry's content was heard
+        self._counter_answered_at = now
+        self._counter_called_at = NEVER
+        self._failures_reported_at = NEVER
+        self._has_urgent_report = False  # a newly failing server: reported at once
 
     @property
     def name(self) -> str:
         """Return the own name."""
         return self.members.owner
 
-    # Facts of the ingress.
+    # The own entry.
 
-    def counted(self, now: float, answer: api.CountAnswer) -> None:
-        """Note an answer of the counter: whether it answers decides how often counts are told."""
-        self.counter_asked = now
+    def record_counter_answer(self, now: float, answer: api.CountAnswer) -> None:
+        """Record an answer of the counter: whether it answers decides how often counts are sent."""
+        self._counter_called_at = now
         if answer.status is api.Status.OK:
-            self.counter_heard = now
+            self._counter_answered_at = now
 
     @property
     def counter_lost(self) -> bool:
-        """Tell whether calls are made and nothing is answered."""
-        return self.counter_asked - self.counter_heard > LOST_MS
+        """Tell whether calls of the counter are made and none is answered."""
+        return self._counter_called_at - self._counter_answered_at > COUNTER_LOST_MS
 
-    def placed(self, address: str) -> None:
-        """Note where this ingress listens."""
-        self._tell(msgspec.structs.replace(self.about, address=address))
+    def set_address(self, address: str) -> None:
+        """Publish where this data plane listens."""
+        self._publish(msgspec.structs.replace(self.info, address=address))
 
     def leave(self, now: float, succeeded: bool) -> None:
-        """End on purpose, and say so; who is `succeeded` by another process spends nothing any more."""
+        """Publish that this process stops; one that is `succeeded` by another spends nothing any more."""
         if succeeded:
             self.shares.retire(now)
-        self._tell(msgspec.structs.replace(self.about, left=True))
+        self._publish(msgspec.structs.replace(self.info, left=True))
 
-    def _tell(self, about: About) -> None:
-        self.about = about
-        self.members.update_own(about, heartbeat=False)
+    def _publish(self, info: PeerInfo) -> None:
+        self.info = info
+        self.members.update_own(info, heartbeat=False)
 
-    # Whom to talk to.
+    # Whom to contact.
 
     def tick(self, now: float) -> list[str]:
-        """Let time pass; return the members that have just been given up."""
-        return self.members.tick(now / 1000.0)
+        """Advance the time; return the members that have just been declared dead."""
+        return self.members.tick(now / MS_PER_S)
 
-    def knocks(self, target: str | None) -> bool:
-        """Tell whether a round is to try a seed: where nobody is known, and by odds while some are not.
+    def should_contact_seed(self, target: str | None) -> bool:
+        """Tell whether a round is to contact a seed: where nobody is known, and now and then at random.
 
-        Those who began with different seeds would else be as many fleets, each of which knows itself whole.
+        Otherwise those that started with different seeds would stay separate groups, each complete to itself.
         """
-        odds = SEED_ODDS if len(self.members.entries) >= self.about.slots else JOIN_ODDS
-        return target is None or self.random.random() < odds
-
-    def due_mates(self, now: float) -> list[str]:
-        """Return the others of customers' sets that have not been talked to for a while."""
-        every = MATES_LOST_MS if self.counter_lost else MATES_MS
-        slots = (slot for slot in self.shares.mates(now) if now - self.shares.heard.get(slot, -1e12) >= every)
-        return [name for slot in slots if (name := self.named(slot)) is not None]
+        all_known = len(self.members.entries) >= self.info.slots
+        probability = SEED_PROBABILITY if all_known else JOIN_PROBABILITY
+        return target is None or self.random.random() < probability
+
+    def due_peers(self, now: float) -> list[str]:
+        """Return the others of customers' sets with which no exchange was made for a while."""
+        period = COUNTS_WITHOUT_COUNTER_MS if self.counter_lost else COUNTS_MS
+        last_received_at = self.shares.last_received_at
+        due_slots = (
+            slot for slot in self.shares.peer_slots(now) if now - last_received_at.get(slot, NEVER) >= period
+        )
+        return self._holders_of(due_slots)
 
     def lenders(self, now: float) -> list[str]:
         """Return those that may have a right that was refused here."""
-        return [name for slot in self.shares.wanted(now) if (name := self.named(slot)) is not None]
-
-    def pressed(self) -> list[str]:
-        """Return those to be told at once of what has just become known, once."""
-        pressing, self._pressing = self._pressing, False
-        some = self.members.active_members() if pressing else []
-        return self.random.sample(some, min(TOLD_AT_ONCE, len(some)))
-
-    def named(self, slot: int) -> str | None:
-        """Return who holds a slot, the latest to begin where there are two."""
-        found = [
-            entry
-            for name in self._holders.get(slot, ())
-            if (entry := self.members.entries.get(name)) is not None
-            and entry.content is not None
-            and entry.content.slot == slot
-            and self.members.state_of(name) in (MemberState.ALIVE, MemberState.SUSPECTED)
-        ]
-        return max(found, key=lambda entry: entry.incarnation).owner if found else None
-
-    # Talking.
-
-    def word(self, now: float, to: str, gossip: bool) -> Talk:
-        """Return what to begin a talk with; to somebody unknown (a seed) there is gossip alone to say."""
-        about = self.members.info_of(to) if to else None
-        return Talk(
-            self.name,
-            self.about.slot,
-            self.about.slots,
-            self.shares.ledger.life,
-            self.members.digest(DIGEST_MOST + len(self.members.entries).bit_length()) if gossip else None,
-            self.members.take_pending(ENTRIES_MOST) if gossip else (),
-            self.members.take_suspicions(to, DOUBTS_MOST) if gossip else (),
-            self.shares.say(now, to, about.slot) if about is not None else Parts(),
-        )
+        return self._holders_of(self.shares.slots_to_ask(now))
 
-    def lost(self, to: str, word: Talk) -> None:
-        """Note that a word may not have been heard."""
-        about = self.members.info_of(to)
-        if about is not None:
-            self.shares.lost(about.slot, word.parts)
-
-    def heard(self, now: float, talk: Talk) -> None:
-        """Take in the answer of another."""
-        self._listen(now, talk)
-        self.shares.hear(now, talk.sender, talk.slot, talk.life, talk.parts)
-
-    def follow(self, word: Talk, wants: Iterable[str]) -> Talk:
-        """Return the entries that the other has asked for."""
-        entries = self.members.requested_entries(wants, ENTRIES_MOST).entries
-        return Talk(word.sender, word.slot, word.slots, word.life, entries=entries)
-
-    def answer(self, now: float, talk: Talk) -> Reply:
-        """Take in the word of another, and return the answer; one of another fleet is refused by name."""
-        if talk.slots != self.about.slots or not 0 <= talk.slot < self.about.slots:
-            self.troubles["of_another_fleet"] += 1
-            return Reply(error=f"Siblings is {self.about.slots} here and {talk.slots} there")
-        if talk.sender == self.name:
-            return Reply(talk=Talk(talk.sender, self.about.slot, self.about.slots, 0.0))  # its own seed
-        if self.named(talk.slot) not in (None, talk.sender):
-            self.troubles["slot_of_two"] += 1
-        self._listen(now, talk)
-        parts = self.shares.answer(now, talk.sender, talk.slot, talk.life, talk.parts)
-        entries: tuple[Entry[About], ...] = ()
-        wants: tuple[str, ...] = ()
-        doubts = self.members.take_suspicions(talk.sender, DOUBTS_MOST) if talk.digest is not None else ()
-        if talk.digest is not None:
-            delta = self.members.delta(talk.digest, 2 * ENTRIES_MOST)
-            known = {entry.owner for entry in delta.entries} | {talk.sender}
-            fresh = (entry for entry in self.members.take_pending(ENTRIES_MOST) if entry.owner not in known)
-            entries, wants = (*delta.entries, *fresh), delta.requested[: 2 * ENTRIES_MOST]
-        elif talk.sender not in self.members.entries:
-            wants = (talk.sender,)
-        word = Talk(
-            self.name,
-            self.about.slot,
-            self.about.slots,
-            self.shares.ledger.life,
-            entries=entries,
-            doubts=doubts,
-            parts=parts,
+    def _holders_of(self, slots: Iterable[int]) -> list[str]:
+        return [name for slot in slots if (name := self.directory.holder_of(slot)) is not None]
+
+    def take_urgent_receivers(self) -> list[str]:
+        """Return those to be told at once of a newly failing server, once."""
+        urgent = self._has_urgent_report
+        self._has_urgent_report = False
+        candidates = self.members.active_members() if urgent else []
+        return self.random.sample(candidates, min(URGENT_RECEIVERS, len(candidates)))
+
+    # Exchanges.
+
+    def message_to(self, now: float, receiver: str, gossip: bool) -> PeerMessage:
+        """Return the first message of an exchange; an unknown receiver (a seed) is sent gossip alone."""
+        info = self.members.info_of(receiver) if receiver else None
+        message = self._message(
+            self.shares.messages_to(now, receiver, info.slot) if info is not None else ShareMessages()
+        )
+        if not gossip:
+            return message
+        names = MIN_DIGEST_NAMES + len(self.members.entries).bit_length()
+        return msgspec.structs.replace(
+            message,
+            digest=self.members.digest(names),
+            entries=self.members.take_pending(MAX_ENTRIES),
+            suspicions=self.members.take_suspicions(receiver, MAX_SUSPICIONS),
         )
-        return Reply(talk=word, wants=wants)
-
-    def _listen(self, now: float, talk: Talk) -> None:
-        self.members.now = max(self.members.now, now / 1000.0)
-        self._learn(now, [entry for entry in talk.entries if self._fits(entry)])
-        self.members.merge_suspicions(talk.doubts)
-        self.members.record_contact(talk.sender)
-
-    def _learn(self, now: float, entries: list[Entry[About]]) -> None:
-        known = {entry.owner: self.members.info_of(entry.owner) for entry in entries}
-        for entry in self.members.merge_entries(entries):
-            before, after = known[entry.owner], entry.content
-            if after is not None and after.words.bad:
-                new = _named(after.words) - (_named(before.words) if before is not None else set())
-                self._pressing |= bool(new - self.avoided.keys())
-            key = entry.incarnation, entry.content_version
-            if self._words_at.get(entry.owner, ((0.0, -1), 0.0))[0] != key:
-                self._words_at[entry.owner] = key, now
-            if after is not None:
-                self._halls.add(after.hall)
-                (self._complains.add if after.words.bad else self._complains.discard)(entry.owner)
-                self._holders.setdefault(after.slot, set()).add(entry.owner)
-        if len(self._words_at) > len(self.members.entries):  # some have been forgotten
-            for gone in [name for name in self._words_at if name not in self.members.entries]:
-                del self._words_at[gone]
-                self._complains.discard(gone)
-                for names in self._holders.values():
-                    names.discard(gone)
-
-    def _fits(self, entry: Entry[About]) -> bool:
-        about = entry.content
-        if about is None:
+
+    def _message(self, shares: ShareMessages) -> PeerMessage:
+        incarnation = self.shares.ledger.incarnation
+        return PeerMessage(self.name, self.info.slot, self.info.slots, incarnation, shares=shares)
+
+    def on_message_lost(self, receiver: str, message: PeerMessage) -> None:
+        """Record that a message may not have been received."""
+        info = self.members.info_of(receiver)
+        if info is not None:
+            self.shares.on_messages_lost(info.slot, message.shares)
+
+    def on_reply(self, now: float, reply: PeerMessage) -> None:
+        """Take in the reply of another data plane."""
+        self._merge(now, reply)
+        self.shares.on_messages(now, reply.sender, reply.slot, reply.incarnation, reply.shares)
+
+    def requested_entries(self, message: PeerMessage, names: Iterable[str]) -> PeerMessage:
+        """Return a message with the entries that the receiver of an earlier one has requested."""
+        entries = self.members.requested_entries(names, MAX_ENTRIES).entries
+        return PeerMessage(message.sender, message.slot, message.slots, message.incarnation, entries=entries)
+
+    def answer(self, now: float, message: PeerMessage) -> Reply:
+        """Take in a message and return the reply; one of another fleet is refused with the reason."""
+        if message.slots != self.info.slots or not 0 <= message.slot < self.info.slots:
+            self.error_counts["of_another_fleet"] += 1
+            return Reply(error=f"Siblings is {self.info.slots} here and {message.slots} there")
+        if message.sender == self.name:  # this data plane is its own seed
+            return Reply(message=PeerMessage(self.name, self.info.slot, self.info.slots, 0.0))
+        if self.directory.holder_of(message.slot) not in (None, message.sender):
+            self.error_counts["slot_of_two"] += 1
+        self._merge(now, message)
+        shares = self.shares.answer(now, message.sender, message.slot, message.incarnation, message.shares)
+        reply = self._message(shares)
+        if message.digest is None:
+            unknown = message.sender not in self.members.entries
+            return Reply(message=reply, requested=(message.sender,) if unknown else ())
+        suspicions = self.members.take_suspicions(message.sender, MAX_SUSPICIONS)
+        delta = self.members.delta(message.digest, 2 * MAX_ENTRIES)
+        included = {entry.owner for entry in delta.entries} | {message.sender}
+        pending = self.members.take_pending(MAX_ENTRIES)
+        updates = tuple(entry for entry in pending if entry.owner not in included)
+        reply = msgspec.structs.replace(reply, entries=delta.entries + updates, suspicions=suspicions)
+        return Reply(message=reply, requested=delta.requested[: 2 * MAX_ENTRIES])
+
+    def _merge(self, now: float, message: PeerMessage) -> None:
+        self.members.now = max(self.members.now, now / MS_PER_S)
+        entries = [entry for entry in message.entries if self._is_of_this_fleet(entry)]
+        newly_failing = self.directory.merge(now, entries)
+        self._has_urgent_report |= bool(newly_failing - self.avoided.keys())
+        self.members.merge_suspicions(message.suspicions)
+        self.members.record_contact(message.sender)
+
+    def _is_of_this_fleet(self, entry: Entry[PeerInfo]) -> bool:
+        info = entry.content
+        if info is None:
             return True
-        if about.slots == self.about.slots and 0 <= about.slot < about.slots and about.address:
+        if info.slots == self.info.slots and 0 <= info.slot < info.slots and info.address:
             return True
-        self.troubles["of_another_fleet"] += 1
+        self.error_counts["of_another_fleet"] += 1
         return False
 
-    # Judgements.
+    # Failing servers.
+
+    def evaluate_servers(self, now: float, started: Mapping[api.ServerId, float]) -> api.Avoid | None:
+        """Report what fails here; return the servers to avoid because they fail others.
 
-    def judge(self, now: float, started: Mapping[api.ServerId, float]) -> api.Avoid | None:
-        """Tell what fails here, and return what is to be avoided for what fails others."""
+        `started` says of each server when it was started.
+        """
         self.shares.keep_servers(started)
-        words = self.shares.words(now)
-        if words.bad != self.about.words.bad and now >= self._words_told + WORDS_MS:
-            self._pressing |= bool(_named(words) - _named(self.about.words))
-            self._words_told = now
-            self._tell(msgspec.structs.replace(self.about, words=words))
-        there = {server_name(server): at for server, at in started.items()}
-        witnesses = list[Witness]()
-        for name in sorted(self._complains):
-            about = self.members.info_of(name)
-            if about is not None and self.members.state_of(name) is MemberState.ALIVE:
-                age = now - self._words_at.get(name, ((0.0, 0), -1e12))[1]
-                witnesses.append(Witness(name, about.hall, about.words, age))
-        self.avoided = self.shares.judge.avoid(now, witnesses, there, len(self._halls), self.hearsay_share)
+        report = self.shares.failure_report(now)
+        published = self.info.failures
+        if report.failing != published.failing and now >= self._failures_reported_at + FAILURE_REPORT_MS:
+            self._has_urgent_report |= bool(report.servers - published.servers)
+            self._failures_reported_at = now
+            self._publish(msgspec.structs.replace(self.info, failures=report))
+        self.avoided = self.shares.judge.avoid(
+            now,
+            self.directory.witnesses(now),
+            {server_name(server): started_at for server, started_at in started.items()},
+            self.directory.hall_count,
+            self.hearsay_share,
+        )
         if not self.avoided:
             return None
         return api.Avoid(tuple((name.encode("latin-1"), now + AVOID_MS) for name in self.avoided))
 
-    # Shown to operators.
+    # Status.
 
     def view(self, now: float) -> View:
-        """Return what this ingress holds and hears; the host adds bytes and time."""
-        rows = []
-        for name, entry in sorted(self.members.entries.items()):
-            about = entry.content
-            if about is None:
-                continue
-            reached = 0.0 if name == self.name else self.members.seconds_since_contact(name)
-            heard = now - self.shares.heard[about.slot] if about.slot in self.shares.heard else -1000.0
-            rows.append(
-                MemberView(
-                    name,
-                    about.slot,
-                    about.hall,
-                    self.members.state_of(name).value,
-                    about.address,
-                    about.program,
-                    round(reached, 3) if reached < 1e9 else -1.0,
-                    round(heard / 1000.0, 3),
-                    tuple(bad.server for bad in about.words.bad),
-                )
-            )
-        budgets = tuple(BudgetView(*row) for row in self.shares.table(now))
+        """Return the status shown to operators; the host adds bytes and up-time."""
         return View(
             self.name,
-            self.about.slot,
-            self.about.slots,
-            self.about.hall,
-            tuple(rows),
-            budgets,
-            self.avoided,
-            len(self.shares.ledger),
-            self.shares.denied,
-            troubles=dict(self.troubles),
+            self.info.slot,
+            self.info.slots,
+            self.info.hall,
+            members=tuple(
+                self._member_view(now, name, entry.content)
+                for name, entry in sorted(self.members.entries.items())
+                if entry.content is not None
+            ),
+            budgets=tuple(BudgetView(*row) for row in self.shares.table(now)),
+            avoided=self.avoided,
+            customers=len(self.shares.ledger),
+            refused=self.shares.denied,
+            error_counts=dict(self.error_counts),
         )
 
-
-def _named(words: Words) -> set[str]:
-    return {bad.server for bad in words.bad}
+    def _member_view(self, now: float, name: str, info: PeerInfo) -> MemberView:
+        contact_s = 0.0 if name == self.name else self.members.seconds_since_contact(name)
+        received_at = self.shares.last_received_at.get(info.slot)
+        received_ms = now - received_at if received_at is not None else -MS_PER_S
+        return MemberView(
+            name,
+            info.slot,
+            info.hall,
+            self.members.state_of(name).value,
+            info.address,
+            info.program,
+            last_contact_s=round(contact_s, 3) if contact_s < 1e9 else -1.0,
+            last_received_s=round(received_ms / MS_PER_S, 3),
+            failing_servers=tuple(failing.server for failing in info.failures.failing),
+        )
