--- a/wickspring/lab/simulation/virtual_gateway.py
+++ b/wickspring/lab/simulation/virtual_gateway.py
@@ -96,7 +96,7 @@
             self.network.listen(ip, CORE, nursery, control_plane.peer_server.serve)
             self._start_task(nursery, REST, control_plane.api_server.timers.run)
             self._start_task(nursery, "chain", control_plane.replication.run)
-            self._start_task(nursery, "core ticks", control_plane.replication.tick)
+            self._start_task(nursery, "core ticks", control_plane.replication.send_heartbeats)
             self._start_task(nursery, "upkeep", control_plane.maintenance.run)
 
         self._start_process(ip, CORE, start)
