--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -1,4 +1,4 @@
-"""Advice on servers by what all pilots have out, under random load, against choosing alone."""
+"""Advice on endpoints by the load of all data planes, against choosing in isolation, under random load."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from wickspring.dataplane.policy.endpoint_selection import AttemptResult, EndpointSelector
 
 
-def servers(count: int, zone: str = "a") -> list[Endpoint]:
+def ready_endpoints(count: int, zone: str = "a") -> list[Endpoint]:
     return [Endpoint(f"i{n}", "s", f"10.0.0.{n}:80", zone, 2) for n in range(count)]
 
 
-def waits(told: bool, seed: int) -> float:
-    """Play 8 pilots on 12 servers of two slots, two thirds busy; the mean time that requests wait, ms."""
-    random, lot = Random(seed), servers(12)
+def mean_wait_ms(is_advised: bool, seed: int) -> float:
+    """Return the mean wait, ms, of requests of 8 data planes to 12 endpoints that are two thirds busy."""
+    random, endpoints = Random(seed), ready_endpoints(12)
     load_tracker, data_planes = LoadTracker(seed), [EndpointSelector("a", seed + n) for n in range(8)]
     for data_plane in data_planes:
-        for one in lot:
-            data_plane.update(0.0, one)
-    free = {one.id: [0.0, 0.0] for one in lot}  # when each slot is free
+        for endpoint in endpoints:
+            data_plane.update(0.0, endpoint)
+    free = {endpoint.id: [0.0, 0.0] for endpoint in endpoints}  # when each slot is free
     ends: list[tuple[float, int, str]] = []
     now, waited, work = 0.0, list[float](), 100.0
     for _ in range(4000):
@@ -45,7 +45,7 @@
             load_tracker.request_ended(at, f"p{whose}", id_, ratio)
         number = random.randrange(8)
         data_plane = data_planes[number]
-        offers = load_tracker.advise(now, "a", lot) if told else ()
+        offers = load_tracker.advise(now, "a", endpoints) if is_advised else ()
         candidate = data_plane.pick(now, "s", "r", set(), offers)
         assert candidate is not None
         slots = free[candidate.endpoint.id]
@@ -59,31 +59,31 @@
     return sum(waited) / len(waited)
 
 
-def test_requests_wait_less_where_all_that_is_out_is_known() -> None:
+def test_requests_wait_less_where_all_in_flight_is_known() -> None:
     for seed in (1, 2, 3):
-        assert waits(True, seed) < 0.5 * waits(False, seed)
+        assert mean_wait_ms(True, seed) < 0.5 * mean_wait_ms(False, seed)
 
 
-def test_what_is_slow_silent_failing_or_leaving_is_not_offered_first() -> None:
-    load_tracker, lot = LoadTracker(1), servers(6)
-    del lot[0]
+def test_slow_unresponsive_failing_and_draining_endpoints_are_not_offered_first() -> None:
+    load_tracker, endpoints = LoadTracker(1), ready_endpoints(6)
+    del endpoints[0]
     for _ in range(6):
         load_tracker.request_sent("p", "i1")  # and never answers
     load_tracker.request_ended(0.0, "p", "i2", -1.0)
     for _ in range(30):
         load_tracker.request_ended(0.0, "q", "i3", 3.0)
-    first = [load_tracker.advise(1.0, "a", lot)[0][0] for _ in range(50)]
+    first = [load_tracker.advise(1.0, "a", endpoints)[0][0] for _ in range(50)]
     assert set(first) == {"i4", "i5"}
-    offers = dict(load_tracker.advise(1.0, "a", lot))
+    offers = dict(load_tracker.advise(1.0, "a", endpoints))
     assert len(offers) == MAX_ADVISED and "i0" not in offers
-    load_tracker.forget_data_plane("p")  # what a pilot that ended had out is forgotten
-    assert "i1" in {load_tracker.advise(1.0, "a", lot)[0][0] for _ in range(50)}
+    load_tracker.forget_data_plane("p")  # its requests in flight are forgotten
+    assert "i1" in {load_tracker.advise(1.0, "a", endpoints)[0][0] for _ in range(50)}
 
 
-def test_a_pilot_leaves_out_what_it_knows_better() -> None:
+def test_a_data_plane_leaves_out_endpoints_that_it_knows_to_be_unfit() -> None:
     selector = EndpointSelector("a", 1, has_idle_connection=lambda id_: id_ != "i1")
-    for one in servers(4):
-        selector.update(0.0, one)
+    for endpoint in ready_endpoints(4):
+        selector.update(0.0, endpoint)
     selector.mark_departures({"i0": DRAINING})
     offers = [("i0", 0.5), ("i1", 1.0), ("i2", 1.2), ("i9", 0.1)]
     chosen = selector.pick(1.0, "s", "r", set(), offers)
@@ -93,10 +93,10 @@
     assert again is not None and again.endpoint.id == "i3"
 
 
-def test_a_server_with_too_much_to_do_is_not_taken_for_a_dead_one() -> None:
+def test_an_overloaded_endpoint_is_not_taken_for_a_dead_one() -> None:
     selector = EndpointSelector("a", 1)
-    for one in servers(2):
-        selector.update(0.0, one)
+    for endpoint in ready_endpoints(2):
+        selector.update(0.0, endpoint)
     busy, dead = selector.candidates["i0"], selector.candidates["i1"]
     for number, candidate in enumerate((busy, dead)):
         selector.attempt_started(10.0, candidate, number)
@@ -108,29 +108,29 @@
     assert dead.ejected_until > 1200.0
 
 
-class Heard:
-    """The end of a cable that keeps what is said on it."""
+class RecordingConnection:
+    """The end of a connection that keeps what is sent on it."""
 
     def __init__(self) -> None:
-        self.name, self.about, self.said = "p", dict[str, object](), list[Message]()
+        self.name, self.about, self.sent = "p", dict[str, object](), list[Message]()
 
     def send(self, message: Message) -> None:
-        self.said.append(message)
+        self.sent.append(message)
 
 
-def test_a_lighthouse_cut_off_from_the_others_names_no_servers(tmp_path: Path) -> None:
+def test_an_isolated_node_advises_no_endpoints(tmp_path: Path) -> None:
     settings = SETTINGS.replace("ip=10.1.0.30", "ip=10.1.0.33") + f"data_dir={tmp_path}\n"
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
             control_plane = ControlPlane(settings_module.parse_settings(settings), nursery, 1)
-            for one in servers(2):
-                control_plane.components.registry.record_heartbeat(control_plane.clock.now(), one)
-            heard = Heard()
-            session = PeerSession(cast(PeerConnection, heard))
+            for endpoint in ready_endpoints(2):
+                control_plane.components.registry.record_heartbeat(control_plane.clock.now(), endpoint)
+            connection = RecordingConnection()
+            session = PeerSession(cast(PeerConnection, connection))
             ask = ["berth", 1, "s", "a"]
             control_plane.peer_server.receive(session, ask)  # of two seeds it reaches only itself
-            assert heard.said.pop() == EndpointAdvice(1, [], 2)
+            assert connection.sent.pop() == EndpointAdvice(1, [], 2)
             control_plane.replication.chain.view = View(
                 2, (control_plane.replication.chain.me,), (control_plane.replication.chain.me,)
             )
@@ -138,7 +138,7 @@
                 control_plane.clock.now(), control_plane.replication.chain.view
             )
             control_plane.peer_server.receive(session, ask)
-            advice = heard.said.pop()
+            advice = connection.sent.pop()
             assert isinstance(advice, EndpointAdvice)
             assert len(advice.offers) == advice.known_endpoints == 2
             nursery.cancel_scope.cancel()
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -1,6 +1,7 @@
-"""A lighthouse without contact: it hands out no old state as current, refuses and confirms nothing.
+"""A control-plane node without a quorum sends no old state as current, and refuses and confirms nothing.
 
-Real lighthouses and pilots in virtual time (`tests/control_side.py`); what a pilot goes by is a pure machine.
+Real control planes and data planes run in virtual time (`tests/support/virtual_system.py`). The rules by
+which a data plane adopts a configuration are a state machine of their own.
 """
 
 from __future__ import annotations
@@ -71,7 +72,7 @@
 
 
 async def all_calls(control_plane: ControlPlane, version: int) -> dict[str, ApiResponse]:
-    """Send one of each call that a lighthouse without contact must not answer for good."""
+    """Send one of each call that a node without contact must not answer for good."""
     return {
         "new": await replace_config(control_plane, version),
         "same again": await replace_config(control_plane, 2),
@@ -110,10 +111,9 @@
                 one.control_client.config.routing_table.version == 2 for one in system.data_planes.values()
             )
         )
-        system.cut(
-            victim, direction=direction, reachable=DATA_PLANES
-        )  # pilots, servers and operators reach both sides
-        begun = trio.current_time()
+        # Data planes, servers and operators reach both sides.
+        system.cut(victim, direction=direction, reachable=DATA_PLANES)
+        started_at = trio.current_time()
         if who == "restarted":
             system.kill(victim)
             await system.start_control_plane(victim)
@@ -127,10 +127,10 @@
             )
         )
         version = 3
-        while trio.current_time() - begun < CUT_S:
+        while trio.current_time() - started_at < CUT_S:
             asked = trio.current_time()
-            for call, said in (await all_calls(control_plane, version)).items():
-                assert said.status == 503 and said.retry_after, call
+            for call, response in (await all_calls(control_plane, version)).items():
+                assert response.status == 503 and response.retry_after, call
             assert trio.current_time() == asked  # at once
             invalid = await ConfigReplace(control_plane).call(ApiRequest("POST", "", b"{}"))
             assert invalid.status == 400  # a fact of the text
@@ -173,18 +173,18 @@
     run_virtual_system(monkeypatch, cut_off, control_planes=4 if who == "spare" else 3)
 
 
-def started_beside(system: VirtualSystem, victim: str) -> None:
-    """Leave new pilots nobody to reach but one lighthouse."""
+def isolate_with_data_planes(system: VirtualSystem, victim: str) -> None:
+    """Leave new data planes one node to reach."""
     system.cut(victim, reachable=DATA_PLANES)
     system.cut(*DATA_PLANES, reachable=(victim,))
 
 
-async def leave_new_pilots_the_old(system: VirtualSystem, restarted: bool) -> None:
-    """Have r1 taken everywhere and r2 without one lighthouse, the only one that new pilots reach."""
+async def leave_new_data_planes_an_isolated_node(system: VirtualSystem, restarted: bool) -> None:
+    """Commit r1 everywhere, and r2 without the one node that new data planes reach."""
     victim = CONTROL_PLANES[2]
     assert (await replace_config(system.control_planes[victim], 1)).status == 200
     await trio.sleep(1.0)
-    started_beside(system, victim)
+    isolate_with_data_planes(system, victim)
     if restarted:
         system.kill(victim)
         await system.start_control_plane(victim)
@@ -192,19 +192,19 @@
 
 
 @pytest.mark.parametrize("restarted", [False, True])
-def test_a_pilot_beside_one_cut_off_waits_for_one_in_contact(
+def test_a_data_plane_beside_an_isolated_node_waits_for_one_in_contact(
     monkeypatch: pytest.MonkeyPatch, restarted: bool
 ) -> None:
     """With nobody in contact to hear of, it goes by the last known after a while, and never goes back."""
 
     async def cut_off(system: VirtualSystem) -> None:
-        await leave_new_pilots_the_old(system, restarted)
-        begun = trio.current_time()
+        await leave_new_data_planes_an_isolated_node(system, restarted)
+        started_at = trio.current_time()
         data_plane = await system.start_data_plane(DATA_PLANES[0])
         took = await system.wait_until(
             lambda: data_plane.control_client.config.routing_table.version == 1, 6.0
         )
-        assert took >= ISOLATION_MS / 1000.0 and trio.current_time() - begun < 6.0
+        assert took >= ISOLATION_MS / 1000.0 and trio.current_time() - started_at < 6.0
         assert data_plane.control_client.config_status is (
             ConfigStatus.HELD if restarted else ConfigStatus.SAFE
         )
@@ -218,10 +218,10 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_contact_is_not_taken_from_words_of_before_the_cut(
+def test_contact_is_not_derived_from_messages_before_the_cut(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    """Cables are up again at once; what the others said last was said twenty seconds ago."""
+    """Connections are up again at once, but the last messages on them are twenty seconds old."""
 
     async def cut_off(system: VirtualSystem) -> None:
         victim, other = CONTROL_PLANES[2], system.control_planes[CONTROL_PLANES[0]]
@@ -240,12 +240,12 @@
     run_virtual_system(monkeypatch, cut_off, seed=seed)
 
 
-def plays_first_news(monkeypatch: pytest.MonkeyPatch, restarted: bool) -> list[int]:
+def first_adopted_versions(monkeypatch: pytest.MonkeyPatch, restarted: bool) -> list[int]:
     """Start a pilot that hears one cut off at once, and after a second one in contact; what it goes by."""
     taken: list[int] = []
 
     async def cut_off(system: VirtualSystem) -> None:
-        await leave_new_pilots_the_old(system, restarted)
+        await leave_new_data_planes_an_isolated_node(system, restarted)
         await trio.sleep(2.0)
         data_plane = await system.start_data_plane(DATA_PLANES[0])
         await trio.sleep(0.9)
@@ -259,13 +259,13 @@
 
 
 @pytest.mark.parametrize("restarted", [False, True])
-def test_old_state_is_not_gone_by_where_one_in_contact_comes(
+def test_old_state_is_not_adopted_where_a_node_in_contact_appears(
     monkeypatch: pytest.MonkeyPatch, restarted: bool
 ) -> None:
-    assert plays_first_news(monkeypatch, restarted) == [2]
+    assert first_adopted_versions(monkeypatch, restarted) == [2]
 
 
-def test_a_pilot_passes_what_it_knows_on_to_one_that_no_lighthouse_reaches(
+def test_a_data_plane_passes_its_state_on_to_one_that_no_node_reaches(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def apart(system: VirtualSystem) -> None:
@@ -288,20 +288,20 @@
 # Seeded defects: each must be seen by the scenario above it.
 
 
-def test_the_scenario_sees_what_is_handed_out_before_contact(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_scenario_detects_state_sent_before_contact(monkeypatch: pytest.MonkeyPatch) -> None:
     begin = ControlPlane.restore
 
-    def hasty(control_plane: ControlPlane) -> None:
+    def publish_at_once(control_plane: ControlPlane) -> None:
         begin(control_plane)
         control_plane.on_committed(control_plane.replication.chain.replica)
 
-    monkeypatch.setattr(ControlPlane, "restore", hasty)
-    monkeypatch.setattr(config_adoption, "FALLBACK_AFTER_MS", 0.0)  # and a pilot that takes what comes first
-    assert plays_first_news(monkeypatch, True) == [1, 2]
+    monkeypatch.setattr(ControlPlane, "restore", publish_at_once)
+    monkeypatch.setattr(config_adoption, "FALLBACK_AFTER_MS", 0.0)  # and a data plane that adopts at once
+    assert first_adopted_versions(monkeypatch, True) == [1, 2]
 
 
-class Heard:
-    """A pilot's end of a cable, with what came to it and when."""
+class RecordingConnection:
+    """A data plane's end of a connection, with the offers that came and when."""
 
     def __init__(self) -> None:
         self.name, self.about, self.live = "", dict[str, Any](), True
@@ -316,7 +316,7 @@
 
 
 @pytest.mark.parametrize("defect", [False, True])
-def test_a_started_lighthouse_hands_out_nothing_of_its_disk_as_safe(
+def test_a_restarted_node_sends_nothing_from_its_disk_as_committed(
     monkeypatch: pytest.MonkeyPatch, defect: bool
 ) -> None:
     async def restarted(system: VirtualSystem) -> None:
@@ -328,12 +328,14 @@
         if defect:
             begin = ControlPlane.restore
 
-            def hasty(control_plane: ControlPlane) -> None:
+            def publish_at_once(control_plane: ControlPlane) -> None:
                 begin(control_plane)
                 control_plane.on_committed(control_plane.replication.chain.replica)
 
-            monkeypatch.setattr(ControlPlane, "restore", hasty)
-        control_plane, begun, heard = await system.start_control_plane(victim), trio.current_time(), Heard()
+            monkeypatch.setattr(ControlPlane, "restore", publish_at_once)
+        control_plane = await system.start_control_plane(victim)
+        started_at = trio.current_time()
+        heard = RecordingConnection()
         session = PeerSession(cast(PeerConnection, heard))
         control_plane.peer_server.receive(
             session, ["hello", "pilot", DATA_PLANES[0], {"version": 0, "digest": b""}]
@@ -343,14 +345,14 @@
             control_plane.peer_server.receive(session, ["tick", 0, b""])
         (at, standing), *more = heard.routing_tables
         assert not more
-        seen = at - begun < ISOLATION_MS / 1000.0 or standing is not ConfigStatus.HELD
+        seen = at - started_at < ISOLATION_MS / 1000.0 or standing is not ConfigStatus.HELD
         assert seen == defect
 
     run_virtual_system(monkeypatch, restarted)
 
 
-def in_light(monkeypatch: pytest.MonkeyPatch, test: Callable[[ControlPlane], Any]) -> None:
-    """Play with one lighthouse whose core is told what to answer."""
+def with_control_plane(monkeypatch: pytest.MonkeyPatch, test: Callable[[ControlPlane], Any]) -> None:
+    """Run with one node, for tests that fix what its replication answers."""
 
     async def run(system: VirtualSystem) -> None:
         await test(system.control_planes[CONTROL_PLANES[0]])
@@ -358,7 +360,7 @@
     run_virtual_system(monkeypatch, run)
 
 
-def core_says(monkeypatch: pytest.MonkeyPatch, verdict: CommitOutcome, contact: list[bool]) -> None:
+def fix_outcome(monkeypatch: pytest.MonkeyPatch, verdict: CommitOutcome, contact: list[bool]) -> None:
     async def submit(core: ReplicationNode, update: Update, read: bool = False) -> UpdateResult:
         return UpdateResult(verdict, Replica() if read else None)
 
@@ -375,47 +377,49 @@
 
     async def test(control_plane: ControlPlane) -> None:
         contact = [True]
-        core_says(monkeypatch, verdict, contact)
+        fix_outcome(monkeypatch, verdict, contact)
         usual = 200 if verdict is CommitOutcome.COMMITTED else 409
         assert (await replace_config(control_plane, 3)).status == usual
         contact[0] = False
         if defect:
             monkeypatch.setattr(QuorumContactMonitor, "observe", lambda *_: QuorumContact.SETTLED)
-        begun = trio.current_time()
-        said = await replace_config(control_plane, 3)
-        assert said.status == (usual if defect else 503)
+        started_at = trio.current_time()
+        response = await replace_config(control_plane, 3)
+        assert response.status == (usual if defect else 503)
         if not defect:
-            assert 0.5 < trio.current_time() - begun < 1.0  # a short gap is waited out
+            assert 0.5 < trio.current_time() - started_at < 1.0  # a short gap is waited out
             await trio.sleep(1.0)
-            begun = trio.current_time()
-            assert (await replace_config(control_plane, 3)).status == 503 and trio.current_time() == begun
+            started_at = trio.current_time()
+            assert (
+                await replace_config(control_plane, 3)
+            ).status == 503 and trio.current_time() == started_at
 
-    in_light(monkeypatch, test)
+    with_control_plane(monkeypatch, test)
 
 
 def test_a_short_gap_is_waited_out(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(control_plane: ControlPlane) -> None:
         contact = [False]
-        core_says(monkeypatch, CommitOutcome.COMMITTED, contact)
-        said: list[ApiResponse] = []
+        fix_outcome(monkeypatch, CommitOutcome.COMMITTED, contact)
+        response: list[ApiResponse] = []
 
         async def order() -> None:
-            said.append(await replace_config(control_plane, 3))
+            response.append(await replace_config(control_plane, 3))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(order)
             await trio.sleep(0.4)
-            assert not said
+            assert not response
             contact[0] = True
-        assert said[0].status == 200
+        assert response[0].status == 200
 
-    in_light(monkeypatch, test)
+    with_control_plane(monkeypatch, test)
 
 
-# Beats and news of servers.
+# Heartbeats and updates of endpoints.
 
 
-def test_a_server_is_sent_on_and_only_to_what_is_in_reach(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_heartbeats_are_redirected_only_to_reachable_nodes(monkeypatch: pytest.MonkeyPatch) -> None:
     async def cut_off(system: VirtualSystem) -> None:
         control_plane = system.control_planes[CONTROL_PLANES[0]]
         monkeypatch.setattr(
@@ -430,14 +434,14 @@
         system.cut(lost)
         await system.wait_until(lambda: not control_plane.replication.peers.is_reachable(lost))
         await system.wait_until(lambda: control_plane.replication.in_contact)
-        said = await send_heartbeat(control_plane, "i1", 2)
-        assert said.status == 200 and target.encode() not in said.body
+        response = await send_heartbeat(control_plane, "i1", 2)
+        assert response.status == 200 and target.encode() not in response.body
 
     run_virtual_system(monkeypatch, cut_off)
 
 
-def test_news_of_one_cut_off_undoes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A server falls silent and another ends while one lighthouse, which pilots reach, is cut off."""
+def test_updates_of_an_isolated_node_undo_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An endpoint times out and another ends while one node, which data planes reach, is isolated."""
 
     async def cut_off(system: VirtualSystem) -> None:
         victim, control_plane = (
@@ -492,7 +496,7 @@
     run_virtual_system(monkeypatch, cut_off)
 
 
-def test_lists_that_are_not_fresh_bring_nobody_back() -> None:
+def test_incomplete_snapshots_bring_no_endpoint_back() -> None:
     endpoints = EndpointSelector("a", 1)
     endpoints.update(0.0, ready_endpoint("i1", 4))
     endpoints.mark_unresponsive(["i1"])
@@ -510,7 +514,7 @@
     assert endpoints.update(3.0, ready_endpoint("i1", 10)) and not endpoints.candidates["i1"].unresponsive
 
 
-def test_a_beat_that_came_elsewhere_brings_a_server_back() -> None:
+def test_a_heartbeat_to_another_node_brings_an_endpoint_back() -> None:
     registry = EndpointRegistry(1500.0)
     registry.record_heartbeat(0.0, ready_endpoint("i1"))
     assert registry.expire(5000.0) == ["i1"] and not registry.present()
@@ -518,7 +522,7 @@
     assert [one.id for one in registry.present()] == ["i1"] and registry.expire(5200.0) == []
 
 
-# The rules of what a pilot goes by.
+# The rules by which a data plane adopts a configuration.
 
 
 def copy_of(version: int, mark: str, standing: ConfigStatus) -> ConfigCopy:
@@ -526,8 +530,8 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_pilot_never_goes_back_whatever_it_is_told(seed: int) -> None:
-    """Random words of lighthouses and pilots in contact and not; safe texts are one a number."""
+def test_a_data_plane_never_returns_to_an_older_config(seed: int) -> None:
+    """Random offers of nodes and data planes in contact and not; of each version one text is committed."""
     random, now, mine = Random(seed), 0.0, ConfigAdoption(0.0)
     safe = {version: random.choice("xy") for version in range(1, 40)}
     newest, contact_at, numbers = 1, 0.0, [0]
@@ -561,7 +565,7 @@
     assert mine.version <= newest or mine.status is ConfigStatus.HELD
 
 
-def test_the_fence_takes_the_text_of_one_in_contact_and_says_so(
+def test_a_conflicting_text_is_taken_from_a_node_in_contact_and_logged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     events: list[str] = []
@@ -596,7 +600,7 @@
     assert events.count("config_two_texts") == 2
 
 
-# Looks for contact, settings, and the end.
+# Observations of contact, settings, and the end.
 
 
 def test_contact_by_the_clock() -> None:
@@ -622,16 +626,16 @@
 
 
 @pytest.mark.parametrize("free_after_s", [0.0, 1.0, 99.0])
-def test_a_lighthouse_ends_once_it_may_or_its_grace_is_nearly_over(
+def test_a_node_ends_once_it_may_or_its_grace_period_is_nearly_over(
     monkeypatch: pytest.MonkeyPatch, free_after_s: float
 ) -> None:
     async def leave(control_plane: ControlPlane) -> None:
-        begun = trio.current_time()
-        free = property(lambda core: trio.current_time() - begun >= free_after_s)
+        started_at = trio.current_time()
+        free = property(lambda core: trio.current_time() - started_at >= free_after_s)
         monkeypatch.setattr(ReplicationNode, "may_stop", free)
         await drain(control_plane)
         most = DRAIN_SHARE * control_plane.settings.guarantees.grace_s
         assert control_plane.replication.stopping and control_plane.api_server.draining
-        assert min(free_after_s, most) <= trio.current_time() - begun <= min(free_after_s, most) + 0.06
+        assert min(free_after_s, most) <= trio.current_time() - started_at <= min(free_after_s, most) + 0.06
 
-    in_light(monkeypatch, leave)
+    with_control_plane(monkeypatch, leave)
