--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -6,7 +6,7 @@
 import shutil
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 import msgpack
 import msgspec
@@ -194,6 +194,15 @@
     return message
 
 
+MessageT = TypeVar("MessageT", bound=messages.Message)
+
+
+def typed(decoder: messages.MessageDecoder[MessageT], wire_message: list[Any]) -> MessageT:
+    message = decoder.decode(wire_message)
+    assert message is not None
+    return message
+
+
 def receiver(site: Site, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
     """Return what takes such a message today."""
     connection = PeerConnection(link, VirtualClock())
@@ -211,12 +220,13 @@
             session.is_control_plane_node = True
         return lambda message: control_plane.peer_server.receive(session, message)
     if one["from"] == CONTROL:
-        return lambda message: data_plane.control_client.on_message(connection, message)
+        on_message = data_plane.control_client.on_message
+        return lambda message: on_message(connection, typed(messages.CONTROL_PLANE_MESSAGES, message))
     if one["transport"] == "udp":
-        return lambda message: data_plane.gossip.on_datagram(connection.name, message)
+        return lambda message: data_plane.gossip.on_datagram(typed(messages.DATAGRAMS, message))
     if kind == "fetch":
-        return lambda message: data_plane.send_state(connection, int(message[1]), bytes(message[2]))
-    return lambda message: data_plane.on_peer_message(connection, message)
+        return lambda message: data_plane.gossip._on_fetch(connection, typed(messages.PEER_REQUESTS, message))
+    return lambda message: data_plane.on_peer_message(connection, typed(messages.PEER_REPLIES, message))
 
 
 def cut_short(one: dict[str, Any]) -> list[Any]:
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -17,7 +17,7 @@
 from wickspring.common.digest import digest_of
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
-from wickspring.common.messages import QuotaTotal
+from wickspring.common.messages import CONTROL_PLANE_MESSAGES, DATAGRAMS, ClusterView, QuotaTotal
 from wickspring.common.settings_file import parse_address
 from wickspring.controlplane.api.calls import ApiRequest
 from wickspring.controlplane.api.heartbeat import Heartbeat
@@ -80,7 +80,8 @@
     """The end of a cable that keeps what is said on it."""
 
     def __init__(self, **about: object) -> None:
-        self.name, self.about, self.said, self.live = "p", about, list[tuple[object, ...]](), True
+        self.name = self.peer_address = "p"
+        self.about, self.said, self.live = about, list[tuple[object, ...]](), True
 
     def send(self, *message: object) -> None:
         self.said.append(message)
@@ -252,9 +253,13 @@
                 message = spoil(random, random.choice(messages if known else datagrams))
                 try:
                     if known:
-                        data_plane.control_client.on_message(cast(PeerConnection, Heard()), message)
-                    elif message[1] == "127.0.9.9":
-                        data_plane.gossip.on_datagram("127.0.9.9", message)
+                        received = CONTROL_PLANE_MESSAGES.decode(message)
+                        if received is not None:
+                            data_plane.control_client.on_message(cast(PeerConnection, Heard()), received)
+                    else:
+                        datagram = DATAGRAMS.decode(message)
+                        if datagram is not None and datagram.sender == "127.0.9.9":
+                            data_plane.gossip.on_datagram(datagram)
                 except DECODE_ERRORS:
                     refused += 1
             assert refused > 300
@@ -277,7 +282,7 @@
             data_plane = DataPlane(settings_module.parse_settings(settings), nursery, 1)
             members = ["10.1.0.33", "10.4.0.22"]  # the second is no seed, and the teller does not reach it
             data_plane.control_client.on_message(
-                cast(PeerConnection, Heard()), ["view", 2, members, ["10.1.0.33"], 8]
+                cast(PeerConnection, Heard()), ClusterView(2, members, ["10.1.0.33"], 8)
             )
             assert set(members) <= set(data_plane.control_client.connections.clients)
             assert {data_plane.control_client.connections.owner(f"t{n}") for n in range(50)} == set(members)
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -265,7 +265,9 @@
         alone = await site.start_pilot(second)
         alone.gossip.introduce([first])
         await site.until(lambda: alone.control_client.config.routing_table.version == 1)
-        assert alone.state_digest()[:2] == (1, digest_of(text(1))) and not alone.control_client.in_contact
+        state = alone.state_digest()
+        assert (state.config_version, state.config_digest) == (1, digest_of(text(1)))
+        assert not alone.control_client.in_contact
         assert (await replace(site.control_planes[CONTROL_PLANES[0]], 2)).status == 200
         await site.until(lambda: alone.control_client.config.routing_table.version == 2)
 
@@ -554,16 +556,16 @@
         other = zlib.compress(text(1, "other"))
         connection = next(iter(control_plane.data_planes)).connection
         for standing, by_control_plane in ((ConfigStatus.SAFE, True), (ConfigStatus.CURRENT, False)):
-            told = ["chart", 1, other, digest_of(text(1, "other")), int(standing)]
-            data_plane.control_client.on_config_offer(told, by_control_plane)
+            offer = ConfigOffer(1, other, digest_of(text(1, "other")), standing)
+            data_plane.control_client.config.offer(offer, by_control_plane)
             assert data_plane.control_client.config.packed == good
         data_plane.control_client.on_message(
-            connection, ["chart", 1, other, digest_of(text(1)), int(ConfigStatus.CURRENT)]
+            connection, ConfigOffer(1, other, digest_of(text(1)), ConfigStatus.CURRENT)
         )
         # Not the text of its digest: half a copy is none.
         assert data_plane.control_client.config.packed == good
         data_plane.control_client.on_message(
-            connection, ["chart", 1, other, digest_of(text(1, "other")), int(ConfigStatus.CURRENT)]
+            connection, ConfigOffer(1, other, digest_of(text(1, "other")), ConfigStatus.CURRENT)
         )
         assert data_plane.control_client.config.packed == other
         await site.until(
--- a/wickspring/dataplane/control_client/client.py
+++ b/wickspring/dataplane/control_client/client.py
@@ -4,20 +4,38 @@
 
 from itertools import count
 from random import Random
+from typing import assert_never
 
 import trio
 
 from wickspring.common.config_status import ConfigStatus, QuorumContact
-from wickspring.common.connection import HEARTBEAT_MS, Message, PeerConnection, ReconnectingClient
+from wickspring.common.connection import HEARTBEAT_MS, PeerConnection, ReconnectingClient
+from wickspring.common.messages import (
+    ROLE_DATA_PLANE,
+    ClusterView,
+    ConfigOffer,
+    ControlPlaneHeartbeatReply,
+    ControlPlaneMessage,
+    DataPlaneHeartbeat,
+    DataPlanePeers,
+    EndpointAdvice,
+    EndpointsChanged,
+    EndpointsDeparting,
+    EndpointsLost,
+    EndpointSnapshot,
+    Hello,
+    HelloAttributes,
+    PeerReply,
+    QuotaOwnerMoved,
+    QuotaTotal,
+)
 from wickspring.common.settings import NodeSettings
-from wickspring.common.settings_file import parse_ip
 from wickspring.dataplane.control_client.config_sync import ConfigSync
 from wickspring.dataplane.control_client.connections import ControlPlaneConnections, status_of
 from wickspring.dataplane.control_client.endpoint_sync import EndpointSync
 from wickspring.dataplane.control_client.listener import ControlListener
 from wickspring.dataplane.control_client.load_client import LoadClient
 from wickspring.dataplane.control_client.quota_client import QuotaClient
-from wickspring.dataplane.policy.config_adoption import ConfigCopy
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 from wickspring.net.clock import Clock
 
@@ -49,18 +67,6 @@
         self.endpoint_sync = EndpointSync(clock, random, self.connections, endpoints, listener)
         self.quota = QuotaClient(self.connections, numbers, listener)
         self.load = LoadClient(self.connections, numbers, settings.zone)
-        self._handlers = {
-            "sum": self._on_quota_total,
-            "moved": self._on_quota_owner_moved,
-            "berths": self._on_endpoint_advice,
-            "servers": self._on_endpoints_changed,
-            "leaving": self._on_endpoints_departing,
-            "lost": self._on_endpoints_lost,
-            "whole": self._on_endpoint_snapshot,
-            "pilots": self._on_data_plane_peers,
-            "view": self._on_cluster_view,
-            "tock": self._on_heartbeat_reply,
-        }
 
     @property
     def in_contact(self) -> bool:
@@ -85,8 +91,8 @@
     def on_connect(self, connection: PeerConnection) -> None:
         """Introduce this data plane on a new connection."""
         version, digest = self.config.identity
-        attributes = {"version": version, "digest": digest, "zone": self._settings.zone}
-        connection.send("hello", "pilot", self._settings.ip, attributes)
+        attributes = HelloAttributes(version, digest, self._settings.zone)
+        connection.send(Hello(ROLE_DATA_PLANE, self._settings.ip, attributes))
         status_of(connection).sent_config = self.config.identity
         self.quota.send_usage(connection)
 
@@ -94,67 +100,67 @@
         """Forget what was asked on a connection that has ended."""
         self.quota.on_disconnect(client)
 
-    def on_message(self, connection: PeerConnection, message: Message) -> None:
-        """Take in a message of a control plane; one of an unknown kind is ignored."""
-        if message[0] == "chart":
-            self.on_config_offer(message, by_control_plane=True)
-            return
-        handler = self._handlers.get(message[0])
-        if handler is not None:
-            handler(connection, message)
-
     # Messages.
 
-    def _on_quota_total(self, _: PeerConnection, message: Message) -> None:
-        self.quota.on_total(int(message[1]), int(message[2]), int(message[3]), float(message[4]))
-
-    def _on_quota_owner_moved(self, _: PeerConnection, message: Message) -> None:
-        self.quota.on_owner_moved(int(message[1]))
-
-    def _on_endpoint_advice(self, _: PeerConnection, message: Message) -> None:
-        endpoints = [(str(endpoint_id), float(cost)) for endpoint_id, cost in message[2]]
-        self.load.on_advice(int(message[1]), endpoints, int(message[3]))
-
-    def _on_endpoints_changed(self, _: PeerConnection, message: Message) -> None:
-        self.endpoint_sync.on_changes(message[1])
-
-    def _on_endpoints_departing(self, _: PeerConnection, message: Message) -> None:
-        self.endpoint_sync.on_departures(_departures(message[1]))
-
-    def _on_endpoints_lost(self, _: PeerConnection, message: Message) -> None:
-        self.endpoint_sync.on_unresponsive([str(endpoint_id) for endpoint_id in message[1]])
-
-    def _on_endpoint_snapshot(self, connection: PeerConnection, message: Message) -> None:
-        self.endpoint_sync.on_snapshot(connection.name, message[1], _departures(message[2]), bool(message[3]))
-
-    def _on_data_plane_peers(self, _: PeerConnection, message: Message) -> None:
-        self._listener.on_data_planes([parse_ip(ip) for ip in message[1]])
-
-    def on_config_offer(self, message: Message, by_control_plane: bool) -> None:
-        """Take in a configuration that a control or data plane offers."""
-        _, version, packed, digest, status = message
-        copy = ConfigCopy(int(version), bytes(digest), bytes(packed), ConfigStatus(status))
-        self.config.offer(copy, by_control_plane)
-
-    def _on_cluster_view(self, connection: PeerConnection, message: Message) -> None:
-        nodes = [parse_ip(ip) for ip in message[3]]
-        connection.name = nodes[0]
-        self.connections.connect(nodes)
-        self.data_plane_count = max(self.data_plane_count, int(message[4]))
-        members = [parse_ip(ip) for ip in message[2]]
-        if self.connections.update_view(int(message[1]), members):
+    def on_message(self, connection: PeerConnection, message: ControlPlaneMessage) -> None:
+        """Take in a message of a node of the control plane."""
+        match message:
+            case QuotaTotal():
+                self.quota.on_total(message)
+            case QuotaOwnerMoved():
+                self.quota.on_owner_moved(message.request_number)
+            case EndpointAdvice():
+                self.load.on_advice(message)
+            case EndpointsChanged():
+                self.endpoint_sync.on_changes(message.endpoints)
+            case EndpointsDeparting():
+                self.endpoint_sync.on_departures(message.states)
+            case EndpointsLost():
+                self.endpoint_sync.on_unresponsive(message.endpoint_ids)
+            case EndpointSnapshot():
+                self.endpoint_sync.on_snapshot(connection.peer_address, message)
+            case DataPlanePeers():
+                self._listener.on_data_planes(message.ips)
+            case ConfigOffer():
+                self.config.offer(message, by_control_plane=True)
+            case ClusterView():
+                self._on_cluster_view(connection, message)
+            case ControlPlaneHeartbeatReply():
+                self._on_heartbeat_reply(connection, message)
+            case _:
+                assert_never(message)
+
+    def on_peer_message(self, connection: PeerConnection, message: PeerReply) -> None:
+        """Take in a message of another data plane."""
+        match message:
+            case ConfigOffer():
+                self.config.offer(message, by_control_plane=False)
+            case EndpointSnapshot():
+                self.endpoint_sync.on_snapshot(connection.peer_address, message)
+            case EndpointsChanged():
+                self.endpoint_sync.on_changes(message.endpoints)
+            case EndpointsDeparting():
+                self.endpoint_sync.on_departures(message.states)
+            case _:
+                assert_never(message)
+
+    def _on_cluster_view(self, connection: PeerConnection, view: ClusterView) -> None:
+        connection.peer_address = view.nodes[0]
+        self.connections.connect(view.nodes)
+        self.data_plane_count = max(self.data_plane_count, view.data_plane_count)
+        if self.connections.update_view(view.epoch, view.chain):
             self.quota.send_usage_to_members()
 
-    def _on_heartbeat_reply(self, connection: PeerConnection, message: Message) -> None:
-        self._reported_counts[connection.name] = int(message[3])
+    def _on_heartbeat_reply(self, connection: PeerConnection, reply: ControlPlaneHeartbeatReply) -> None:
+        self._reported_counts[connection.peer_address] = reply.data_plane_count
         self.data_plane_count = max(self._reported_counts.values())
         status = status_of(connection)
-        status.endpoints_digest = int(message[4])
-        status.contact = QuorumContact(message[6])
-        if message[5]:  # else as last reported on this connection
-            status.committed_digest = bytes(message[5])
-        if status.contact > QuorumContact.NONE:
-            self.config.confirm(int(message[2]), status.committed_digest)
+        status.endpoints_digest = reply.endpoints_digest
+        status.contact = reply.contact
+        if reply.config_digest:  # else as last reported on this connection
+            status.committed_digest = reply.config_digest
+        if reply.contact > QuorumContact.NONE:
+            self.config.confirm(reply.config_version, status.committed_digest)
 
     # Periodic work.
 
@@ -181,11 +187,7 @@
         identity = self.config.identity
         connection = client.connection
         changed = connection is not None and status_of(connection).sent_config != identity
-        if connection is not None and changed and client.send("tick", *identity):
+        if connection is not None and changed and client.send(DataPlaneHeartbeat(*identity)):
             status_of(connection).sent_config = identity
         else:
-            client.send("tick")
-
-
-def _departures(states: dict[str, int]) -> dict[str, int]:
-    return {str(endpoint_id): int(state) for endpoint_id, state in states.items()}
+            client.send(DataPlaneHeartbeat())
--- a/wickspring/dataplane/control_client/config_sync.py
+++ b/wickspring/dataplane/control_client/config_sync.py
@@ -9,6 +9,7 @@
 from wickspring.common import logs
 from wickspring.common.config_status import ConfigStatus
 from wickspring.common.digest import digest_of
+from wickspring.common.messages import ConfigOffer
 from wickspring.common.routing_table import RoutingTable, build_routing_table
 from wickspring.dataplane.control_client.connections import ConfigIdentity
 from wickspring.dataplane.control_client.listener import ControlListener
@@ -34,8 +35,9 @@
         """The version and digest of the adopted configuration."""
         return self.routing_table.version, self.adoption.digest
 
-    def offer(self, copy: ConfigCopy, by_control_plane: bool) -> None:
+    def offer(self, offer: ConfigOffer, by_control_plane: bool) -> None:
         """Adopt a copy that is offered, if the rules allow it."""
+        copy = ConfigCopy(offer.version, offer.digest, offer.compressed_document, offer.status)
         action = self.adoption.offer(self._clock.now(), copy, by_control_plane)
         if action in (AdoptionAction.IGNORE, AdoptionAction.WAIT):
             return
--- a/wickspring/dataplane/control_client/connections.py
+++ b/wickspring/dataplane/control_client/connections.py
@@ -16,7 +16,8 @@
 import trio
 
 from wickspring.common.config_status import QuorumContact
-from wickspring.common.connection import Message, PeerConnection, ReconnectingClient
+from wickspring.common.connection import PeerConnection, ReconnectingClient
+from wickspring.common.messages import CONTROL_PLANE_MESSAGES, ControlPlaneMessage
 from wickspring.common.seeds import SeedList
 from wickspring.common.settings import NodeSettings
 from wickspring.net.clock import Clock
@@ -52,7 +53,7 @@
     def on_connect(self, connection: PeerConnection) -> None:
         """Introduce this data plane on a new connection."""
 
-    def on_message(self, connection: PeerConnection, message: Message) -> None:
+    def on_message(self, connection: PeerConnection, message: ControlPlaneMessage) -> None:
         """Take in a message."""
 
     def on_disconnect(self, client: ReconnectingClient) -> None:
@@ -100,6 +101,7 @@
             handler.on_connect,
             handler.on_message,
             handler.on_disconnect,
+            CONTROL_PLANE_MESSAGES,
         )
         self._nursery.start_soon(client.run)
         return client
--- a/wickspring/dataplane/control_client/endpoint_sync.py
+++ b/wickspring/dataplane/control_client/endpoint_sync.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from random import Random
 
 from wickspring.common.config_status import QuorumContact
 from wickspring.common.endpoints import Endpoint
+from wickspring.common.messages import EndpointRecord, EndpointSnapshot, RequestFullState
 from wickspring.dataplane.control_client.connections import ControlPlaneConnections, status_of
 from wickspring.dataplane.control_client.listener import ControlListener
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
@@ -31,36 +31,35 @@
         self._endpoints = endpoints
         self._listener = listener
 
-    def on_changes(self, records: Iterable[object]) -> None:
+    def on_changes(self, records: list[EndpointRecord]) -> None:
         """Take in changed endpoints, and have those passed on that were not known."""
         now = self._clock.now()
         changed = []
         for record in records:
-            endpoint = Endpoint.unpack(record, now)
+            endpoint = Endpoint.from_record(record, now)
             if self._endpoints.update(now, endpoint):
-                changed.append(endpoint.pack(now))
+                changed.append(endpoint.to_record(now))
         if changed:
-            self._listener.on_endpoint_changes("servers", changed)
+            self._listener.on_new_endpoints(changed)
 
     def on_departures(self, departures: dict[str, int]) -> None:
         """Take in endpoints that drain or are gone, and have those passed on that were not known."""
         changes = self._endpoints.mark_departures(departures)
         if changes:
-            self._listener.on_endpoint_changes("leaving", changes)
+            self._listener.on_new_departures(changes)
 
-    def on_unresponsive(self, endpoint_ids: Iterable[str]) -> None:
+    def on_unresponsive(self, endpoint_ids: list[str]) -> None:
         """Take in endpoints whose heartbeats the control plane no longer receives."""
         self._endpoints.mark_unresponsive(endpoint_ids)
 
-    def on_snapshot(
-        self, sender: str, records: Iterable[object], departures: dict[str, int], fresh: bool
-    ) -> None:
-        """Take in all endpoints that a process knows; `fresh` if it is in contact with a quorum."""
+    def on_snapshot(self, sender: str, snapshot: EndpointSnapshot) -> None:
+        """Take in all endpoints that a process knows."""
         now = self._clock.now()
-        self._endpoints.mark_departures(departures)
+        fresh = snapshot.is_recent
+        self._endpoints.mark_departures(snapshot.departures)
         if fresh or self._connections.best_contact() < QuorumContact.SETTLED:  # else another knows better
-            for record in records:
-                self._endpoints.update(now, Endpoint.unpack(record, now), fresh)
+            for record in snapshot.endpoints:
+                self._endpoints.update(now, Endpoint.from_record(record, now), fresh)
         self.complete_from.add(sender)
         self._listener.on_informed()
 
@@ -78,4 +77,4 @@
             if status.contact == best and status.endpoints_digest not in (None, digest):
                 differing.append(connection)
         if differing:
-            self._random.choice(differing).send("whole")
+            self._random.choice(differing).send(RequestFullState())
--- a/wickspring/dataplane/control_client/listener.py
+++ b/wickspring/dataplane/control_client/listener.py
@@ -4,6 +4,7 @@
 
 from typing import Protocol
 
+from wickspring.common.messages import EndpointRecord
 from wickspring.common.routing_table import RoutingTable
 
 # For each tenant with recent usage: how many windows ago, and the units used in that window.
@@ -19,8 +20,11 @@
     def on_routing_table(self, routing_table: RoutingTable) -> None:
         """Use a configuration that has just been adopted."""
 
-    def on_endpoint_changes(self, kind: str, changes: object) -> None:
-        """Pass changes of endpoints on to other data planes."""
+    def on_new_endpoints(self, endpoints: list[EndpointRecord]) -> None:
+        """Pass endpoints on to other data planes that are new or have changed."""
+
+    def on_new_departures(self, states: dict[str, int]) -> None:
+        """Pass departures of endpoints on to other data planes."""
 
     def on_data_planes(self, ips: list[str]) -> None:
         """Contact other data planes that the control plane has named."""
--- a/wickspring/dataplane/control_client/load_client.py
+++ b/wickspring/dataplane/control_client/load_client.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable, Iterator
 
+from wickspring.common.messages import EndpointAdvice, RequestEndpointAdvice, RequestFinished, RequestStarted
 from wickspring.dataplane.control_client.connections import ControlPlaneConnections
 
 # Endpoint ids with their costs, and how many endpoints of the service the control plane knows.
@@ -29,27 +30,29 @@
             return 0
         number = next(self._numbers)
         self._pending[number] = on_advice
-        client.send("berth", number, service, self._zone)
+        client.send(RequestEndpointAdvice(number, service, self._zone))
         return number
 
     def cancel(self, number: int) -> None:
         """Wait no longer for advice."""
         self._pending.pop(number, None)
 
-    def on_advice(self, number: int, endpoints: list[tuple[str, float]], known: int) -> None:
+    def on_advice(self, advice: EndpointAdvice) -> None:
         """Hand advice over to whoever asked for it."""
-        on_advice = self._pending.pop(number, None)
+        on_advice = self._pending.pop(advice.request_number, None)
         if on_advice is not None:
-            on_advice(endpoints, known)
+            on_advice(advice.offers, advice.known_endpoints)
 
     def request_started(self, service: str, endpoint_id: str) -> str:
         """Report an attempt as in flight; return the owner's IP for `request_finished`, "" if not sent."""
         owner = self._connections.owner(service)
         client = self._connections.clients.get(owner)
-        return owner if client is not None and client.send("out", endpoint_id) else ""
+        if client is None or not client.send(RequestStarted(endpoint_id)):
+            return ""
+        return owner
 
     def request_finished(self, owner: str, endpoint_id: str, latency_ratio: float) -> None:
         """Report the end of an attempt, with its latency by the typical one (0: unknown, -1: failed)."""
         client = self._connections.clients.get(owner)
         if client is not None:
-            client.send("in", endpoint_id, round(latency_ratio, 2))
+            client.send(RequestFinished(endpoint_id, round(latency_ratio, 2)))
--- a/wickspring/dataplane/control_client/quota_client.py
+++ b/wickspring/dataplane/control_client/quota_client.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass
 
 from wickspring.common.connection import PeerConnection, ReconnectingClient
+from wickspring.common.messages import AddQuota, QuotaRefund, QuotaSpent, QuotaTotal, UsageReport
 from wickspring.dataplane.control_client.connections import ControlPlaneConnections
 from wickspring.dataplane.control_client.listener import ControlListener
 
@@ -45,7 +46,7 @@
             return 0
         number = next(self._numbers)
         self._pending[number] = _PendingAdd(client, on_reply)
-        client.send("add", number, tenant, is_repeat, self._connections.epoch)
+        client.send(AddQuota(number, tenant, is_repeat, self._connections.epoch))
         return number
 
     def abandon(self, number: int, on_late_reply: QuotaReplyHandler) -> None:
@@ -54,15 +55,17 @@
         if pending is not None:
             pending.on_reply = on_late_reply
 
-    def on_total(self, number: int, total: int, limit: int, window_end_ms: float) -> None:
+    def on_total(self, reply: QuotaTotal) -> None:
         """Hand over the reply to an add."""
-        pending = self._pending.pop(number, None)
+        pending = self._pending.pop(reply.request_number, None)
         if pending is not None:
-            pending.on_reply(total, limit, window_end_ms)
+            pending.on_reply(reply.total, reply.limit, reply.window_remaining_ms)
 
     def on_owner_moved(self, number: int) -> None:
         """Hand over that an add went to a node that does not own the count."""
-        self.on_total(number, 0, NOT_OWNER_LIMIT, 0.0)
+        pending = self._pending.pop(number, None)
+        if pending is not None:
+            pending.on_reply(0, NOT_OWNER_LIMIT, 0.0)
 
     def on_disconnect(self, client: ReconnectingClient) -> None:
         """Forget adds on a connection that has ended: the next one begins with a usage report."""
@@ -74,18 +77,18 @@
         """Report a unit that the owner has not counted, and that was forwarded all the same."""
         client = self._connections.owner_client(tenant)
         if client is not None:
-            client.send("spent", tenant)
+            client.send(QuotaSpent(tenant))
 
     def refund(self, tenant: str) -> None:
         """Take back the unit of a request that has not been executed and never will be."""
         client = self._connections.owner_client(tenant)
         if client is not None:
-            client.send("back", tenant)
+            client.send(QuotaRefund(tenant))
 
     def send_usage(self, connection: PeerConnection) -> None:
         """Report all recent usage to a node, which may own counts from now on."""
         for tenant, windows in self._listener.usage_reports():
-            connection.send("past", tenant, windows)
+            connection.send(UsageReport(tenant, windows))
 
     def send_usage_to_members(self) -> None:
         """Report all recent usage to all members of a new view."""
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -14,14 +14,33 @@
 
 from collections.abc import Callable
 from random import Random
-from typing import Any, Protocol
+from typing import Protocol, assert_never
 
 import msgpack
 import trio
 
 from wickspring.common import logs
-from wickspring.common.connection import DECODE_ERRORS, Message, PeerConnection
-from wickspring.common.settings_file import parse_ip
+from wickspring.common.connection import DECODE_ERRORS, PeerConnection
+from wickspring.common.messages import (
+    DATAGRAMS,
+    PEER_REPLIES,
+    PEER_REQUESTS,
+    Datagram,
+    EndpointRecord,
+    FetchState,
+    GossipAck,
+    GossipedDepartures,
+    GossipedEndpoints,
+    GossipProbe,
+    MemberEntry,
+    MembershipDigest,
+    MemberSuspicion,
+    PeerReply,
+    PeerRequest,
+    ProbeRequest,
+    ProbeRequestAck,
+    StateDigest,
+)
 from wickspring.membership.anti_entropy import Digest, Entry, EntryVersion
 from wickspring.membership.swim import MemberInfo, Membership, Suspicion
 from wickspring.net.clock import Clock
@@ -40,22 +59,25 @@
 MAX_SUSPICIONS = 4  # in one datagram
 MAX_DATAGRAM_BYTES = 1200  # a larger one would be fragmented, and lost with any fragment
 
-# Version of the configuration, digest of its document, departed endpoints, checksum of all endpoints.
-GossipDigest = tuple[int, bytes, int, int]
-
 
 class GossipHost(Protocol):
     """The data plane, as its gossip sees it."""
 
-    def state_digest(self) -> GossipDigest:
+    def state_digest(self) -> StateDigest:
         """Return what members compare to find out who is behind."""
 
     def send_state(self, connection: PeerConnection, version: int, digest: bytes) -> None:
         """Send all that is known; the configuration only where a member's version or text differs."""
 
-    def on_peer_message(self, connection: PeerConnection, message: Message) -> None:
+    def on_peer_message(self, connection: PeerConnection, message: PeerReply) -> None:
         """Take in what another data plane reports."""
 
+    def on_gossiped_endpoints(self, endpoints: list[EndpointRecord]) -> None:
+        """Take in endpoints that another data plane has passed on."""
+
+    def on_gossiped_departures(self, states: dict[str, int]) -> None:
+        """Take in departures that another data plane has passed on."""
+
     def is_isolated(self) -> bool:
         """Return whether no control plane is in reach."""
 
@@ -99,11 +121,11 @@
             if ip != self.ip and self.members.info_of(ip) is None:
                 self._send_probe(ip)
 
-    def broadcast(self, kind: str, changes: object) -> None:
+    def broadcast(self, changes: GossipedEndpoints | GossipedDepartures) -> None:
         """Send changes to a few members, each of whom passes on what it did not know."""
         living = self.members.active_members()
         for ip in self.random.sample(living, min(FANOUT, len(living))):
-            self._send(ip, kind, changes)
+            self._send(ip, changes)
 
     # Failure detection.
 
@@ -127,7 +149,7 @@
             return
         for helper in self.members.select_helpers(ip):
             number = self._expect_ack(acked.set)
-            self._send(helper, "reach", number, ip)
+            self._send(helper, ProbeRequest(self.ip, number, ip))
         if await _is_set_within(INDIRECT_ACK_TIMEOUT_S, acked):
             self.members.record_indirect_contact(ip)
         else:
@@ -142,13 +164,14 @@
     async def _probe_for(self, asker: str, number: int, ip: str) -> None:
         """Probe a member for another one, which it did not answer."""
         if await self._probe_directly(ip, trio.Event()):
-            self._send(asker, "reached", number)
+            self._send(asker, ProbeRequestAck(self.ip, number))
 
     def _send_probe(self, ip: str, on_ack: Callable[[], None] = lambda: None) -> int:
         number = self._expect_ack(on_ack)
         digest = self.members.digest(DIGEST_MEMBERS)
-        versions = [digest.low, digest.high, digest.versions]
-        self._send(ip, "probe", number, versions, list(self.host.state_digest()), self._suspicions(ip))
+        members = MembershipDigest(digest.low, digest.high, dict(digest.versions))
+        state = self.host.state_digest()
+        self._send(ip, GossipProbe(self.ip, number, members, state, self._suspicions(ip)))
         return number
 
     def _expect_ack(self, on_ack: Callable[[], None]) -> int:
@@ -163,8 +186,8 @@
 
     # Datagrams.
 
-    def _send(self, ip: str, *message: object) -> None:
-        data = msgpack.packb([message[0], self.ip, *message[1:]])
+    def _send(self, ip: str, message: Datagram) -> None:
+        data = message.encode()
         if len(data) <= MAX_DATAGRAM_BYTES:
             self.datagrams.send(ip, data)
 
@@ -172,78 +195,75 @@
         while True:
             data, ip = await self.datagrams.receive()
             try:
-                message = msgpack.unpackb(data)
-                if message[1] == ip:
-                    self.on_datagram(ip, message)
+                message = DATAGRAMS.decode(msgpack.unpackb(data))
+                if message is not None and message.sender == ip:
+                    self.on_datagram(message)
             except DECODE_ERRORS:
                 continue  # not of this system, or damaged
 
-    def on_datagram(self, ip: str, message: list[Any]) -> None:
-        """Take in a datagram; raise one of `DECODE_ERRORS` where it is not well formed."""
-        name = message[0]
-        if name == "probe":
-            self._on_probe(ip, message)
-        elif name == "word":
-            self._on_probe_ack(ip, message)
-        elif name == "reach":
-            self.nursery.start_soon(self._probe_for, ip, int(message[2]), parse_ip(message[3]))
-        elif name == "reached":
-            self._on_ack(int(message[2]))
-        elif name in ("servers", "leaving"):
-            self.host.on_peer_message(PeerConnection(_NO_LINK, self.clock), [name, message[2]])
-
-    def _on_probe(self, ip: str, message: list[Any]) -> None:
+    def on_datagram(self, message: Datagram) -> None:
+        """Take in a datagram whose sender is where it came from."""
+        match message:
+            case GossipProbe():
+                self._on_probe(message)
+            case GossipAck():
+                self._on_probe_ack(message)
+            case ProbeRequest():
+                self.nursery.start_soon(self._probe_for, message.sender, message.probe_number, message.target)
+            case ProbeRequestAck():
+                self._on_ack(message.probe_number)
+            case GossipedEndpoints():
+                self.host.on_gossiped_endpoints(message.endpoints)
+            case GossipedDepartures():
+                self.host.on_gossiped_departures(message.states)
+            case _:
+                assert_never(message)
+
+    def _on_probe(self, probe: GossipProbe) -> None:
         """Answer a probe, then learn from it."""
-        _, _, number, (low, high, versions), state, suspicions = message
-        known = {
-            str(name): EntryVersion(float(incarnation), int(heartbeat), int(content))
-            for name, (incarnation, heartbeat, content) in versions.items()
-        }
-        answer = self.members.delta(Digest(ip, known, low, high), MAX_ENTRIES)
-        entries = (*answer.entries, *self.members.take_pending(MAX_ENTRIES - len(answer.entries)))
-        self._send(
-            ip,
-            "word",
-            number,
-            _pack_entries(entries),
-            list(self.host.state_digest()),
-            self._suspicions(ip),
-        )
+        ip = probe.sender
+        versions = {name: EntryVersion(*version) for name, version in probe.members.versions.items()}
+        digest = Digest(ip, versions, probe.members.low, probe.members.high)
+        delta = self.members.delta(digest, MAX_ENTRIES)
+        entries = (*delta.entries, *self.members.take_pending(MAX_ENTRIES - len(delta.entries)))
+        packed = [_pack_entry(entry) for entry in entries[:MAX_ENTRIES]]
+        state = self.host.state_digest()
+        self._send(ip, GossipAck(self.ip, probe.probe_number, packed, state, self._suspicions(ip)))
         if ip in versions:
-            self._merge_entries([[ip, *versions[ip], False]])
-        self._on_suspicions(suspicions)
-        self._compare_state(ip, state)
+            self._merge_entries([MemberEntry(ip, *versions[ip], False)])
+        self._merge_suspicions(probe.suspicions)
+        self._compare_state(ip, probe.state)
 
-    def _on_probe_ack(self, ip: str, message: list[Any]) -> None:
-        _, _, number, entries, state, suspicions = message
-        self._merge_entries(entries)
-        self._on_ack(int(number))
-        self._on_suspicions(suspicions)
-        self._compare_state(ip, state)
+    def _on_probe_ack(self, ack: GossipAck) -> None:
+        self._merge_entries(ack.entries)
+        self._on_ack(ack.probe_number)
+        self._merge_suspicions(ack.suspicions)
+        self._compare_state(ack.sender, ack.state)
 
-    def _merge_entries(self, packed: list[Any]) -> None:
-        self.members.merge_entries([_unpack_entry(entry) for entry in packed])
+    def _merge_entries(self, entries: list[MemberEntry]) -> None:
+        self.members.merge_entries([_unpack_entry(entry) for entry in entries])
 
-    def _suspicions(self, ip: str) -> list[Any]:
+    def _suspicions(self, ip: str) -> list[MemberSuspicion]:
         """Return the suspicions to send to a member, always with the one against itself if there is one."""
         return [
-            [suspicion.name, suspicion.incarnation, suspicion.heartbeat, suspicion.accuser]
+            MemberSuspicion(suspicion.name, suspicion.incarnation, suspicion.heartbeat, suspicion.accuser)
             for suspicion in self.members.take_suspicions(ip, MAX_SUSPICIONS)
         ]
 
-    def _on_suspicions(self, packed: list[Any]) -> None:
+    def _merge_suspicions(self, suspicions: list[MemberSuspicion]) -> None:
         self.members.merge_suspicions(
-            Suspicion(str(name), float(incarnation), int(heartbeat), str(by))
-            for name, incarnation, heartbeat, by in packed
+            Suspicion(suspicion.name, suspicion.incarnation, suspicion.heartbeat, suspicion.suspected_by)
+            for suspicion in suspicions
         )
 
     # Anti-entropy.
 
-    def _compare_state(self, ip: str, theirs: list[Any]) -> None:
+    def _compare_state(self, ip: str, theirs: StateDigest) -> None:
         """Fetch the state of a member that is ahead, or, while isolated, of one that differs."""
-        version, digest, departures, checksum = self.host.state_digest()
-        is_ahead = theirs[0] > version or theirs[2] > departures
-        differs = theirs[3] != checksum or (theirs[0] == version and theirs[1] != digest)
+        own = self.host.state_digest()
+        is_ahead = theirs.config_version > own.config_version or theirs.departure_count > own.departure_count
+        other_text = theirs.config_version == own.config_version and theirs.config_digest != own.config_digest
+        differs = other_text or theirs.endpoints_digest != own.endpoints_digest
         if self._is_fetching or not (is_ahead or (differs and self.host.is_isolated())):
             return
         self._is_fetching = True
@@ -259,23 +279,22 @@
             self._is_fetching = False
 
     async def _read_state(self, connection: PeerConnection) -> None:
-        version, digest, _, _ = self.host.state_digest()
+        own = self.host.state_digest()
         try:
-            connection.send("fetch", version, digest)
-            await connection.read(self.host.on_peer_message)
+            connection.send(FetchState(own.config_version, own.config_digest))
+            await connection.read(self.host.on_peer_message, PEER_REPLIES)
         finally:
             connection.close()
 
     async def serve(self, connection: PeerConnection) -> None:
         """Send the state to a member that fetches it."""
         with trio.move_on_after(FETCH_TIMEOUT_S):
-            await connection.read(self._on_fetch)
+            await connection.read(self._on_fetch, PEER_REQUESTS)
         connection.close()
 
-    def _on_fetch(self, connection: PeerConnection, message: Message) -> None:
-        if message[0] == "fetch":
-            self.host.send_state(connection, int(message[1]), bytes(message[2]))
-            connection.link.finish()
+    def _on_fetch(self, connection: PeerConnection, request: PeerRequest) -> None:
+        self.host.send_state(connection, request.config_version, request.config_digest)
+        connection.link.finish()
 
 
 async def _is_set_within(seconds: float, event: trio.Event) -> bool:
@@ -284,24 +303,11 @@
     return event.is_set()
 
 
-def _pack_entries(entries: tuple[Entry[MemberInfo], ...]) -> list[Any]:
-    packed = []
-    for entry in entries[:MAX_ENTRIES]:
-        has_left = None if entry.content is None else entry.content.left
-        packed.append([entry.owner, entry.incarnation, entry.heartbeat, entry.content_version, has_left])
-    return packed
-
-
-def _unpack_entry(packed: list[Any]) -> Entry[MemberInfo]:
-    owner, incarnation, heartbeat, number, has_left = packed
-    content = None if has_left is None else MemberInfo(owner, bool(has_left))
-    return Entry(parse_ip(owner), float(incarnation), int(heartbeat), int(number), content)
-
-
-class _NoLink:
-    """The link of a change that came by datagram: nothing is sent back on it."""
-
-    broken = True
+def _pack_entry(entry: Entry[MemberInfo]) -> MemberEntry:
+    has_left = None if entry.content is None else entry.content.left
+    return MemberEntry(entry.owner, entry.incarnation, entry.heartbeat, entry.content_version, has_left)
 
 
-_NO_LINK: Any = _NoLink()
+def _unpack_entry(entry: MemberEntry) -> Entry[MemberInfo]:
+    content = None if entry.has_left is None else MemberInfo(entry.ip, entry.has_left)
+    return Entry(entry.ip, entry.incarnation, entry.heartbeat, entry.content_number, content)
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -13,14 +13,23 @@
 from wickspring import interface as api
 from wickspring.common import logs
 from wickspring.common.bootstrap import Bootstrap
-from wickspring.common.connection import Message, PeerConnection, accept_connections
+from wickspring.common.connection import PeerConnection, accept_connections
 from wickspring.common.errors import ErrorDetail, ErrorKind, GatewayError
+from wickspring.common.messages import (
+    ConfigOffer,
+    EndpointRecord,
+    EndpointSnapshot,
+    GossipedDepartures,
+    GossipedEndpoints,
+    PeerReply,
+    StateDigest,
+)
 from wickspring.common.routing_table import RoutingTable
 from wickspring.common.settings import NodeSettings
 from wickspring.connections.limits import ConnectionLimits
 from wickspring.dataplane.control_client.client import ControlClient
 from wickspring.dataplane.control_client.listener import UsageReports
-from wickspring.dataplane.gossip import GossipDigest, GossipNode
+from wickspring.dataplane.gossip import GossipNode
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
 from wickspring.dataplane.readiness import ReadinessProbe, serve_readiness
@@ -197,9 +206,13 @@
         self.upstream.limits = self.limits
         self.upstream.pools.limits = self.limits
 
-    def on_endpoint_changes(self, kind: str, changes: object) -> None:
-        """Pass changes of endpoints on to other data planes."""
-        self.gossip.broadcast(kind, changes)
+    def on_new_endpoints(self, endpoints: list[EndpointRecord]) -> None:
+        """Pass endpoints on to other data planes that are new or have changed."""
+        self.gossip.broadcast(GossipedEndpoints(self.settings.ip, endpoints))
+
+    def on_new_departures(self, states: dict[str, int]) -> None:
+        """Pass departures of endpoints on to other data planes."""
+        self.gossip.broadcast(GossipedDepartures(self.settings.ip, states))
 
     def on_data_planes(self, ips: list[str]) -> None:
         """Contact other data planes that the control plane has named."""
@@ -211,31 +224,38 @@
 
     # `GossipHost`: what other data planes compare and fetch.
 
-    def state_digest(self) -> GossipDigest:
+    def state_digest(self) -> StateDigest:
         """Return what other data planes compare with theirs."""
         adopted = self.control_client.config.adoption
-        departures = len(self.endpoints.departures)
-        return adopted.version, adopted.digest, departures, self.endpoints.digest()
+        departure_count = len(self.endpoints.departures)
+        return StateDigest(adopted.version, adopted.digest, departure_count, self.endpoints.digest())
 
     def send_state(self, connection: PeerConnection, version: int, digest: bytes) -> None:
         """Send another data plane all that is known here."""
         control_client = self.control_client
         config = control_client.config
-        adopted = config.adoption
-        if adopted.version > version or (adopted.version == version and adopted.digest != digest):
-            status = int(control_client.config_status)
-            connection.send("chart", adopted.version, config.packed, adopted.digest, status)
+        own_version, own_digest = config.adoption.version, config.adoption.digest
+        if own_version > version or (own_version == version and own_digest != digest):
+            status = control_client.config_status
+            connection.send(ConfigOffer(own_version, config.packed, own_digest, status))
         now = self.clock.now()
-        known = self.endpoints.candidates.values()
-        records = [candidate.endpoint.pack(now) for candidate in known if not candidate.unresponsive]
-        connection.send("whole", records, self.endpoints.departures, control_client.in_contact)
+        candidates = self.endpoints.candidates.values()
+        records = [
+            candidate.endpoint.to_record(now) for candidate in candidates if not candidate.unresponsive
+        ]
+        connection.send(EndpointSnapshot(records, self.endpoints.departures, control_client.in_contact))
 
-    def on_peer_message(self, connection: PeerConnection, message: Message) -> None:
+    def on_peer_message(self, connection: PeerConnection, message: PeerReply) -> None:
         """Take in what another data plane reports."""
-        if message[0] == "chart":
-            self.control_client.on_config_offer(message, by_control_plane=False)
-        elif message[0] in ("whole", "servers", "leaving"):
-            self.control_client.on_message(connection, message)
+        self.control_client.on_peer_message(connection, message)
+
+    def on_gossiped_endpoints(self, endpoints: list[EndpointRecord]) -> None:
+        """Take in endpoints that another data plane has passed on."""
+        self.control_client.endpoint_sync.on_changes(endpoints)
+
+    def on_gossiped_departures(self, states: dict[str, int]) -> None:
+        """Take in departures that another data plane has passed on."""
+        self.control_client.endpoint_sync.on_departures(states)
 
     def is_isolated(self) -> bool:
         """Return whether no control plane is in reach."""
--- a/wickspring/lab/simulation/gossip.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -16,9 +16,10 @@
 import trio
 import trio.testing
 
-from wickspring.common.connection import Message, PeerConnection
+from wickspring.common.connection import PeerConnection
 from wickspring.common.digest import DIGEST_SIZE
-from wickspring.dataplane.gossip import GossipDigest, GossipNode
+from wickspring.common.messages import EndpointRecord, PeerReply, StateDigest
+from wickspring.dataplane.gossip import GossipNode
 from wickspring.lab.simulation.clock import VirtualClock
 
 LOSS = 0.01  # of all datagrams
@@ -79,16 +80,22 @@
         self.talk = Talk(self.ip, 1, fleet.clock, nursery, random, self, self.wire)
         self.talk.fleet = fleet
 
-    def state_digest(self) -> GossipDigest:
+    def state_digest(self) -> StateDigest:
         """Return the state to compare."""
-        return self.version, bytes(DIGEST_SIZE) if self.version else b"", 0, 0
+        return StateDigest(self.version, bytes(DIGEST_SIZE) if self.version else b"", 0, 0)
 
     def send_state(self, connection: PeerConnection, version: int, digest: bytes) -> None:
         """Nothing is told over cables here."""
 
-    def on_peer_message(self, connection: PeerConnection, message: Message) -> None:
+    def on_peer_message(self, connection: PeerConnection, message: PeerReply) -> None:
         """Nothing comes over cables here."""
 
+    def on_gossiped_endpoints(self, endpoints: list[EndpointRecord]) -> None:
+        """No endpoint is known here."""
+
+    def on_gossiped_departures(self, states: dict[str, int]) -> None:
+        """No endpoint is known here."""
+
     def is_isolated(self) -> bool:
         """Tell that lighthouses are in reach."""
         return False
