--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -6,7 +6,7 @@
 import shutil
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 import msgpack
 import msgspec
@@ -200,6 +200,15 @@
     return message
 
 
+MessageT = TypeVar("MessageT", bound=messages.Message)
+
+
+def typed(decoder: messages.MessageDecoder[MessageT], wire_message: list[Any]) -> MessageT:
+    message = decoder.decode(wire_message)
+    assert message is not None
+    return message
+
+
 def receiver(system: VirtualSystem, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
     """Return what takes such a message today."""
     connection = PeerConnection(link, VirtualClock())
@@ -217,12 +226,13 @@
             session.is_control_plane_node = True
         return lambda message: control_plane.peer_server.receive(session, message)
     if one["from"] == CONTROL:
-        return lambda message: data_plane.control_client.take(connection, message)
+        on_message = data_plane.control_client.on_message
+        return lambda message: on_message(connection, typed(messages.CONTROL_PLANE_MESSAGES, message))
     if one["transport"] == "udp":
-        return lambda message: data_plane.gossip._take(connection.name, message)
+        return lambda message: data_plane.gossip.on_datagram(typed(messages.DATAGRAMS, message))
     if kind == "fetch":
-        return lambda message: data_plane.tell_all(connection, int(message[1]), bytes(message[2]))
-    return lambda message: data_plane.take(connection, message)
+        return lambda message: data_plane.gossip._on_fetch(connection, typed(messages.PEER_REQUESTS, message))
+    return lambda message: data_plane.on_peer_message(connection, typed(messages.PEER_REPLIES, message))
 
 
 def cut_short(one: dict[str, Any]) -> list[Any]:
@@ -240,7 +250,8 @@
         await system.commit_config(CONTROL_PLANES[0], 1)
         await system.wait_until(
             lambda: (
-                data_plane.control_client.informed and data_plane.control_client.routing_table.version == 1
+                data_plane.control_client.informed
+                and data_plane.control_client.config.routing_table.version == 1
             )
         )
         CURRENT_MACHINE.set(
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -106,7 +106,9 @@
         others = [one for ip, one in system.control_planes.items() if ip != victim]
         assert (await replace_config(others[0], 2)).status == 200
         await system.wait_until(
-            lambda: all(one.control_client.routing_table.version == 2 for one in system.data_planes.values())
+            lambda: all(
+                one.control_client.config.routing_table.version == 2 for one in system.data_planes.values()
+            )
         )
         system.cut(
             victim, direction=direction, reachable=DATA_PLANES
@@ -136,7 +138,8 @@
             assert (await replace_config(others[0], version, "other")).status == 409
             await system.wait_until(
                 lambda number=version: all(  # type: ignore[misc]
-                    one.control_client.routing_table.version == number for one in system.data_planes.values()
+                    one.control_client.config.routing_table.version == number
+                    for one in system.data_planes.values()
                 ),
                 1.0,
             )
@@ -198,13 +201,17 @@
         await leave_new_pilots_the_old(system, restarted)
         begun = trio.current_time()
         data_plane = await system.start_data_plane(DATA_PLANES[0])
-        took = await system.wait_until(lambda: data_plane.control_client.routing_table.version == 1, 6.0)
+        took = await system.wait_until(
+            lambda: data_plane.control_client.config.routing_table.version == 1, 6.0
+        )
         assert took >= ISOLATION_MS / 1000.0 and trio.current_time() - begun < 6.0
-        assert data_plane.control_client.standing is (ConfigStatus.HELD if restarted else ConfigStatus.SAFE)
+        assert data_plane.control_client.config_status is (
+            ConfigStatus.HELD if restarted else ConfigStatus.SAFE
+        )
         assert not data_plane.control_client.in_contact
         system.heal()
-        await system.wait_until(lambda: data_plane.control_client.routing_table.version == 2)
-        await system.wait_until(lambda: data_plane.control_client.standing is ConfigStatus.CURRENT, 0.5)
+        await system.wait_until(lambda: data_plane.control_client.config.routing_table.version == 2)
+        await system.wait_until(lambda: data_plane.control_client.config_status is ConfigStatus.CURRENT, 0.5)
         assert system.adopted_versions[DATA_PLANES[0]] == [1, 2]
 
     run_virtual_system(monkeypatch, cut_off)
@@ -243,7 +250,7 @@
         data_plane = await system.start_data_plane(DATA_PLANES[0])
         await trio.sleep(0.9)
         system.cuts -= {(DATA_PLANES[0], CONTROL_PLANES[0]), (CONTROL_PLANES[0], DATA_PLANES[0])}
-        await system.wait_until(lambda: data_plane.control_client.routing_table.version == 2)
+        await system.wait_until(lambda: data_plane.control_client.config.routing_table.version == 2)
         await trio.sleep(3.0)
         taken.extend(system.adopted_versions[DATA_PLANES[0]])
 
@@ -268,10 +275,12 @@
         system.cut(second, reachable=(first,))
         alone = await system.start_data_plane(second)
         alone.gossip.introduce([first])
-        await system.wait_until(lambda: alone.control_client.routing_table.version == 1)
-        assert alone.state()[:2] == (1, digest_of(config_text(1))) and not alone.control_client.in_contact
+        await system.wait_until(lambda: alone.control_client.config.routing_table.version == 1)
+        state = alone.state_digest()
+        assert (state.config_version, state.config_digest) == (1, digest_of(config_text(1)))
+        assert not alone.control_client.in_contact
         assert (await replace_config(system.control_planes[CONTROL_PLANES[0]], 2)).status == 200
-        await system.wait_until(lambda: alone.control_client.routing_table.version == 2)
+        await system.wait_until(lambda: alone.control_client.config.routing_table.version == 2)
 
     run_virtual_system(monkeypatch, apart)
 
@@ -287,7 +296,7 @@
         control_plane.on_committed(control_plane.replication.chain.replica)
 
     monkeypatch.setattr(ControlPlane, "restore", hasty)
-    monkeypatch.setattr(config_adoption, "ALONE_MS", 0.0)  # and a pilot that takes what comes first
+    monkeypatch.setattr(config_adoption, "FALLBACK_AFTER_MS", 0.0)  # and a pilot that takes what comes first
     assert plays_first_news(monkeypatch, True) == [1, 2]
 
 
@@ -439,7 +448,7 @@
         data_plane = await system.start_data_plane(DATA_PLANES[0])
         for id_ in ("silent", "ended", "well"):
             assert (await send_heartbeat(victim, id_, 40)).status == 200
-        await system.wait_until(lambda: len(data_plane.choice.candidates) == 3)
+        await system.wait_until(lambda: len(data_plane.endpoints.candidates) == 3)
         system.cut(victim.settings.ip, reachable=DATA_PLANES)
         assert (await system.commit_config(CONTROL_PLANES[0], 2)).status == 200
         assert (await send_heartbeat(control_plane, "ended", 41, "draining")).status == 200
@@ -454,7 +463,7 @@
 
             monkeypatch.setattr(session.connection, "send", noted)
         seq = 41
-        while not data_plane.choice.candidates["silent"].lost:
+        while not data_plane.endpoints.candidates["silent"].unresponsive:
             seq += 1
             assert seq < 60
             assert (await send_heartbeat(control_plane, "well", seq)).status == 200
@@ -465,14 +474,18 @@
             seq += 1
             await send_heartbeat(control_plane, "well", seq)
             await trio.sleep(1.0)
-        assert data_plane.choice.candidates["silent"].lost and not data_plane.choice.takes("ended")
-        assert not data_plane.choice.candidates["well"].lost
+        assert data_plane.endpoints.candidates["silent"].unresponsive and not data_plane.endpoints.accepts(
+            "ended"
+        )
+        assert not data_plane.endpoints.candidates["well"].unresponsive
         assert any(isinstance(message, EndpointSnapshot) for message in heard)
         assert not any(isinstance(message, EndpointsLost | QuotaTotal) for message in heard)
         system.heal()
         await system.wait_until(lambda: victim.components.contact.observe() is QuorumContact.SETTLED)
-        assert not data_plane.choice.candidates["well"].lost and not data_plane.choice.takes("ended")
-        assert data_plane.choice.candidates["silent"].lost
+        assert not data_plane.endpoints.candidates["well"].unresponsive and not data_plane.endpoints.accepts(
+            "ended"
+        )
+        assert data_plane.endpoints.candidates["silent"].unresponsive
         assert (await send_heartbeat(victim, "well", seq + 1)).status == 200
         assert [one.id for one in victim.components.registry.present() if one.state == READY] == ["well"]
 
@@ -480,15 +493,21 @@
 
 
 def test_lists_that_are_not_fresh_bring_nobody_back() -> None:
-    choice = EndpointSelector("a", 1)
-    choice.heard(0.0, ready_endpoint("i1", 4))
-    choice.silent(["i1"])
-    assert not choice.heard(1.0, ready_endpoint("i1", 9), fresh=False) and choice.candidates["i1"].lost
-    assert choice.heard(1.0, ready_endpoint("i2", 9), fresh=False) and not choice.candidates["i2"].lost
-    choice.left({"i2": GONE})
-    choice.heard(2.0, ready_endpoint("i2", 99))
-    assert not choice.takes("i2")
-    assert choice.heard(3.0, ready_endpoint("i1", 10)) and not choice.candidates["i1"].lost
+    endpoints = EndpointSelector("a", 1)
+    endpoints.update(0.0, ready_endpoint("i1", 4))
+    endpoints.mark_unresponsive(["i1"])
+    assert (
+        not endpoints.update(1.0, ready_endpoint("i1", 9), fresh=False)
+        and endpoints.candidates["i1"].unresponsive
+    )
+    assert (
+        endpoints.update(1.0, ready_endpoint("i2", 9), fresh=False)
+        and not endpoints.candidates["i2"].unresponsive
+    )
+    endpoints.mark_departures({"i2": GONE})
+    endpoints.update(2.0, ready_endpoint("i2", 99))
+    assert not endpoints.accepts("i2")
+    assert endpoints.update(3.0, ready_endpoint("i1", 10)) and not endpoints.candidates["i1"].unresponsive
 
 
 def test_a_beat_that_came_elsewhere_brings_a_server_back() -> None:
@@ -521,25 +540,25 @@
             version += random.randint(0, 1)  # a head's own, confirmed to nobody
         mark = random.choice("xy") if standing is ConfigStatus.HELD else safe.get(version, "x")
         copy = copy_of(version, mark, standing)
-        before = mine.version, mine.standing
-        advice = mine.told(now, copy, random.random() < 0.5)
+        before = mine.version, mine.status
+        advice = mine.offer(now, copy, random.random() < 0.5)
         contact_at = now if standing is ConfigStatus.CURRENT else contact_at
-        due = mine.due(now)
+        due = mine.fallback(now)
         assert advice is not AdoptionAction.FENCE  # one safe text a number: the fence never falls
-        if advice in (AdoptionAction.TAKE, AdoptionAction.GIVE_WAY):
+        if advice in (AdoptionAction.ADOPT, AdoptionAction.REPLACE_UNCOMMITTED):
             assert standing >= ConfigStatus.SAFE
             assert before[0] or standing is ConfigStatus.CURRENT
-            assert advice is AdoptionAction.TAKE or before == (version, ConfigStatus.HELD)
-            mine.took(copy)
+            assert advice is AdoptionAction.ADOPT or before == (version, ConfigStatus.HELD)
+            mine.adopted(copy)
         elif due is not None:
-            assert not before[0] and now - contact_at >= config_adoption.ALONE_MS
-            mine.took(due)
+            assert not before[0] and now - contact_at >= config_adoption.FALLBACK_AFTER_MS
+            mine.adopted(due)
         numbers.append(mine.version)
-        if mine.standing is ConfigStatus.SAFE:
+        if mine.status is ConfigStatus.SAFE:
             assert mine.digest == digest_of(config_text(mine.version, safe[mine.version]))
     assert numbers == sorted(numbers)
-    mine.told(now, copy_of(newest, safe[newest], ConfigStatus.CURRENT))
-    assert mine.version <= newest or mine.standing is ConfigStatus.HELD
+    mine.offer(now, copy_of(newest, safe[newest], ConfigStatus.CURRENT))
+    assert mine.version <= newest or mine.status is ConfigStatus.HELD
 
 
 def test_the_fence_takes_the_text_of_one_in_contact_and_says_so(
@@ -552,24 +571,25 @@
         control_plane = system.control_planes[CONTROL_PLANES[0]]
         await replace_config(control_plane, 1)
         data_plane = await system.start_data_plane(DATA_PLANES[0])
-        await system.wait_until(lambda: data_plane.control_client.routing_table.version == 1)
-        good = data_plane.control_client.packed
+        await system.wait_until(lambda: data_plane.control_client.config.routing_table.version == 1)
+        good = data_plane.control_client.config.packed
         other = zlib.compress(config_text(1, "other"))
         connection = next(iter(control_plane.data_planes)).connection
         for standing, by_control_plane in ((ConfigStatus.SAFE, True), (ConfigStatus.CURRENT, False)):
-            told = ["chart", 1, other, digest_of(config_text(1, "other")), int(standing)]
-            data_plane.control_client.take(connection, told, by_control_plane)
-            assert data_plane.control_client.packed == good
-        data_plane.control_client.take(
-            connection, ["chart", 1, other, digest_of(config_text(1)), int(ConfigStatus.CURRENT)]
+            offer = ConfigOffer(1, other, digest_of(config_text(1, "other")), standing)
+            data_plane.control_client.config.offer(offer, by_control_plane)
+            assert data_plane.control_client.config.packed == good
+        data_plane.control_client.on_message(
+            connection, ConfigOffer(1, other, digest_of(config_text(1)), ConfigStatus.CURRENT)
         )
-        assert data_plane.control_client.packed == good  # not the text of its digest: half a copy is none
-        data_plane.control_client.take(
-            connection, ["chart", 1, other, digest_of(config_text(1, "other")), int(ConfigStatus.CURRENT)]
+        # Not the text of its digest: half a copy is none.
+        assert data_plane.control_client.config.packed == good
+        data_plane.control_client.on_message(
+            connection, ConfigOffer(1, other, digest_of(config_text(1, "other")), ConfigStatus.CURRENT)
         )
-        assert data_plane.control_client.packed == other
+        assert data_plane.control_client.config.packed == other
         await system.wait_until(
-            lambda: data_plane.control_client.packed == good
+            lambda: data_plane.control_client.config.packed == good
         )  # its lighthouses have another still
 
     run_virtual_system(monkeypatch, two_texts)
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -198,18 +198,18 @@
         data_plane = DataPlane(settings, nursery, self.random.getrandbits(32))
         self.data_planes[settings.ip] = data_plane
         self._record_adopted_versions(data_plane)
-        nursery.start_soon(data_plane.control_client.tick)
+        nursery.start_soon(data_plane.control_client.run)
         nursery.start_soon(data_plane.gossip.run)
 
     def _record_adopted_versions(self, data_plane: DataPlane) -> None:
         versions = self.adopted_versions[data_plane.settings.ip] = []
-        on_routing_table = data_plane.control_client._charted
+        on_routing_table = data_plane.on_routing_table
 
         def record(routing_table: Any) -> None:
             versions.append(routing_table.version)
             on_routing_table(routing_table)
 
-        data_plane.control_client._charted = record
+        data_plane.on_routing_table = record  # type: ignore[method-assign]
 
     def kill(self, ip: str) -> None:
         """End a machine's process at once; its disk stays."""
--- a/wickspring/lab/experiments/capacity_site.py
+++ b/wickspring/lab/experiments/capacity_site.py
@@ -62,7 +62,9 @@
 
 def requests_received(gateway: VirtualGateway) -> float:
     """Return how many requests the data planes have received."""
-    return float(sum(data_plane.event_counts["asked"] for data_plane in gateway.data_planes.values()))
+    return float(
+        sum(data_plane.request_context.event_counts["asked"] for data_plane in gateway.data_planes.values())
+    )
 
 
 def rates(meter: Meter, size: SiteSize) -> Figures:
--- a/wickspring/lab/simulation/gossip.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -16,9 +16,10 @@
 import trio
 import trio.testing
 
-from wickspring.common.connection import Message, PeerConnection
+from wickspring.common.connection import PeerConnection
 from wickspring.common.digest import DIGEST_SIZE
-from wickspring.dataplane.gossip import GossipDigest, GossipNode
+from wickspring.common.messages import EndpointRecord, PeerReply, StateDigest
+from wickspring.dataplane.gossip import GossipNode
 from wickspring.lab.simulation.clock import VirtualClock
 
 LOSS = 0.01  # of all datagrams
@@ -79,17 +80,23 @@
         self.talk = Talk(self.ip, 1, fleet.clock, nursery, random, self, self.wire)
         self.talk.fleet = fleet
 
-    def state(self) -> GossipDigest:
+    def state_digest(self) -> StateDigest:
         """Return the state to compare."""
-        return self.version, bytes(DIGEST_SIZE) if self.version else b"", 0, 0
+        return StateDigest(self.version, bytes(DIGEST_SIZE) if self.version else b"", 0, 0)
 
-    def tell_all(self, connection: PeerConnection, version: int, digest: bytes) -> None:
+    def send_state(self, connection: PeerConnection, version: int, digest: bytes) -> None:
         """Nothing is told over cables here."""
 
-    def take(self, connection: PeerConnection, message: Message) -> None:
+    def on_peer_message(self, connection: PeerConnection, message: PeerReply) -> None:
         """Nothing comes over cables here."""
 
-    def alone(self) -> bool:
+    def on_gossiped_endpoints(self, endpoints: list[EndpointRecord]) -> None:
+        """No endpoint is known here."""
+
+    def on_gossiped_departures(self, states: dict[str, int]) -> None:
+        """No endpoint is known here."""
+
+    def is_isolated(self) -> bool:
         """Tell that lighthouses are in reach."""
         return False
 
@@ -99,7 +106,7 @@
 
     fleet: Fleet
 
-    async def _fetch(self, ip: str) -> None:
+    async def _fetch_state(self, ip: str) -> None:
         mine, theirs = self.fleet.data_planes[self.ip], self.fleet.data_planes[ip]
         try:
             await trio.sleep(3 * HOP_S)
@@ -109,7 +116,7 @@
                 theirs.wire.sent += DOCUMENT
                 mine.version = theirs.version
         finally:
-            self._fetching = False
+            self._is_fetching = False
 
 
 class Fleet:
