--- a/tests/controlplane/test_status.py
+++ b/tests/controlplane/test_status.py
@@ -48,7 +48,7 @@
         assert (await replace(control_plane, 3)).status == 200
         assert (await beat(control_plane, "i1", 1)).status == 200
         data_plane = await site.start_pilot(DATA_PLANES[0])
-        await site.until(lambda: data_plane.control_client.routing_table.version == 3)
+        await site.until(lambda: data_plane.control_client.config.routing_table.version == 3)
         control_plane.components.quota_counter.acquire(control_plane.clock.now(), "t", "p", 5.0, 5.0)
         control_plane.replication.peers.statuses.pop(CONTROL_PLANES[2])  # as before its first report
         response = await Status(control_plane).call(ApiRequest("GET", "/status", b""))
