--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -96,7 +96,7 @@
         try:
             read = settings_module.parse_settings("\n".join(lines))
         except GatewayError as error:
-            assert error.fault.kind is ErrorKind.BAD_SETTINGS and error.fault.reason
+            assert error.detail.kind is ErrorKind.BAD_SETTINGS and error.detail.reason
         else:
             assert 0 < read.talk_port < 65536
             assert all(parse_address(one) for one in read.seed_addrs)
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -237,7 +237,7 @@
         """Wait until all lighthouses are in contact, and have been for long enough."""
         await self.until(
             lambda: all(
-                one.components.contact.observe().name == "SETTLED" for one in self.control_planes.values()
+                one.components.contact.observe().name == "STABLE" for one in self.control_planes.values()
             )
         )
 
--- a/wickspring/common/bootstrap.py
+++ b/wickspring/common/bootstrap.py
@@ -1,7 +1,8 @@
-"""The first moments of a process: it reads its settings and listens, before the rest of it is loaded.
+"""The start of a process: it reads its settings and listens before the rest of it is loaded.
 
-Loading takes some tenths of a second on a small machine. Who calls meanwhile waits in the kernel's line and
-is served then; otherwise he is turned away, and after a fault that hits all machines there is nobody else.
+Loading takes some tenths of a second on a small machine. Clients that connect in that time wait in the
+kernel's accept queue and are served afterwards. Without the queue they would be refused, and after a fault
+that hits all machines there is no other one to turn to.
 """
 
 from __future__ import annotations
@@ -9,36 +10,46 @@
 import socket
 import sys
 
-from wickspring.common.errors import ErrorDetail, ErrorKind, GatewayError
+from wickspring.common.errors import GatewayError, settings_error
 from wickspring.common.settings_file import parse_address, parse_lines, read_settings_file
 from wickspring.net.sockets import listen
 
+_NEEDED_TO_LISTEN = ("ip", "port_range")
+EXIT_BAD_SETTINGS = 2
+
 
 class Bootstrap:
-    """What a process begins with: its settings and its listening sockets."""
+    """What a process starts with: its settings and its listening sockets.
+
+    Raises:
+        GatewayError: a setting is missing or cannot be used.
+        OSError: an address cannot be listened on.
+    """
 
     def __init__(self, text: str) -> None:
-        flat = parse_lines(text)
-        for name in ("ip", "port_range"):
-            if name not in flat:
-                raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, f"{name} is missing"))
-        self.talk = listen(parse_address(f"{flat['ip']}:{flat['port_range'].split(',')[0]}"), defer=False)
-        self.front = _open(flat, "bind.front_http")
-        self.ready = _open(flat, "bind.ready_addr")
-        self.control = _open(flat, "bind.control_addr")
+        lines = parse_lines(text)
+        for name in _NEEDED_TO_LISTEN:
+            if name not in lines:
+                raise settings_error(f"{name} is missing")
+        peer_port = lines["port_range"].split(",")[0]
+        self.talk = listen(parse_address(f"{lines['ip']}:{peer_port}"), defer=False)
+        self.front = _listen_if_set(lines, "bind.front_http")
+        self.ready = _listen_if_set(lines, "bind.ready_addr")
+        self.control = _listen_if_set(lines, "bind.control_addr")
+        # Imported here: it loads msgspec, which takes longer than all of the above.
         from wickspring.common.settings import parse_settings
 
         self.settings = parse_settings(text)
 
 
-def _open(flat: dict[str, str], name: str) -> socket.socket | None:
-    return listen(parse_address(flat[name]), defer=False) if flat.get(name) else None
+def _listen_if_set(lines: dict[str, str], name: str) -> socket.socket | None:
+    return listen(parse_address(lines[name]), defer=False) if lines.get(name) else None
 
 
 def bootstrap() -> Bootstrap:
-    """Begin a process; with faulty settings it ends, and says which field."""
+    """Read the settings and listen; on an error, print it and exit."""
     try:
         return Bootstrap(read_settings_file())
     except (GatewayError, OSError) as error:
         sys.stderr.write(f"{error}\n")
-        sys.exit(2)
+        sys.exit(EXIT_BAD_SETTINGS)
--- a/wickspring/common/config_status.py
+++ b/wickspring/common/config_status.py
@@ -1,4 +1,7 @@
-"""How far a copy of the configuration may be relied on, as the system's processes tell each other."""
+"""How far a copy of the configuration may be relied on, as processes report it to each other.
+
+The numbers are fixed by the wire (`ConfigOffer`, `ControlPlaneHeartbeatReply`); a higher one means more.
+"""
 
 from __future__ import annotations
 
@@ -6,16 +9,44 @@
 
 
 class ConfigStatus(IntEnum):
-    """What is known of a copy by whoever hands it on."""
+    """What a sender knows of the copy of the configuration that it sends."""
 
-    HELD = 0  # on a disk: it may have become safe, and it may never
-    SAFE = 1  # it has been safe; there may be newer ones
-    CURRENT = 2  # safe, and told by a process that is in contact with a majority of the core
+    STORED = 0  # on a node's disk; whether it was ever committed is not known
+    COMMITTED = 1  # it has been committed; there may be newer ones
+    CURRENT = 2  # committed, and sent by a process in contact with a majority of the control plane
 
+    HELD = STORED  # earlier names, until their users have moved
+    SAFE = COMMITTED
 
-class QuorumContact(IntEnum):
-    """How a lighthouse stands with the core."""
+    @property
+    def label(self) -> str:
+        """Return the name in logs, which operators know (`docs/operators/gateway.md`)."""
+        return _CONFIG_STATUS_LABELS[self]
 
-    NONE = 0  # what it knows may be old, and it confirms nothing
-    FRESH = 1  # a majority answers it, but not for long enough to have heard of every server
-    SETTLED = 2  # for so long that whatever server beats is known to it
+
+class QuorumContact(IntEnum):
+    """What contact a control-plane node has with the majority of the voters."""
+
+    NONE = 0  # no majority answers: what the node knows may be old, and it confirms nothing
+    RECENT = 1  # a majority answers, but not for long enough to have reported every endpoint
+    STABLE = 2  # a majority has answered for longer than endpoints need to send a heartbeat
+
+    FRESH = RECENT  # earlier names, until their users have moved
+    SETTLED = STABLE
+
+    @property
+    def label(self) -> str:
+        """Return the name in the JSON of a node's status, which is fixed."""
+        return _QUORUM_CONTACT_LABELS[self]
+
+
+_CONFIG_STATUS_LABELS = {
+    ConfigStatus.STORED: "held",
+    ConfigStatus.COMMITTED: "safe",
+    ConfigStatus.CURRENT: "current",
+}
+_QUORUM_CONTACT_LABELS = {
+    QuorumContact.NONE: "none",
+    QuorumContact.RECENT: "fresh",
+    QuorumContact.STABLE: "settled",
+}
--- a/wickspring/common/endpoints.py
+++ b/wickspring/common/endpoints.py
@@ -1,10 +1,11 @@
-"""A server as the system's processes tell each other of it; times are milliseconds."""
+"""An endpoint: one running instance of a service, as processes of the system report it to each other."""
 
 from __future__ import annotations
 
 import zlib
 from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import IntEnum
 from typing import Any
 
 import msgspec
@@ -12,26 +13,42 @@
 from wickspring.common.messages.shared import EndpointRecord
 from wickspring.common.settings_file import parse_address
 
-READY, DRAINING, GONE = 0, 1, 2
+
+class EndpointState(IntEnum):
+    """Whether an endpoint takes requests. A departure is never taken back: a state only rises."""
+
+    READY = 0
+    DRAINING = 1  # it finishes what it has, and takes nothing new
+    GONE = 2
+
+
+READY = EndpointState.READY
+DRAINING = EndpointState.DRAINING
+GONE = EndpointState.GONE
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One life of one server."""
+    """One life of one endpoint: an instance that is started again has another id."""
 
     id: str
     service: str
-    address: str
+    address: str  # IP:port
     zone: str
-    slots: int
-    state: int = READY
-    seq: int = 0
-    cold_until: float = 0.0
-    generation: str = ""
+    slots: int  # requests that it works on at once
+    state: int = READY  # `EndpointState`; a later version may send a higher one
+    seq: int = 0  # of the heartbeat that this was reported by
+    cold_until: float = 0.0  # ms, by this process's clock: it is warming up until then
+    generation: str = ""  # its build
 
     def pack(self, now: float) -> list[Any]:
-        """Return it for a message; what is a time goes as what is left of it."""
-        left = max(0.0, self.cold_until - now)
+        """Return the fields for a message or a file.
+
+        Args:
+            now: the time, in milliseconds. Clocks of machines differ, so what remains of the warm-up is
+                written in place of its end.
+        """
+        remaining_ms = max(0.0, self.cold_until - now)
         return [
             self.id,
             self.service,
@@ -40,42 +57,44 @@
             self.slots,
             self.state,
             self.seq,
-            round(left),
+            round(remaining_ms),
             self.generation,
         ]
 
-    def to_record(self, now: float) -> EndpointRecord:
-        """Return it for a typed message; times go as what is left of them at `now`, in milliseconds."""
-        return EndpointRecord(*self.pack(now))
-
     @staticmethod
-    def from_record(record: EndpointRecord, now: float) -> Endpoint:
-        """Read it from a typed message.
+    def unpack(fields: Any, now: float) -> Endpoint:
+        """Read the fields that `pack` has written.
 
         Raises:
             GatewayError: the address is not one that a request could be sent to.
+            ValueError, TypeError: the fields are not those of an endpoint.
         """
-        return Endpoint.unpack(msgspec.structs.astuple(record), now)
-
-    @staticmethod
-    def unpack(told: Any, now: float) -> Endpoint:
-        """Read it from a message; what no request could be sent to is not taken in."""
-        id_, service, address, zone, slots, state, seq, left, generation = told
+        endpoint_id, service, address, zone, slots, state, seq, remaining_ms, generation = fields
         parse_address(str(address))
-        until = now + float(left) if left else 0.0
+        warm_at = now + float(remaining_ms) if remaining_ms else 0.0
         return Endpoint(
-            str(id_),
+            str(endpoint_id),
             str(service),
             str(address),
             str(zone),
             int(slots),
             int(state),
             int(seq),
-            until,
+            warm_at,
             str(generation),
         )
 
+    def to_record(self, now: float) -> EndpointRecord:
+        """Return the payload for a typed message; `now` in milliseconds."""
+        return EndpointRecord(*self.pack(now))
+
+    @staticmethod
+    def from_record(record: EndpointRecord, now: float) -> Endpoint:
+        """Read the payload of a typed message; raises as `unpack`."""
+        return Endpoint.unpack(msgspec.structs.astuple(record), now)
+
 
-def endpoints_digest(servers: Iterable[Endpoint]) -> int:
-    """Return a number for which servers take work: two that know the same have the same."""
-    return zlib.crc32(repr(sorted(one.id for one in servers if one.state == READY)).encode())
+def endpoints_digest(endpoints: Iterable[Endpoint]) -> int:
+    """Return a CRC-32 of which endpoints are ready; processes that know the same have the same."""
+    ready_ids = sorted(endpoint.id for endpoint in endpoints if endpoint.state == READY)
+    return zlib.crc32(repr(ready_ids).encode())
--- a/wickspring/common/errors.py
+++ b/wickspring/common/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds of the gateway, and the table from kind to answer."""
+"""The closed list of error kinds of the gateway, and how each is answered over HTTP."""
 
 from __future__ import annotations
 
@@ -7,48 +7,56 @@
 
 
 class ErrorKind(Enum):
-    """Everything that can go wrong with a request, a call or an order. No other kinds are answered."""
+    """Everything that can go wrong with a request, an API call or an update; the values are answered."""
 
     NO_ROUTE = "no_route"
     NO_KEY = "no_key"
     BAD_REQUEST = "bad_request"
     OVER_QUOTA = "over_quota"
-    NO_SERVER = "no_server"  # none could take it; it has not run
+    NO_SERVER = "no_server"  # no endpoint could take the request, and it has not run
     MAY_HAVE_RUN = "may_have_run"
     TIMED_OUT = "timed_out"
-    AT_WORK = "at_work"  # a request with this id is under way here
+    IN_PROGRESS = "at_work"  # this data plane is handling a request with the same id
     NOT_READY = "not_ready"
     INVALID_CONFIG = "invalid_config"
     INVALID_SNAPSHOT = "invalid_snapshot"
-    NOT_SAFE_YET = "not_safe_yet"  # the core could not make it safe in time; it may hold later
-    VERSION_TAKEN = "version_taken"  # another text is kept under this number
+    NOT_COMMITTED = "not_safe_yet"  # not within the time limit; it may be committed later
+    VERSION_TAKEN = "version_taken"  # another document is committed under this version
     NOT_FOUND = "not_found"
     TOO_LARGE = "too_large"
     NO_CONFIG = "no_config"
     BAD_SETTINGS = "bad_settings"
 
+    AT_WORK = IN_PROGRESS  # earlier names, until their users have moved
+    NOT_SAFE_YET = NOT_COMMITTED
+
 
 @dataclass(slots=True, frozen=True)
 class ErrorResponse:
-    """How a kind is answered: status, and whether the answer tells when to come back."""
+    """How a kind is answered."""
 
     status: int
-    comes_back: bool = False
+    has_retry_after: bool = False  # the header `retry-after` says when to try again
+
+    @property
+    def comes_back(self) -> bool:
+        """Return `has_retry_after`, by its earlier name."""
+        return self.has_retry_after
 
 
 ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
     ErrorKind.NO_ROUTE: ErrorResponse(404),
     ErrorKind.NO_KEY: ErrorResponse(401),
     ErrorKind.BAD_REQUEST: ErrorResponse(400),
-    ErrorKind.OVER_QUOTA: ErrorResponse(429, comes_back=True),
-    ErrorKind.NO_SERVER: ErrorResponse(503, comes_back=True),
+    ErrorKind.OVER_QUOTA: ErrorResponse(429, has_retry_after=True),
+    ErrorKind.NO_SERVER: ErrorResponse(503, has_retry_after=True),
     ErrorKind.MAY_HAVE_RUN: ErrorResponse(502),
     ErrorKind.TIMED_OUT: ErrorResponse(504),
-    ErrorKind.AT_WORK: ErrorResponse(409),
-    ErrorKind.NOT_READY: ErrorResponse(503, comes_back=True),
+    ErrorKind.IN_PROGRESS: ErrorResponse(409),
+    ErrorKind.NOT_READY: ErrorResponse(503, has_retry_after=True),
     ErrorKind.INVALID_CONFIG: ErrorResponse(400),
     ErrorKind.INVALID_SNAPSHOT: ErrorResponse(400),
-    ErrorKind.NOT_SAFE_YET: ErrorResponse(503, comes_back=True),
+    ErrorKind.NOT_COMMITTED: ErrorResponse(503, has_retry_after=True),
     ErrorKind.VERSION_TAKEN: ErrorResponse(409),
     ErrorKind.NOT_FOUND: ErrorResponse(404),
     ErrorKind.TOO_LARGE: ErrorResponse(413),
@@ -59,20 +67,25 @@
 
 @dataclass(slots=True, frozen=True)
 class ErrorDetail:
-    """One error: its kind, and words for whoever reads the answer."""
+    """One error: its kind, and an explanation for whoever reads the answer or the log."""
 
     kind: ErrorKind
     reason: str = ""
 
     @property
     def status(self) -> int:
-        """Return the status it is answered with."""
+        """Return the HTTP status it is answered with."""
         return ERROR_RESPONSES[self.kind].status
 
 
 class GatewayError(Exception):
-    """A fault on its way up; the message is its reason."""
+    """An error of one of the known kinds, raised with `from` where another error caused it."""
+
+    def __init__(self, detail: ErrorDetail) -> None:
+        super().__init__(f"{detail.kind.value}: {detail.reason}")
+        self.detail = detail
+
 
-    def __init__(self, fault: ErrorDetail) -> None:
-        super().__init__(f"{fault.kind.value}: {fault.reason}")
-        self.fault = fault
+def settings_error(reason: str) -> GatewayError:
+    """Return the error for settings that cannot be used; the reason names the field."""
+    return GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, reason))
--- a/wickspring/common/lifecycle.py
+++ b/wickspring/common/lifecycle.py
@@ -1,4 +1,4 @@
-"""How either program runs and ends: logs, signals, garbage."""
+"""How a data plane or control-plane process runs and ends: logging, signals and garbage collection."""
 
 from __future__ import annotations
 
@@ -15,23 +15,27 @@
 from wickspring.common.bootstrap import Bootstrap
 from wickspring.common.errors import GatewayError
 
-GC_AFTER = 50_000  # new objects; fewer runs of the collector, each over more
+# Thresholds of the garbage collector. The first is far above the default (700 new objects): fewer runs, each
+# over more objects, take less time in total.
+GC_THRESHOLDS = (50_000, 20, 20)
+SEED_BITS = 32
 
+# A program: what it starts with, the seed of its random numbers, and the event that asks it to end.
 Run = Callable[[Bootstrap, int, trio.Event], Awaitable[None]]
 
 
-async def _signals(ended: trio.Event, reread: Callable[[], None]) -> None:
+async def _handle_signals(ended: trio.Event) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        async for one in signals:
-            logs_module.log_event("signal", number=int(one))
-            if one == signal.SIGHUP:
-                reread()
+        async for number in signals:
+            logs_module.log_event("signal", number=int(number))
+            if number == signal.SIGHUP:
+                _check_settings_file()
             else:
                 ended.set()
 
 
-def _reread() -> None:
-    """Read the settings file again; what it says of seeds is for later lives, but a fault in it is news."""
+def _check_settings_file() -> None:
+    """Log what is wrong with the settings file; `seeds` reads the seeds from it when they are needed."""
     try:
         settings_module.parse_settings(settings_file.read_settings_file())
     except GatewayError as error:
@@ -41,15 +45,15 @@
 async def _main(run: Run, started: Bootstrap) -> None:
     ended = trio.Event()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_signals, ended, _reread)
-        await run(started, secrets.randbits(32), ended)
+        nursery.start_soon(_handle_signals, ended)
+        await run(started, secrets.randbits(SEED_BITS), ended)
         nursery.cancel_scope.cancel()
 
 
 def main(run: Run, started: Bootstrap) -> None:
-    """Run a program to its end."""
+    """Run a program until it ends; SIGTERM or SIGINT asks it to."""
     logs_module.setup_logging(started.settings.node_name)
     gc.freeze()
-    gc.set_threshold(GC_AFTER, 20, 20)
+    gc.set_threshold(*GC_THRESHOLDS)
     gc.enable()
     trio.run(_main, run, started)
--- a/wickspring/common/logs.py
+++ b/wickspring/common/logs.py
@@ -1,4 +1,4 @@
-"""Logs of the gateway: one line of key=value pairs for each event, written by way of eliot."""
+"""Logs of the gateway's processes: one line of key=value pairs for each event, written through eliot."""
 
 from __future__ import annotations
 
@@ -9,23 +9,28 @@
 
 from wickspring.logs import quote
 
-_SKIPPED = frozenset({"task_uuid", "task_level", "timestamp", "message_type", "node"})
-_node = ["-"]
+_ENVELOPE_KEYS = frozenset({"task_uuid", "task_level", "timestamp", "message_type", "node"})
+_node_name = "-"
 
 
 def _write(message: dict[str, Any]) -> None:
-    pairs = [("at", round(message.get("timestamp", 0.0), 3)), ("node", _node[0])]
-    pairs.append(("event", message.get("message_type", "-")))
-    pairs += [(key, value) for key, value in message.items() if key not in _SKIPPED]
-    sys.stderr.write(" ".join(f"{key}={quote(value)}" for key, value in pairs) + "\n")
-
-
-def setup_logging(node: str) -> None:
-    """Have events written to standard error, under this node's name."""
-    _node[0] = node
+    pairs = {
+        "at": round(message.get("timestamp", 0.0), 3),  # seconds since 1970
+        "node": _node_name,
+        "event": message.get("message_type", "-"),
+    }
+    line = [f"{key}={quote(value)}" for key, value in pairs.items()]
+    line += [f"{key}={quote(value)}" for key, value in message.items() if key not in _ENVELOPE_KEYS]
+    sys.stderr.write(" ".join(line) + "\n")
+
+
+def setup_logging(node_name: str) -> None:
+    """Write events to standard error from now on, with the name of this node."""
+    global _node_name
+    _node_name = node_name
     eliot.add_destinations(_write)
 
 
 def log_event(name: str, **pairs: object) -> None:
-    """Log one event."""
+    """Log an event with its values; `docs/operators/gateway.md` lists all events."""
     eliot.log_message(message_type=name, **pairs)
--- a/wickspring/common/routing_table.py
+++ b/wickspring/common/routing_table.py
@@ -1,6 +1,6 @@
-"""An operator's configuration as the data plane uses it: hosts and prefixes to routes, keys to tenants.
+"""An operator's configuration as processes use it: routes by host and path prefix, tenants by API key.
 
-The control plane has checked the document before it comes here (`lighthouse.check`); this only lays it out.
+The control plane has validated the document (`controlplane.api.config_validation`) before it comes here.
 """
 
 from __future__ import annotations
@@ -11,127 +11,204 @@
 
 import msgspec
 
-PURE = "pure"
+_SAFE_TO_RETRY = "pure"  # the value of `route_kind`
 
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """One route. Times are seconds."""
+    """How requests under one path prefix are forwarded."""
 
     name: str
     prefix: str
-    pure: bool
+    pure: bool  # a request may run more than once
     timeout_s: float
-    target_s: float
+    target_s: float  # latency that is aimed at
     priority: int
-    public: bool
-    tries: int
-    services: tuple[tuple[str, float], ...]  # with their weights
+    public: bool  # no API key is needed
+    max_attempts: int
+    services: tuple[tuple[str, float], ...]  # name, weight
+
+    @property
+    def tries(self) -> int:
+        """Return `max_attempts`, by its earlier name."""
+        return self.max_attempts
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """Who a key belongs to. A rate of 0 sets no limit."""
+    """A customer with API keys and a quota. A rate of 0 sets no limit."""
 
     name: str
     priority: int
-    rate: float
-    burst: float
+    rate: float  # requests per second
+    burst: float  # requests beyond the rate
 
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """A kind of servers."""
+    """A service that has endpoints."""
 
     name: str
-    health: str
-    most_conns: int
+    health_path: str
+    max_connections: int  # to one endpoint, from all data planes together; 0: not limited
+
+    @property
+    def most_conns(self) -> int:
+        """Return `max_connections`, by its earlier name."""
+        return self.max_connections
 
 
 @dataclass(slots=True, frozen=True)
 class ClientLimits:
-    """What clients are held to: bytes and seconds."""
+    """Limits on what one client may send and how long it may take."""
+
+    max_head_bytes: int = 16 * 1024
+    max_body_bytes: int = 64 << 20
+    header_timeout_s: float = 3.0
+    idle_timeout_s: float = 15.0
+
+    @property
+    def head(self) -> int:
+        """Return `max_head_bytes`, by its earlier name."""
+        return self.max_head_bytes
 
-    head: int = 16 * 1024
-    body: int = 64 << 20
-    header_s: float = 3.0
-    idle_s: float = 15.0
+    @property
+    def body(self) -> int:
+        """Return `max_body_bytes`, by its earlier name."""
+        return self.max_body_bytes
+
+    @property
+    def header_s(self) -> float:
+        """Return `header_timeout_s`, by its earlier name."""
+        return self.header_timeout_s
+
+    @property
+    def idle_s(self) -> float:
+        """Return `idle_timeout_s`, by its earlier name."""
+        return self.idle_timeout_s
 
 
 @dataclass(slots=True)
 class RoutingTable:
-    """One version of the configuration, laid out."""
+    """One version of the configuration, indexed."""
 
     version: int = 0
-    hosts: dict[str, list[Route]] = field(default_factory=dict)  # longest prefix first
-    keys: dict[str, Tenant] = field(default_factory=dict)
+    routes_by_host: dict[str, list[Route]] = field(default_factory=dict)  # the longest prefix first
+    tenants_by_key: dict[str, Tenant] = field(default_factory=dict)
     services: dict[str, Service] = field(default_factory=dict)
     tenants: dict[str, Tenant] = field(default_factory=dict)
-    guarded: bool = False  # keys are asked for
-    bounds: ClientLimits = ClientLimits()
+    requires_key: bool = False  # for all routes that are not public
+    client_limits: ClientLimits = ClientLimits()
 
     def route(self, host: str, target: str) -> Route | None:
-        """Return the route of a request, by the longest prefix of its path."""
-        routes = self.hosts.get(host)
+        """Return the route with the longest prefix of the target's path, or None.
+
+        Args:
+            host: the request's `host` header, with a port or without.
+            target: the request's target, with a query or without.
+        """
+        routes = self.routes_by_host.get(host)
         if routes is None:
-            routes = self.hosts.get(host.partition(":")[0].lower())
+            routes = self.routes_by_host.get(host.partition(":")[0].lower())
         path = target.partition("?")[0]
-        return next((one for one in routes or () if path.startswith(one.prefix)), None)
+        return next((route for route in routes or () if path.startswith(route.prefix)), None)
+
+    @property
+    def keys(self) -> dict[str, Tenant]:
+        """Return `tenants_by_key`, by its earlier name."""
+        return self.tenants_by_key
+
+    @property
+    def guarded(self) -> bool:
+        """Return `requires_key`, by its earlier name."""
+        return self.requires_key
+
+    @property
+    def bounds(self) -> ClientLimits:
+        """Return `client_limits`, by its earlier name."""
+        return self.client_limits
 
 
 def parse_version(text: str) -> int:
-    """Read `r12`; ValueError where it is not a version."""
+    """Return 12 for `r12`.
+
+    Raises:
+        ValueError: the text is not a version.
+    """
     if not isinstance(text, str) or not text.startswith("r") or not text[1:].isdecimal():
         raise ValueError(f"not a version: {text!r}")
     return int(text[1:])
 
 
+def build_routing_table(document: bytes) -> RoutingTable:
+    """Index a validated configuration.
+
+    Raises:
+        ValueError, KeyError, TypeError: it has not been validated. `msgspec.DecodeError`, where it is not
+            JSON, is a ValueError.
+    """
+    tree = msgspec.json.decode(document)
+    table = RoutingTable(version=parse_version(tree["generation"]))
+    for host in tree["sockets"]:
+        routes = [_route(rule) for rule in host["policy"]]
+        routes.sort(key=lambda route: -len(route.prefix))
+        table.routes_by_host[host["host"].lower()] = routes
+    for entry in tree.get("tenants", ()):
+        tenant = _tenant(entry)
+        table.tenants[tenant.name] = tenant
+        for key in entry["api_keys"]:
+            table.tenants_by_key[key] = tenant
+    table.requires_key = bool(tree.get("tenants"))
+    for entry in tree["backends"]:
+        service = _service(entry)
+        table.services[service.name] = service
+    table.client_limits = _client_limits(tree.get("limits", {}))
+    return table
+
+
 def _route(rule: Mapping[str, Any]) -> Route:
     effect = rule["effect"]
-    if "weighted" in effect:
-        services = tuple((one["service"], float(one["weight"])) for one in effect["weighted"])
-    else:
-        services = ((effect["service"], 1.0),)
     return Route(
-        rule["name"],
-        rule["pattern"]["path_prefix"],
-        rule["route_kind"] == PURE,
-        float(effect["timeout_s"]),
-        float(rule["target_s"]),
-        int(rule.get("priority", 0)),
-        bool(rule.get("public", False)),
-        int(effect["max_tries"]),
-        services,
+        name=rule["name"],
+        prefix=rule["pattern"]["path_prefix"],
+        pure=rule["route_kind"] == _SAFE_TO_RETRY,
+        timeout_s=float(effect["timeout_s"]),
+        target_s=float(rule["target_s"]),
+        priority=int(rule.get("priority", 0)),
+        public=bool(rule.get("public", False)),
+        max_attempts=int(effect["max_tries"]),
+        services=_weighted_services(effect),
     )
 
 
-def build_routing_table(document: bytes) -> RoutingTable:
-    """Lay out a configuration that has been checked."""
-    tree = msgspec.json.decode(document)
-    routing_table = RoutingTable(parse_version(tree["generation"]))
-    for socket in tree["sockets"]:
-        routes = sorted(map(_route, socket["policy"]), key=lambda route: -len(route.prefix))
-        routing_table.hosts[socket["host"].lower()] = routes
-    for one in tree.get("tenants", ()):
-        tenant = Tenant(
-            one["name"],
-            int(one.get("priority", 0)),
-            float(one.get("rate_per_s", 0)),
-            float(one.get("burst", 0)),
-        )
-        routing_table.tenants[tenant.name] = tenant
-        for key in one["api_keys"]:
-            routing_table.keys[key] = tenant
-    routing_table.guarded = bool(tree.get("tenants"))
-    for one in tree["backends"]:
-        service = Service(one["name"], one.get("health_path", "/health"), int(one.get("max_conns", 0)))
-        routing_table.services[service.name] = service
-    limits = tree.get("limits", {})
-    usual = ClientLimits()
-    routing_table.bounds = ClientLimits(
-        int(limits.get("max_header_bytes", usual.head)),
-        int(limits.get("max_body_bytes", usual.body)),
-        float(limits.get("header_timeout_s", usual.header_s)),
-        float(limits.get("idle_timeout_s", usual.idle_s)),
+def _weighted_services(effect: Mapping[str, Any]) -> tuple[tuple[str, float], ...]:
+    if "weighted" not in effect:
+        return ((effect["service"], 1.0),)
+    return tuple((entry["service"], float(entry["weight"])) for entry in effect["weighted"])
+
+
+def _tenant(entry: Mapping[str, Any]) -> Tenant:
+    return Tenant(
+        name=entry["name"],
+        priority=int(entry.get("priority", 0)),
+        rate=float(entry.get("rate_per_s", 0)),
+        burst=float(entry.get("burst", 0)),
+    )
+
+
+def _service(entry: Mapping[str, Any]) -> Service:
+    return Service(
+        name=entry["name"],
+        health_path=entry.get("health_path", "/health"),
+        max_connections=int(entry.get("max_conns", 0)),
+    )
+
+
+def _client_limits(limits: Mapping[str, Any]) -> ClientLimits:
+    default = ClientLimits()
+    return ClientLimits(
+        max_head_bytes=int(limits.get("max_header_bytes", default.max_head_bytes)),
+        max_body_bytes=int(limits.get("max_body_bytes", default.max_body_bytes)),
+        header_timeout_s=float(limits.get("header_timeout_s", default.header_timeout_s)),
+        idle_timeout_s=float(limits.get("idle_timeout_s", default.idle_timeout_s)),
     )
-    return routing_table
--- a/wickspring/common/settings.py
+++ b/wickspring/common/settings.py
@@ -1,7 +1,8 @@
-"""The settings file that a process is started with: lines `a.b=value`, lists joined by commas.
+"""The settings that a process is started with: lines `a.b=value`, lists joined by commas.
 
-A field that is not known is passed over, so that later files can be read; a known one that cannot be read is
-named. `lines` reads the file with a library for its format; here it is checked by type with msgspec.
+`settings_file` reads the lines; here msgspec checks the values by type. Unknown fields are ignored, so that
+files for later versions can be read; the error for a known field that cannot be used names it. Names of
+fields are fixed by the file.
 """
 
 from __future__ import annotations
@@ -10,17 +11,17 @@
 
 import msgspec
 
-from wickspring.common.errors import ErrorDetail, ErrorKind, GatewayError
+from wickspring.common.errors import settings_error
+from wickspring.common.settings_file import MAX_PORT, parse_lines
 from wickspring.common.settings_file import Address as Address
 from wickspring.common.settings_file import parse_address as parse_address
-from wickspring.common.settings_file import parse_lines
 
-_LISTS = frozenset({"serves", "seed_addrs", "in_force"})
-CONFIG_MODE = "highest"  # whichever version is highest holds: the only rule that the core knows
+_LIST_FIELDS = frozenset({"serves", "seed_addrs", "in_force"})
+CONFIG_MODE = "highest"  # the highest version is in force: the only rule that the control plane knows
 
 
 class Bind(msgspec.Struct, frozen=True):
-    """Addresses to listen on for what the role serves; empty where it does not."""
+    """Addresses (IP:port) to listen on; empty for what the process does not serve."""
 
     front_http: str = ""
     ready_addr: str = ""
@@ -28,16 +29,16 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the machine gives: cores, MB, descriptors."""
+    """Resources of the machine that the process may use."""
 
-    cpu_share: float = 1.0
+    cpu_share: float = 1.0  # cores
     memory_mb: float = 256.0
-    max_fds: int = 1024
+    max_fds: int = 1024  # file descriptors
     disk_mb: float = 0.0
 
 
 class ToleratedLosses(msgspec.Struct, frozen=True):
-    """What may be lost at once."""
+    """How many of each may fail at once."""
 
     machines: int = 1
     zones: int = 0
@@ -45,7 +46,7 @@
 
 
 class Guarantees(msgspec.Struct, frozen=True):
-    """Bounds of the rules, in seconds unless the name says otherwise."""
+    """What the gateway promises, with the limits it is measured by."""
 
     seed_lag_s: float = 3.0
     contact_s: float = 3.0
@@ -64,7 +65,7 @@
 
 
 class NodeSettings(msgspec.Struct, frozen=True):
-    """All that a process is told when it starts."""
+    """All settings of a process."""
 
     node_name: str
     ip: str
@@ -75,7 +76,7 @@
     bind: Bind = Bind()
     region: str = ""
     zones: dict[str, str] = {}  # the region of each zone
-    is_first_start: bool = False
+    is_first_start: bool = False  # of the whole system: nothing can be on any disk yet
     counts_loss: bool = False
     limits: Limits = Limits()
     data_dir: str = ""
@@ -86,40 +87,55 @@
 
     @property
     def talk_port(self) -> int:
-        """The port on which the system's own processes talk; the same on all machines."""
+        """The port for connections between processes of the system; the same on all machines."""
         return int(self.port_range.split(",")[0])
 
     def seed_ips(self) -> list[str]:
-        """Return the IPs of the seeds, in order and each once."""
+        """Return the IPs of the seeds, sorted and without duplicates."""
         return sorted({seed.rpartition(":")[0] for seed in self.seed_addrs})
 
 
 def parse_settings(text: str) -> NodeSettings:
-    """Read the text of a settings file; `GatewayError` names the field at fault."""
-    tree: dict[str, Any] = {}
-    for name, value in parse_lines(text).items():
-        *path, last = name.split(".")
-        at = tree
-        for step in path:
-            below = at.setdefault(step, {})
-            if not isinstance(below, dict):
-                raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, f"{name}: {step} is a value already"))
-            at = below
-        at[last] = [one for one in value.split(",") if one] if name in _LISTS else value
+    """Parse and check the text of a settings file.
+
+    Raises:
+        GatewayError: a field is missing or cannot be used; the message names it.
+    """
+    tree = _tree(parse_lines(text))
     try:
         settings = msgspec.convert(tree, NodeSettings, strict=False)
-        for text in (
-            settings.bind.front_http,
-            settings.bind.ready_addr,
-            settings.bind.control_addr,
-            *settings.seed_addrs,
-        ):
-            if text:
-                parse_address(text)
-        if not 0 < settings.talk_port < 65536:
-            raise ValueError("port_range: not a port")
-        if settings.config_mode != CONFIG_MODE:
-            raise ValueError(f"config_mode: {settings.config_mode!r} is not known, only {CONFIG_MODE!r}")
+        _check(settings)
     except (msgspec.ValidationError, ValueError) as error:
-        raise GatewayError(ErrorDetail(ErrorKind.BAD_SETTINGS, str(error))) from error
+        raise settings_error(str(error)) from error
     return settings
+
+
+def _tree(lines: dict[str, str]) -> dict[str, Any]:
+    """Return nested dictionaries for the dotted names, and lists for the fields that have them."""
+    tree: dict[str, Any] = {}
+    for name, value in lines.items():
+        *path, field = name.split(".")
+        branch = tree
+        for step in path:
+            below = branch.setdefault(step, {})
+            if not isinstance(below, dict):
+                raise settings_error(f"{name}: {step} is a value already")
+            branch = below
+        branch[field] = _list_items(value) if name in _LIST_FIELDS else value
+    return tree
+
+
+def _list_items(value: str) -> list[str]:
+    return [item for item in value.split(",") if item]
+
+
+def _check(settings: NodeSettings) -> None:
+    """Check what types do not say; ValueError or GatewayError names the field or the value."""
+    bind = settings.bind
+    for address in (bind.front_http, bind.ready_addr, bind.control_addr, *settings.seed_addrs):
+        if address:
+            parse_address(address)
+    if not 0 < settings.talk_port <= MAX_PORT:
+        raise ValueError("port_range: not a port")
+    if settings.config_mode != CONFIG_MODE:
+        raise ValueError(f"config_mode: {settings.config_mode!r} is not known, only {CONFIG_MODE!r}")
--- a/wickspring/controlplane/status.py
+++ b/wickspring/controlplane/status.py
@@ -114,7 +114,7 @@
     replication = components.replication
     return ControlPlaneStatus(
         node=components.settings.node_name,
-        replication=_replication_status(replication, components.contact.observe().name.lower()),
+        replication=_replication_status(replication, components.contact.observe().label),
         peer_nodes={ip: _peer_status(replication, ip) for ip in replication.callers},
         data_planes=sorted(data_planes.live_names()),
         endpoints=_endpoint_statuses(components),
--- a/wickspring/dataplane/control_client.py
+++ b/wickspring/dataplane/control_client.py
@@ -222,7 +222,7 @@
             return
         self.packed = copy.packed
         self.adoption.took(copy)
-        logs.log_event("chart", version=copy.version, standing=copy.standing.name.lower())
+        logs.log_event("chart", version=copy.version, standing=copy.standing.label)
         self._charted(self.routing_table)
         self._told()
 
--- a/wickspring/lab/simulation/hollow_gateway.py
+++ b/wickspring/lab/simulation/hollow_gateway.py
@@ -33,7 +33,7 @@
 from wickspring.common import connection as connections
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import PeerConnection
-from wickspring.common.lifecycle import GC_AFTER
+from wickspring.common.lifecycle import GC_THRESHOLDS
 from wickspring.common.messages import Message as TypedMessage
 from wickspring.controlplane import process as controlplane_process
 from wickspring.dataplane import gossip as gossip_module
@@ -561,7 +561,7 @@
     before = gc.get_threshold()
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_AFTER, 20, 20)
+    gc.set_threshold(*GC_THRESHOLDS)
     try:
         yield
     finally:
