--- a/wickspring/common/logs.py
+++ b/wickspring/common/logs.py
@@ -7,21 +7,20 @@
 
 import eliot
 
-from wickspring.logs import quote
+from wickspring.logs import format_pairs
 
 _ENVELOPE_KEYS = frozenset({"task_uuid", "task_level", "timestamp", "message_type", "node"})
 _node_name = "-"
 
 
 def _write(message: dict[str, Any]) -> None:
-    pairs = {
-        "at": round(message.get("timestamp", 0.0), 3),  # seconds since 1970
-        "node": _node_name,
-        "event": message.get("message_type", "-"),
-    }
-    line = [f"{key}={quote(value)}" for key, value in pairs.items()]
-    line += [f"{key}={quote(value)}" for key, value in message.items() if key not in _ENVELOPE_KEYS]
-    sys.stderr.write(" ".join(line) + "\n")
+    pairs: list[tuple[str, object]] = [
+        ("at", round(message.get("timestamp", 0.0), 3)),  # seconds since 1970
+        ("node", _node_name),
+        ("event", message.get("message_type", "-")),
+    ]
+    pairs += [(key, value) for key, value in message.items() if key not in _ENVELOPE_KEYS]
+    sys.stderr.write(format_pairs(pairs) + "\n")
 
 
 def setup_logging(node_name: str) -> None:
--- a/wickspring/logs.py
+++ b/wickspring/logs.py
@@ -4,6 +4,7 @@
 
 import logging
 import sys
+from collections.abc import Iterable
 
 _PLAIN = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_.:/-+*,$[]")
 
@@ -16,6 +17,11 @@
     return '"' + text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
 
 
+def format_pairs(pairs: Iterable[tuple[str, object]]) -> str:
+    """Write pairs as one line, `key=value key=value`."""
+    return " ".join(f"{key}={quote(value)}" for key, value in pairs)
+
+
 class KeyValueFormatter(logging.Formatter):
     """Time, level, logger and event, then the pairs given as `extra={"kv": {...}}`."""
 
@@ -30,7 +36,7 @@
         }
         if record.exc_info:
             pairs["error"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={quote(value)}" for key, value in pairs.items())
+        return format_pairs(pairs.items())
 
 
 def kv(**pairs: object) -> dict[str, dict[str, object]]:
--- a/wickspring/wire.py
+++ b/wickspring/wire.py
@@ -122,35 +122,45 @@
     server_name: str = "",
     most: int = MOST_LINE,
 ) -> Link:
-    """Reach somebody at host:port, or at a local socket's path; `WireError` says why not."""
+    """Connect to host:port, or to the path of a local socket, and exchange greetings.
+
+    Raises:
+        WireError: that failed; the message names `what` and the reason.
+    """
     stream: Any = None
     try:
-        if "/" in address:
-            stream = await trio.open_unix_socket(address)
-        else:
-            host, _, port = address.rpartition(":")
-            stream = await trio.open_tcp_stream(host, int(port))
+        stream = await _open(address)
         if tls is not None:
             stream = trio.SSLStream(stream, tls, server_hostname=server_name, https_compatible=True)
             await stream.do_handshake()
         connection = Link(stream, what, numbers, most)
         await connection.greet()
-        return connection
-    except ssl.SSLCertVerificationError as error:
-        await _drop(stream)
-        raise WireError(f"{what}: its certificate is not accepted: {error.verify_message}") from error
-    except trio.BrokenResourceError as error:
-        await _drop(stream)
-        cause = error.__cause__
-        if isinstance(cause, ssl.SSLCertVerificationError):
-            raise WireError(f"{what}: its certificate is not accepted: {cause.verify_message}") from error
-        raise WireError(f"{what}: the connection broke: {cause or error}") from error
-    except (OSError, ssl.SSLError, msgspec.DecodeError) as error:
-        await _drop(stream)
-        raise WireError(f"{what}: {error}") from error
-    except BaseException:
+    except BaseException as error:
         await _drop(stream)
-        raise
+        reason = _failure_reason(error)
+        if reason is None:
+            raise
+        raise WireError(f"{what}: {reason}") from error
+    return connection
+
+
+async def _open(address: str) -> Any:
+    if "/" in address:
+        return await trio.open_unix_socket(address)
+    host, _, port = address.rpartition(":")
+    return await trio.open_tcp_stream(host, int(port))
+
+
+def _failure_reason(error: BaseException) -> str | None:
+    """Say why a connection failed; None for what is not an error of the connection."""
+    cause = error.__cause__ if isinstance(error, trio.BrokenResourceError) else error
+    if isinstance(cause, ssl.SSLCertVerificationError):
+        return f"its certificate is not accepted: {cause.verify_message}"
+    if isinstance(error, trio.BrokenResourceError):
+        return f"the connection broke: {cause or error}"
+    if isinstance(error, OSError | ssl.SSLError | msgspec.DecodeError):
+        return str(error)
+    return None
 
 
 async def _drop(stream: Any) -> None:
