--- a/wickspring/common/lifecycle.py
+++ b/wickspring/common/lifecycle.py
@@ -27,7 +27,7 @@
 async def _handle_signals(ended: trio.Event) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async for number in signals:
-            logs_module.log_event("signal", number=int(number))
+            logs_module.log_event("signal_received", number=int(number))
             if number == signal.SIGHUP:
                 _check_settings_file()
             else:
@@ -39,7 +39,7 @@
     try:
         settings_module.parse_settings(settings_file.read_settings_file())
     except GatewayError as error:
-        logs_module.log_event("settings_bad", reason=error)
+        logs_module.log_event("settings_invalid", reason=error)
 
 
 async def _main(run: Run, started: Bootstrap) -> None:
--- a/wickspring/common/seeds.py
+++ b/wickspring/common/seeds.py
@@ -39,4 +39,4 @@
         try:
             self._ips = parse_settings(settings_file.read_settings_file()).seed_ips()
         except GatewayError as error:
-            logs.log_event("settings_bad", reason=error)
+            logs.log_event("settings_invalid", reason=error)
