--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -231,7 +231,7 @@
         """Wait until all control planes have been in contact with a quorum for long enough."""
         await self.wait_until(
             lambda: all(
-                control_plane.components.contact.observe().name == "SETTLED"
+                control_plane.components.contact.observe().name == "STABLE"
                 for control_plane in self.control_planes.values()
             )
         )
