--- a/wickspring/dataplane/control_client/config_sync.py
+++ b/wickspring/dataplane/control_client/config_sync.py
@@ -68,7 +68,7 @@
             return
         self.packed = copy.packed
         self.adoption.adopted(copy)
-        logs.log_event("chart", version=copy.version, standing=copy.status.name.lower())
+        logs.log_event("chart", version=copy.version, standing=copy.status.label)
         self._listener.on_routing_table(self.routing_table)
         self._listener.on_informed()
 
