--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -52,6 +52,7 @@
         "hello",
         "servers",
         "shadow",
+        "shares",
         "tell",
         "tick",
         "tock",
@@ -193,6 +194,12 @@
     return message
 
 
+def decoded_reply(packed: list[Any]) -> messages.NodeReply:
+    message = messages.NODE_REPLIES.decode(packed)
+    assert message is not None
+    return message
+
+
 def receiver(site: Site, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
     """Return what takes such a message today."""
     connection = PeerConnection(link, VirtualClock())
@@ -205,7 +212,8 @@
             chain = ReplicationChain(members[0], View(1, members, members), 1)
             return lambda message: chain.receive(0.0, connection.name, decoded(message[1]))
         if kind == "tock" or (kind == "cores" and len(one["message"]) > 1):
-            return lambda message: control_plane.replication.peers.on_answer(connection, message)
+            peers = control_plane.replication.peers
+            return lambda message: peers.on_reply(connection, decoded_reply(message))
         if one["from"] == CONTROL and kind != "hello":
             session.is_control_plane_node = True
         return lambda message: control_plane.peer_server.receive(session, message)
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -17,6 +17,7 @@
 from wickspring.common.digest import digest_of
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
+from wickspring.common.messages import QuotaTotal
 from wickspring.common.settings_file import parse_address
 from wickspring.controlplane.api.calls import ApiRequest
 from wickspring.controlplane.api.heartbeat import Heartbeat
@@ -27,7 +28,7 @@
 from wickspring.controlplane.replication.view import Member, View
 from wickspring.dataplane.process import DataPlane
 from wickspring.lab.faults.core_faults import Chaos
-from wickspring.membership.anti_entropy import Digest
+from wickspring.membership.anti_entropy import Digest, EntryVersion
 
 ODD: list[Any] = [
     None,
@@ -179,6 +180,7 @@
         ["entered", 4, True, None],
         ["servers", [server]],
         ["shadow", {"n": [[0, 2]]}],
+        ["shares", {"10.1.0.2": 900.0}, {"n": {"10.1.0.2": 0.5}}],
         ["alive", [["i1", 4]]],
         ["tell", ["i1"]],
     ]
@@ -206,7 +208,8 @@
         control_plane.peer_server.receive(
             session, ["add", 9, "n", False, control_plane.replication.lease.epoch]
         )
-        assert heard.said[-1][:2] == ("sum", 9)
+        (answer,) = heard.said[-1]
+        assert isinstance(answer, QuotaTotal) and answer.request_number == 9
         control_plane.status()
 
     in_light(tmp_path, play)
@@ -215,8 +218,8 @@
 def test_a_pilot_takes_whatever_comes_over_cables_and_datagrams() -> None:
     random = Random(6)
     server = Endpoint("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
-    digest = Digest("127.0.9.9", {"127.0.9.9": (1.0, 2, 3)}, "", "")
-    probe = [digest.low, digest.high, digest.heard]
+    digest = Digest("127.0.9.9", {"127.0.9.9": EntryVersion(1.0, 2, 3)}, "", "")
+    probe = [digest.low, digest.high, digest.versions]
     messages: list[list[Any]] = [
         ["sum", 1, 3, 9, 20],
         ["moved", 1],
--- a/wickspring/controlplane/process.py
+++ b/wickspring/controlplane/process.py
@@ -9,7 +9,8 @@
 
 from wickspring.common import logs
 from wickspring.common.bootstrap import Bootstrap
-from wickspring.common.connection import Message, accept_connections
+from wickspring.common.connection import accept_connections
+from wickspring.common.messages import NodeRequest
 from wickspring.common.settings import NodeSettings
 from wickspring.controlplane.api.handlers import create_handlers
 from wickspring.controlplane.api.server import ApiServer, serve_http
@@ -117,7 +118,7 @@
         self.quota.start_view()
         self.view.broadcast()
 
-    def on_peer_message(self, address: str, message: Message) -> None:
+    def on_peer_message(self, address: str, message: NodeRequest) -> None:
         """Handle a message of another node that is no part of the replication protocol."""
         self._node_messages.receive(address, message)
 
--- a/wickspring/controlplane/replication/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -69,9 +69,7 @@
 class Effects:
     """What the host does once the state is saved."""
 
-    messages: list[tuple[str, ReplicationMessage]] = field(
-        default_factory=list
-    )  # with receivers
+    messages: list[tuple[str, ReplicationMessage]] = field(default_factory=list)  # with receivers
     outcomes: list[tuple[int, CommitOutcome]] = field(default_factory=list)  # by ticket
     newly_committed: bool = False  # `committed` has changed
 
--- a/wickspring/controlplane/replication/node.py
+++ b/wickspring/controlplane/replication/node.py
@@ -15,13 +15,25 @@
 import trio
 
 from wickspring.common import logs
-from wickspring.common.connection import DECODE_ERRORS, Message, PeerConnection
+from wickspring.common.connection import DECODE_ERRORS, PeerConnection
+from wickspring.common.messages import (
+    ChainMessage,
+    ListNodes,
+    Message,
+    NodeHeartbeat,
+    NodeHeartbeatReply,
+    NodeList,
+    NodeRequest,
+    NodeStatus,
+    SubmitUpdate,
+    UpdateOutcome,
+)
 from wickspring.common.settings import NodeSettings
 from wickspring.controlplane.replication import diagnostics, messages
 from wickspring.controlplane.replication.lease import Lease, granted_epoch
 from wickspring.controlplane.replication.next_view import tolerance_shortfalls
-from wickspring.controlplane.replication.peers import REACHABLE_MS, NodeStatus, PeerSet
-from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
+from wickspring.controlplane.replication.peers import REACHABLE_MS, PeerSet
+from wickspring.controlplane.replication.replica import Replica, Update
 from wickspring.controlplane.replication.startup import load_chain
 from wickspring.controlplane.replication.update_submission import UpdateResult, UpdateSubmitter
 from wickspring.controlplane.replication.view import Member
@@ -43,7 +55,7 @@
     def on_view_change(self) -> None:
         """Handle that another view has been installed and saved."""
 
-    def on_peer_message(self, address: str, message: Message) -> None:
+    def on_peer_message(self, address: str, message: NodeRequest) -> None:
         """Handle a message of another node that is no part of the replication protocol."""
 
 
@@ -64,6 +76,7 @@
         listener: ReplicationListener,
     ) -> None:
         self._settings = settings
+        self._ip = settings.ip
         self.store = store
         self._clock = clock
         self._nursery = nursery
@@ -100,30 +113,29 @@
         """Have this node's chain forget a ticket."""
         self._add_event(lambda: self.chain.cancel(ticket))
 
-    def send(self, address: str, *message: object) -> bool:
+    def send(self, address: str, message: Message) -> bool:
         """Send a message to another node; False where there is no connection."""
-        return self.peers.send(address, *message)
+        return self.peers.send(address, message)
 
     # Messages.
 
-    def on_message(self, connection: PeerConnection, message: Message) -> None:
-        """Handle a message on a connection that another node opened."""
-        kind = message[0]
-        address = connection.name
-        if kind == "tick":
-            status = self.status().pack()
-            connection.send("tock", self._settings.ip, status, message[1], granted_epoch(self.chain))
-        elif kind == "cores":
-            connection.send("cores", self.peers.reachable())
-        elif kind == "chain":
-            self._add_event(lambda: self._on_chain_message(address, message[1]))
-        elif kind == "enter":
-            update = Update.unpack(message[2])
-            self._updates.on_forwarded_update(address, int(message[1]), update, bool(message[3]))
-        elif kind == "entered":
-            self._updates.on_forwarded_outcome(int(message[1]), CommitOutcome(message[2]), message[3])
-        else:
-            self._listener.on_peer_message(address, message)
+    def on_message(self, connection: PeerConnection, message: NodeRequest) -> None:
+        """Handle a message on a connection that another node opened; raises one of `DECODE_ERRORS`."""
+        address = connection.peer_address
+        match message:
+            case NodeHeartbeat():
+                grant = granted_epoch(self.chain)
+                connection.send(NodeHeartbeatReply(self._ip, self.status(), message.sent_at_ms, grant))
+            case ListNodes():
+                connection.send(NodeList(self.peers.reachable()))
+            case ChainMessage():
+                self._add_event(lambda: self._on_chain_message(address, message.payload))
+            case SubmitUpdate():
+                self._updates.on_submit(address, message)
+            case UpdateOutcome():
+                self._updates.on_update_outcome(message)
+            case _:
+                self._listener.on_peer_message(address, message)
 
     def _on_chain_message(self, address: str, packed: list[Any]) -> None:
         message = messages.decode(packed)
@@ -134,11 +146,9 @@
         """Have the chain send again what a successor may have missed."""
         self._add_event(lambda: self.chain.on_peer_reachable(address))
 
-    def on_heartbeat_answer(
-        self, address: str, status: NodeStatus, asked_at: float, granted_epoch: int
-    ) -> None:
+    def on_heartbeat_reply(self, reply: NodeHeartbeatReply) -> None:
         """Record the lease that another node grants."""
-        self.lease.on_grant(Member(address, status.disk_id), asked_at, granted_epoch)
+        self.lease.on_grant(Member(reply.ip, reply.status.disk_id), reply.asked_at_ms, reply.granted_epoch)
 
     # The event loop: messages are sent only once the state they tell of is saved.
 
@@ -171,7 +181,7 @@
                 self.chain.dirty = False
                 await self._save()
             for address, message in effects.messages:
-                self.send(address, "chain", message.encode())
+                self.send(address, ChainMessage(message.encode()))
             for ticket, outcome in effects.outcomes:
                 self._updates.on_outcome(ticket, outcome)
             if self.lease.install(self._clock.now(), self.chain.view):
@@ -230,15 +240,15 @@
         return NodeStatus(
             disk_id=chain.me.disk_id,
             epoch=chain.view.epoch,
-            committed_epoch=committed.config.epoch,
-            committed_version=committed.config.version,
+            config_epoch=committed.config.epoch,
+            config_version=committed.config.version,
             departure_count=len(committed.departures),
-            departures_checksum=committed.departures_checksum,
-            identity=chain.replica.config.identity,
-            unhealthy=chain.disk_slow or chain.stopping,
+            departure_checksum=committed.departures_checksum,
+            config_identity=chain.replica.config.identity,
+            is_unhealthy=chain.disk_slow or chain.stopping,
             zone=self._settings.zone,
             control_address=self._settings.bind.control_addr,
-            reachable_peers=self.peers.reachable(),
+            reachable_ips=self.peers.reachable(),
         )
 
     @property
@@ -285,5 +295,5 @@
     def tolerance_shortfalls(self) -> list[str]:
         """Describe what of the setting `tolerates` the present view does not meet, if anything."""
         zones = {address: status.zone for address, status in self.peers.statuses.items()}
-        zones[self._settings.ip] = self._settings.zone
+        zones[self._ip] = self._settings.zone
         return tolerance_shortfalls(self.chain.view, self.chain.tolerance, zones, self._settings.zones)
--- a/wickspring/controlplane/replication/update_submission.py
+++ b/wickspring/controlplane/replication/update_submission.py
@@ -8,10 +8,11 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Protocol
 
 import trio
 
+from wickspring.common.messages import Message, SubmitUpdate, UpdateOutcome
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 
@@ -55,7 +56,7 @@
     def cancel_in_chain(self, ticket: int) -> None:
         """Have the chain forget a ticket, as an event of its loop."""
 
-    def send(self, address: str, *message: object) -> bool:
+    def send(self, address: str, message: Message) -> bool:
         """Send a message to another node; False where there is no connection."""
 
 
@@ -89,7 +90,7 @@
         chain = self._host.chain
         if chain.head != chain.ip:
             self._forwarded[ticket] = waiter
-            return self._host.send(chain.head, "enter", ticket, update.pack(), read)
+            return self._host.send(chain.head, SubmitUpdate(ticket, update.pack(), read))
 
         def on_outcome(outcome: CommitOutcome) -> None:
             replica = None
@@ -106,25 +107,25 @@
         if self._at_chain.pop(ticket, None) is not None:
             self._host.cancel_in_chain(ticket)
 
-    def on_forwarded_update(self, address: str, sender_ticket: int, update: Update, read: bool) -> None:
+    def on_submit(self, address: str, message: SubmitUpdate) -> None:
         """Handle an update that another node took, and answer that node with its outcome."""
 
         def on_outcome(outcome: CommitOutcome) -> None:
             state = None
-            if read and outcome is CommitOutcome.COMMITTED:
+            if message.with_state and outcome is CommitOutcome.COMMITTED:
                 state = self._host.chain.committed.pack()
-            self._host.send(address, "entered", sender_ticket, int(outcome), state)
+            self._host.send(address, UpdateOutcome(message.ticket, int(outcome), state))
 
         ticket = self._next_ticket()
         self._at_chain[ticket] = on_outcome
-        self._host.submit_to_chain(ticket, update)
+        self._host.submit_to_chain(ticket, Update.unpack(message.update))
 
-    def on_forwarded_outcome(self, ticket: int, outcome: CommitOutcome, state: Any) -> None:
+    def on_update_outcome(self, message: UpdateOutcome) -> None:
         """Handle the head's answer to an update that this node forwarded."""
-        waiter = self._forwarded.pop(ticket, None)
+        waiter = self._forwarded.pop(message.ticket, None)
         if waiter is not None:
-            replica = None if state is None else Replica.unpack(state)
-            waiter.finish(UpdateResult(outcome, replica))
+            replica = None if message.state is None else Replica.unpack(message.state)
+            waiter.finish(UpdateResult(CommitOutcome(message.outcome), replica))
 
     def on_outcome(self, ticket: int, outcome: CommitOutcome) -> None:
         """Handle the outcome of a ticket at this node's chain."""
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -44,9 +44,7 @@
 
     chains: dict[str, ReplicationChain]
     orders: tuple[Update, ...]
-    net: dict[str, tuple[str, str, ReplicationMessage]] = field(
-        default_factory=dict
-    )  # by its form
+    net: dict[str, tuple[str, str, ReplicationMessage]] = field(default_factory=dict)  # by its form
     now: float = 0.0
     lost: str = ""
     back: bool = False  # the lost one has come back
