--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -23,7 +23,8 @@
 from wickspring.controlplane.replication import snapshot
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.view import Member, View
-from wickspring.controlplane.storage import FILE, ReplicaStore
+from wickspring.controlplane.storage import ReplicaStore
+from wickspring.controlplane.storage_file import FILE
 from wickspring.fleet.file import load_fleet
 from wickspring.lab.simulation.clock import VirtualClock
 
@@ -129,7 +130,7 @@
     for _ in range(2):  # as it was found, and as it was moved on
         book = ReplicaStore(str(tmp_path))
         found = book.load()
-        assert found is not None and not book.set_aside
+        assert found is not None and not book.quarantined
         durable, replica = found
         told = {"durable": durable, "replica": replica.pack(), "servers": book.load_servers()}
         assert plain(told) == recorded(f"core_schema_{schema}.json")
--- a/tests/common/test_decoding.py
+++ b/tests/common/test_decoding.py
@@ -22,7 +22,8 @@
 from wickspring.controlplane.replication.paxos import Ballot, Value
 from wickspring.controlplane.replication.replica import Replica, Update
 from wickspring.controlplane.replication.view import Member, View
-from wickspring.controlplane.storage import FILE, ReplicaStore
+from wickspring.controlplane.storage import ReplicaStore
+from wickspring.controlplane.storage_file import FILE
 
 SETTINGS = """node_name=edge-a-1
 role=pilot
@@ -201,12 +202,12 @@
         db.execute("update part set data = ? where name = 'config'", (b"\x93junk",))
         db.commit()
     spoilt = ReplicaStore(str(tmp_path))
-    assert spoilt.load() is None and spoilt.set_aside  # as a machine with an empty disk: it has no vote
+    assert spoilt.load() is None and spoilt.quarantined  # as a machine with an empty disk: it has no vote
     spoilt.close()
     assert (tmp_path / f"{FILE}.bad").exists()
     (tmp_path / FILE).write_bytes(b"no database at all" * 99)
     torn = ReplicaStore(str(tmp_path))
-    assert torn.load() is None and torn.set_aside
+    assert torn.load() is None and torn.quarantined
 
 
 def test_a_newer_programs_logbook_is_left_alone(tmp_path: Path) -> None:
--- a/tests/controlplane/test_replica_recovery.py
+++ b/tests/controlplane/test_replica_recovery.py
@@ -16,12 +16,13 @@
 import pytest
 
 from tests.support.storage_files import Files, after_power, files
-from wickspring.controlplane import storage
+from wickspring.controlplane import storage_file
 from wickspring.controlplane.replication import messages
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.replica import CommitOutcome, Update
 from wickspring.controlplane.replication.view import Member, PeerObservation, View
-from wickspring.controlplane.storage import FILE, ReplicaStore
+from wickspring.controlplane.storage import ReplicaStore
+from wickspring.controlplane.storage_file import FILE
 
 IPS = ("m0", "m1", "m2")
 FIRST = tuple(Member(ip, "first") for ip in IPS)
@@ -45,7 +46,7 @@
     def start(self, now: float, first: bool = False) -> None:
         self.book = ReplicaStore(str(self.folder))
         found = self.book.load()
-        assert first == (found is None) and not self.book.set_aside
+        assert first == (found is None) and not self.book.quarantined
         seed = self.random.getrandbits(32)
         if found is None:
             self.chain = ReplicationChain(Member(self.ip, "first"), View(1, FIRST, FIRST), seed)
@@ -198,7 +199,7 @@
 def test_a_member_away_through_hundreds_of_changes_catches_up_whole(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    monkeypatch.setattr(storage, "CHECKPOINT_PAGES", 60)
+    monkeypatch.setattr(storage_file, "CHECKPOINT_PAGES", 60)
     core = Core(tmp_path, seed)
     core.changes(range(1, 11))
     away = core.machines[core.random.choice(IPS)]
--- a/tests/controlplane/test_storage.py
+++ b/tests/controlplane/test_storage.py
@@ -17,10 +17,11 @@
 from tests.support.storage_files import DURABLE, MEMBERS, OLD, files, found_in, reopened, replica, write_older
 from wickspring.common.digest import digest_of
 from wickspring.common.errors import ErrorKind
-from wickspring.controlplane import storage
+from wickspring.controlplane import storage_file, storage_records
 from wickspring.controlplane.replication import snapshot
 from wickspring.controlplane.replication.replica import MAX_HISTORY, CommitOutcome, Config, Replica, Update
-from wickspring.controlplane.storage import BAD, FILE, LOG_MOST, OPEN_TRIES, PAGE, ReplicaStore
+from wickspring.controlplane.storage import OPEN_ATTEMPTS, ReplicaStore
+from wickspring.controlplane.storage_file import FILE, MAX_LOG_BYTES, PAGE_BYTES, QUARANTINE_SUFFIX
 
 BODY = json.dumps(document()).encode()
 
@@ -35,7 +36,7 @@
     assert book.load() == (durable, held) and book.load_servers() == ["s1"]
     book = reopened(book)
     found = book.load()
-    assert found == (durable, held) and book.load_servers() == ["s1"] and not book.set_aside
+    assert found == (durable, held) and book.load_servers() == ["s1"] and not book.quarantined
     assert found is not None and list(found[1].departures) == list(leavers)  # the oldest first
     book.close()
 
@@ -82,7 +83,7 @@
     with closing(sqlite3.connect(tmp_path / FILE, isolation_level=None)) as db:
         db.execute(spoilt)
     book = ReplicaStore(str(tmp_path))
-    assert book.set_aside and book.load() is None and (tmp_path / f"{FILE}{BAD}").exists()
+    assert book.quarantined and book.load() is None and (tmp_path / f"{FILE}{QUARANTINE_SUFFIX}").exists()
     book.close()
 
 
@@ -96,11 +97,11 @@
         def refuse(*_: Any) -> None:
             raise sqlite3.OperationalError("database or disk is full")
 
-        patched.setattr(ReplicaStore, "_put_leaving", refuse)
+        patched.setattr(storage_records, "put_departures", refuse)
         pauses: list[float] = []
         with pytest.raises(sqlite3.OperationalError):
             ReplicaStore(str(tmp_path), pauses.append)
-        assert len(pauses) == OPEN_TRIES - 1
+        assert len(pauses) == OPEN_ATTEMPTS - 1
     book = ReplicaStore(str(tmp_path))
     found = book.load()  # nothing was given up because the disk refused
     assert found is not None and found[1] == Replica(Config(3, 9, b"doc", digest_of(b"doc")), {"i1": 1})
@@ -132,7 +133,7 @@
             found = book.load()
             assert found == (durable, held)
             assert found is not None and list(found[1].departures) == list(held.departures)
-            assert not book.set_aside
+            assert not book.quarantined
     book.close()
 
 
@@ -163,7 +164,7 @@
     with closing(sqlite3.connect(tmp_path / FILE, isolation_level=None)) as db:
         db.execute(torn)
     book = ReplicaStore(str(tmp_path))
-    assert book.load() is None and book.set_aside and (tmp_path / f"{FILE}{BAD}").exists()
+    assert book.load() is None and book.quarantined and (tmp_path / f"{FILE}{QUARANTINE_SUFFIX}").exists()
     book.save(DURABLE, replica(10, {"i3": 1}))
     book = reopened(book)
     assert book.load() == (DURABLE, replica(10, {"i3": 1}))
@@ -181,7 +182,7 @@
     with closing(sqlite3.connect(tmp_path / FILE, isolation_level=None)) as db:
         db.execute("insert or replace into part values (?, ?, ?)", row)
     book = ReplicaStore(str(tmp_path))
-    assert book.load() is None and book.set_aside
+    assert book.load() is None and book.quarantined
     book.close()
 
 
@@ -215,7 +216,7 @@
         accepted = [4, [2, "b"], [4, MEMBERS, MEMBERS], Replica(state).pack()]
         book.save({**DURABLE, "accepted": accepted}, replica(2))
         book = reopened(book)
-        assert book.load() is None and book.set_aside
+        assert book.load() is None and book.quarantined
         book.close()
 
 
@@ -257,7 +258,7 @@
         return read()
 
     book._read = reads  # type: ignore[method-assign]
-    assert book.load() == (DURABLE, replica(3)) and len(pauses) == 3 and not book.set_aside
+    assert book.load() == (DURABLE, replica(3)) and len(pauses) == 3 and not book.quarantined
     book.close()
 
 
@@ -281,8 +282,8 @@
             most = {name: max(most[name], size) for name, size in sizes(tmp_path).items()}
     kept = len(text) + sum(len(server) + 20 for server in held.departures) + 24 * MAX_HISTORY
     assert len(held.departures) == 4096 and len(held.config.history) == MAX_HISTORY
-    assert most[FILE] <= 3 * kept + 64 * PAGE
-    assert most[f"{FILE}-wal"] <= LOG_MOST + 2 * (kept + 64 * PAGE)
+    assert most[FILE] <= 3 * kept + 64 * PAGE_BYTES
+    assert most[f"{FILE}-wal"] <= MAX_LOG_BYTES + 2 * (kept + 64 * PAGE_BYTES)
     book = reopened(book)
     assert book.load() == (DURABLE, held)
     assert set(sizes(tmp_path)) <= {FILE, f"{FILE}-wal"}
@@ -290,15 +291,15 @@
 
 
 def test_the_log_gives_back_what_a_large_save_took(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(storage, "CHECKPOINT_PAGES", 20)
-    monkeypatch.setattr(storage, "LOG_MOST", 20 * (PAGE + 24))
+    monkeypatch.setattr(storage_file, "CHECKPOINT_PAGES", 20)
+    monkeypatch.setattr(storage_file, "MAX_LOG_BYTES", 20 * (PAGE_BYTES + 24))
     book, held = ReplicaStore(str(tmp_path)), replica(1, {}, b"x" * 4_000_000)
     book.save(DURABLE, held)
     assert sizes(tmp_path)[f"{FILE}-wal"] > 4_000_000
     for number in range(2, 30):
         held.apply(Update(number, b"%d" % number), 3)
         book.save(DURABLE, held)
-    assert sizes(tmp_path)[f"{FILE}-wal"] <= 40 * (PAGE + 24)
+    assert sizes(tmp_path)[f"{FILE}-wal"] <= 40 * (PAGE_BYTES + 24)
     book.close()
 
 
@@ -315,7 +316,7 @@
         rows = book.db.total_changes
         book.save(DURABLE | promised, held)
         assert book.db.total_changes - rows <= 7  # of thousands
-        return sizes(tmp_path)[f"{FILE}-wal"] // (PAGE + 24)
+        return sizes(tmp_path)[f"{FILE}-wal"] // (PAGE_BYTES + 24)
 
     promised: dict[str, Any] = {}
     assert written(lambda: None) == 0
@@ -333,7 +334,7 @@
     book.save(DURABLE, replica(2, {"i1": 1, "i2": 2}))
     book.save(DURABLE, replica(1))
     book = reopened(book)
-    assert book.load() == (DURABLE, replica(1)) and not book.set_aside
+    assert book.load() == (DURABLE, replica(1)) and not book.quarantined
     book.close()
 
 
@@ -351,13 +352,17 @@
             (tmp_path / f"{FILE}-wal").write_bytes(b"no log" * 99 + left[f"{FILE}-wal"])
         stale = b"of one set aside before"
         for ending in ("", "-wal", "-journal"):
-            (tmp_path / f"{FILE}{ending}{BAD}").write_bytes(stale)
+            (tmp_path / f"{FILE}{ending}{QUARANTINE_SUFFIX}").write_bytes(stale)
         book = ReplicaStore(str(tmp_path))
-        assert book.load() is None and book.set_aside
+        assert book.load() is None and book.quarantined
         assert book.load() is None  # the fresh file is sound
         book.close()
         now = files(tmp_path)
-        assert f"{FILE}{BAD}" in now and now.keys() <= {FILE, f"{FILE}{BAD}", f"{FILE}-wal{BAD}"}
+        assert f"{FILE}{QUARANTINE_SUFFIX}" in now and now.keys() <= {
+            FILE,
+            f"{FILE}{QUARANTINE_SUFFIX}",
+            f"{FILE}-wal{QUARANTINE_SUFFIX}",
+        }
         assert stale not in now.values()
         assert sum(map(len, now.values())) < 500_000
 
--- a/tests/controlplane/test_storage_power_loss.py
+++ b/tests/controlplane/test_storage_power_loss.py
@@ -28,9 +28,10 @@
     write_older,
 )
 from wickspring.common.digest import digest_of
-from wickspring.controlplane import storage
+from wickspring.controlplane import storage_file
 from wickspring.controlplane.replication.replica import Config, Replica, Update
-from wickspring.controlplane.storage import BAD, FILE, ReplicaStore
+from wickspring.controlplane.storage import ReplicaStore
+from wickspring.controlplane.storage_file import FILE, QUARANTINE_SUFFIX, StoreFile
 from wickspring.controlplane.storage_legacy import CorruptStoreError
 
 
@@ -38,7 +39,7 @@
 def test_power_lost_in_a_save_leaves_the_state_before_or_after(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    monkeypatch.setattr(storage, "CHECKPOINT_PAGES", 24)  # so that there are many checkpoints
+    monkeypatch.setattr(storage_file, "CHECKPOINT_PAGES", 24)  # so that there are many checkpoints
     random, held, durable = Random(seed), Replica(), dict(DURABLE)
     book = ReplicaStore(str(tmp_path / "a"))
     book.save(durable, held)
@@ -83,7 +84,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The file is as its last checkpoint left it, or as any since the log began, whatever came after."""
-    monkeypatch.setattr(storage, "CHECKPOINT_PAGES", 30)
+    monkeypatch.setattr(storage_file, "CHECKPOINT_PAGES", 30)
     book, held = ReplicaStore(str(tmp_path / "a")), Replica()
     older: list[bytes] = []
     log = b""
@@ -124,9 +125,9 @@
         self.folder = folder
         self.synced, self.since = files(folder), list[tuple[str, str]]()
         self.left: list[Files] = []
-        self._move, self._sync = storage._move, storage._sync
-        monkeypatch.setattr(storage, "_move", self.move)
-        monkeypatch.setattr(storage, "_sync", self.sync)
+        self._move, self._sync = storage_file.move_if_exists, storage_file.sync_path
+        monkeypatch.setattr(storage_file, "move_if_exists", self.move)
+        monkeypatch.setattr(storage_file, "sync_path", self.sync)
 
     def losses(self) -> Iterator[Files]:
         for kept in itertools.product((False, True), repeat=len(self.since)):
@@ -169,10 +170,10 @@
             names = Names(folder, patched)
 
             def refused(
-                self: ReplicaStore,
+                self: StoreFile,
                 names: Names = names,
                 start: Files = start,
-                close: Any = ReplicaStore.close,
+                close: Any = StoreFile.close,
             ) -> None:
                 """Close where the disk refuses the checkpoint: the file stays older, the log beside it."""
                 close(self)
@@ -181,8 +182,8 @@
                 names.synced = files(folder)
 
             book._read = _not_whole  # type: ignore[method-assign]
-            patched.setattr(ReplicaStore, "close", refused)
-            assert book.load() is None and book.set_aside
+            patched.setattr(StoreFile, "close", refused)
+            assert book.load() is None and book.quarantined
             patched.undo()
             book.close()
         assert len(names.left) > 6
@@ -204,7 +205,7 @@
     log = files(tmp_path / "a")[LOG]
     book.close()
     assert found_in(tmp_path / "b", {LOG: log}) is None
-    assert found_in(tmp_path / "b", {LOG: log, FILE: b"", f"{FILE}{BAD}": b"x"}) is None
+    assert found_in(tmp_path / "b", {LOG: log, FILE: b"", f"{FILE}{QUARANTINE_SUFFIX}": b"x"}) is None
 
 
 def test_what_a_killed_process_left_is_synced_before_it_is_read(
@@ -218,18 +219,18 @@
     for name, data in left.items():
         (tmp_path / "a" / name).write_bytes(data)
     done: list[str] = []
-    sync, connect = storage._sync, ReplicaStore._connect
+    sync, connect = storage_file.sync_path, StoreFile.connect
 
     def synced(path: Path) -> None:
         sync(path)
         done.append(path.name)
 
-    def connected(self: ReplicaStore) -> None:
+    def connected(self: StoreFile) -> None:
         done.append("read")
         connect(self)
 
-    monkeypatch.setattr(storage, "_sync", synced)
-    monkeypatch.setattr(ReplicaStore, "_connect", connected)
+    monkeypatch.setattr(storage_file, "sync_path", synced)
+    monkeypatch.setattr(StoreFile, "connect", connected)
     book = ReplicaStore(str(tmp_path / "a"))
     assert set(done[: done.index("read")]) == {"a", FILE, LOG}
     assert done[-1] == "a"  # the file's own name, and the removal of the journal of its making
--- a/tests/support/storage_files.py
+++ b/tests/support/storage_files.py
@@ -12,7 +12,9 @@
 import msgpack
 
 from wickspring.controlplane.replication.replica import Replica, Update
-from wickspring.controlplane.storage import FILE, ReplicaStore, _sum
+from wickspring.controlplane.storage import ReplicaStore
+from wickspring.controlplane.storage_file import FILE
+from wickspring.controlplane.storage_records import checksum
 
 Files = dict[str, bytes]  # by name
 
@@ -56,11 +58,11 @@
             "servers": msgpack.packb(["s1"]),
         }
         for name, data in parts.items():
-            db.execute("insert into part values (?, ?, ?)", (name, _sum(data), data))
+            db.execute("insert into part values (?, ?, ?)", (name, checksum(data), data))
         if schema == 2:
             db.execute("create table leaver (id text primary key, state int, sum blob)")
             for server, state in leavers.items():
-                row = server, state, _sum(f"{server} {state}".encode())
+                row = server, state, checksum(f"{server} {state}".encode())
                 db.execute("insert into leaver values (?, ?, ?)", row)
         db.execute(f"pragma user_version={schema}")
 
--- a/wickspring/lab/experiments/storage_cost.py
+++ b/wickspring/lab/experiments/storage_cost.py
@@ -19,7 +19,8 @@
 import click
 
 from wickspring.controlplane.replication.replica import Replica, Update
-from wickspring.controlplane.storage import FILE, ReplicaStore
+from wickspring.controlplane.storage import ReplicaStore
+from wickspring.controlplane.storage_file import FILE
 
 MEMBERS = [[f"10.{n}.0.14", "first"] for n in (1, 2, 3)]
 STARTS = 20
