--- a/tests/controlplane/test_quota_takeover.py
+++ b/tests/controlplane/test_quota_takeover.py
@@ -129,7 +129,7 @@
 
     def _past(self, now: float, name: str, owner: Owner) -> None:
         gateway = self.gateways[name]
-        for tenant, told in gateway.quota.past(now + gateway.clock_ms):
+        for tenant, told in gateway.quota.reports(now + gateway.clock_ms):
             owner.quota_counter.receive_usage_report(now + owner.clock_ms, tenant, name, told)
 
     def _view(self, now: float) -> None:
@@ -171,13 +171,13 @@
         """Have a gateway rule on a request."""
         gateway, tenant = self.gateways[name], self.tenant
         own, rate, burst = now + gateway.clock_ms, tenant.rate, tenant.burst
-        gateway.quota.sent(own, "t")
+        gateway.quota.charge(own, "t")
         if gateway.cut_at is None and self.owner is not None:
             total, limit, wait = self.owner.quota_counter.acquire(
                 now + self.owner.clock_ms, "t", name, rate, burst
             )
-            return gateway.quota.counted(own, "t", total, limit, wait).goes
-        goes = gateway.quota.alone(own, tenant, GATEWAYS).goes
+            return gateway.quota.decide(own, "t", total, limit, wait).allowed
+        goes = gateway.quota.decide_alone(own, tenant, GATEWAYS).allowed
         named = self.next_owner if self.view_at == LASTS_MS else None
         if goes and named is not None and gateway.cut_at is None:
             named.quota_counter.record_spent(now + named.clock_ms, "t", name, rate, burst)
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -47,11 +47,11 @@
         if owner is None and now >= away_until:
             owner, cut = QuotaCounter(SPAN_S, EXCESS, SLACK), set()
             for number, one in enumerate(data_planes):
-                for name, told in one.past(now):
+                for name, told in one.reports(now):
                     owner.receive_usage_report(now, name, f"p{number}", told)
         if owner is not None and random.random() < 0.0004:
             for number in cut:
-                for name, told in data_planes[number].past(now):
+                for name, told in data_planes[number].reports(now):
                     owner.receive_usage_report(now, name, f"p{number}", told)
                 owner.mark_responsive(f"p{number}")
             cut = set(random.sample(range(8), random.choice((0, 1, 2))))
@@ -59,17 +59,17 @@
                 owner.mark_unresponsive(now, f"p{number}")
         number = random.choices(range(8), weights)[0]
         data_plane = data_planes[number]
-        data_plane.sent(now, "t")
+        data_plane.charge(now, "t")
         if owner is None or number in cut:
-            ruling = data_plane.alone(now, tenant, 8)
+            decision = data_plane.decide_alone(now, tenant, 8)
         else:
             again = random.random() < 0.3
             total, limit, wait = owner.acquire(now, "t", f"p{number}", tenant.rate, tenant.burst, again)
-            ruling = data_plane.counted(now, "t", total, limit, wait)
-        if ruling.goes:
+            decision = data_plane.decide(now, "t", total, limit, wait)
+        if decision.allowed:
             sent.append(now)
         else:
-            assert 0.0 < ruling.wait < 60_000.0
+            assert 0.0 < decision.retry_after_ms < 60_000.0
     most = quota_ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
     assert most_in_a_span(sent, 1000.0 * SPAN_S) <= most
     quiet = [at for at in sent if at < 1e6 + 20_000.0]
@@ -197,13 +197,13 @@
                     owner.mark_unresponsive(now, f"p{number}")
         number = random.randrange(8)
         data_plane = data_planes[number]
-        data_plane.sent(now, "t")
+        data_plane.charge(now, "t")
         if cut and number < 4:
-            ruling = data_plane.alone(now, tenant, 8)
+            decision = data_plane.decide_alone(now, tenant, 8)
         else:
             total, limit, wait = owner.acquire(now, "t", f"p{number}", tenant.rate, tenant.burst)
-            ruling = data_plane.counted(now, "t", total, limit, wait)
-        if ruling.goes:
+            decision = data_plane.decide(now, "t", total, limit, wait)
+        if decision.allowed:
             sent.append(now)
     most = quota_ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
     assert (most_in_a_span(sent, 1000.0 * SPAN_S) <= most) == kept
--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -20,14 +20,13 @@
 from wickspring.dataplane.request.model import Request
 from wickspring.dataplane.upstream import UpstreamConnection
 from wickspring.lab.emulation.local_gateway import API_KEY, HOST, PURE_PREFIX
-from wickspring.lab.simulation.request_path import (
-    LONG,
-    ONCE,
-    TRICKS,
+from wickspring.lab.simulation.request_path.faulty_server import FAULTS
+from wickspring.lab.simulation.request_path.ledger import (
+    EFFECTFUL_PREFIX,
     InvariantBrokenError,
-    Simulation,
-    content,
+    request_body,
 )
+from wickspring.lab.simulation.request_path.simulation import LONG_BODY_BYTES, Simulation
 from wickspring.net.http1_front import Http1Connection
 from wickspring.net.upstream.http1 import AnswerReader, Http1Link
 
@@ -43,36 +42,39 @@
 @pytest.mark.parametrize(
     ("seeds", "how"),
     [
-        (range(450), {"servers": 1, "clients": 2, "asks": 4}),
-        (range(450, 850), {"servers": 2, "clients": 2, "asks": 3, "odd": 0.9}),
-        (range(850, 910), {"odd": 0.3}),
-        (range(910, 1060), {"servers": 2, "clients": 2, "asks": 5, "drains": True}),
+        (range(450), {"server_pairs": 1, "client_count": 2, "requests_per_client": 4}),
+        (
+            range(450, 850),
+            {"server_pairs": 2, "client_count": 2, "requests_per_client": 3, "fault_share": 0.9},
+        ),
+        (range(850, 910), {"fault_share": 0.3}),
+        (range(910, 1060), {"server_pairs": 2, "client_count": 2, "requests_per_client": 5, "drains": True}),
     ],
 )
 def test_no_mixture_of_tricks_breaks_a_rule(seeds: range, how: dict[str, Any]) -> None:
     """Answers whole, own and sealed; once is once; no false refusal; no body but the client's; in time."""
     seen = play(seeds, **how)
-    assert set(TRICKS) <= set(seen)
+    assert set(FAULTS) <= set(seen)
     assert seen["told[200]"] > 1.5 * len(seeds) and seen["told[502]"] > 0.5 * len(seeds)
 
 
 def test_servers_that_keep_to_the_rules_are_passed_on_whole() -> None:
-    seen = play(range(20), odd=0.0)
+    seen = play(range(20), fault_share=0.0)
     assert seen["told[200]"] > 250 and set(seen) <= {"good", "told[200]", "told[504]"}
 
 
 def test_a_long_body_that_has_begun_to_go_out_goes_to_no_second_server() -> None:
-    seen = play(range(20), only=("turned_away", "closes", "reset_unread"))
+    seen = play(range(20), only_faults=("turned_away", "closes", "reset_unread"))
     assert seen["told[503]"] and seen["turned_away"] > 40
 
 
 def test_an_answer_that_flows_is_ended_by_its_own_try_alone() -> None:
-    seen = play(range(40), only=("drips", "silent"))
+    seen = play(range(40), only_faults=("drips", "silent"))
     assert seen["drips"] > 200 and not seen["reset to the client"]  # no server cuts one here
 
 
 def test_what_was_written_in_part_may_have_run() -> None:
-    seen = play(range(30), only=("early", "silent"))  # servers that run by the head alone
+    seen = play(range(30), only_faults=("early", "silent"))  # servers that run by the head alone
     assert seen["early"] > 100 and seen["told[502]"]
 
 
@@ -82,13 +84,13 @@
 )
 def test_a_head_that_is_not_wholly_this_answers_own_is_not_believed(trick: str, least: int) -> None:
     """Heads glued of two answers, two ids, no seal or one named as the connection's, no length told."""
-    seen = play(range(20), only=(trick,))
+    seen = play(range(20), only_faults=(trick,))
     assert seen[trick] > 150 and seen["told[200]"] > max(least, 100)
     assert least or seen["told[502]"] > 75
 
 
 def test_a_refusal_by_a_server_that_has_run_it_is_not_passed_on_as_one() -> None:
-    seen = play(range(20), only=("late_refusal",))  # 503, 429 and 408 without X-Not-Executed
+    seen = play(range(20), only_faults=("late_refusal",))  # 503, 429 and 408 without X-Not-Executed
     assert seen["late_refusal"] > 150 and seen["told[502]"] > 100
 
 
@@ -97,25 +99,26 @@
 
     def __post_init__(self) -> None:
         super().__post_init__()
-        for number, peer in enumerate(self.peers.values()):
-            peer.odd, peer.only = float(number % 2), ("silent",)  # those that do what may run once
+        for number, peer in enumerate(self.faulty_servers.values()):
+            peer.fault_share = float(number % 2)  # those that do what may run once
+            peer.only_faults = ("silent",)
 
     async def client(self, number: int) -> None:
-        id_ = f"a{number}"
-        self.books.asked[id_] = ONCE, 0
-        ends = [self.knock() for _ in range(3)]
-        for end, path in zip(ends, (ONCE, PURE_PREFIX, ONCE), strict=True):
-            end.say(head(path, id_))
-            await trio.sleep(0.01 if path == ONCE else 0.1)
+        request_id = f"a{number}"
+        self.ledger.requests[request_id] = EFFECTFUL_PREFIX, 0
+        ends = [self.connect_client() for _ in range(3)]
+        for end, path in zip(ends, (EFFECTFUL_PREFIX, PURE_PREFIX, EFFECTFUL_PREFIX), strict=True):
+            end.say(head(path, request_id))
+            await trio.sleep(0.01 if path == EFFECTFUL_PREFIX else 0.1)
             if path == PURE_PREFIX:
-                await self.read(end, id_, b"")
-        await self.read(ends[2], id_, b"")
-        self.books.seen["still at work"] += not ends[0].got
+                await self.read(end, request_id, b"")
+        await self.read(ends[2], request_id, b"")
+        self.ledger.seen["still at work"] += not ends[0].got
 
 
 def head(path: str, *ids: str) -> bytes:
     lines = [f"POST {path} HTTP/1.1", f"Host: {HOST}", f"X-Key: {API_KEY}", "Content-Length: 0"]
-    return "\r\n".join([*lines, *(f"X-Attempt-Id: {id_}" for id_ in ids), "", ""]).encode()
+    return "\r\n".join([*lines, *(f"X-Attempt-Id: {request_id}" for request_id in ids), "", ""]).encode()
 
 
 def test_a_copy_of_what_is_at_work_is_turned_away() -> None:
@@ -129,32 +132,32 @@
 
     async def client(self, number: int) -> None:
         for first, second in (("a", "b"), ("a", "a"), ("c", "a")):
-            self.books.asked[first] = self.books.asked[second] = ONCE, 0
-            end = self.knock()
-            end.say(head(ONCE, first, second))
+            self.ledger.requests[first] = self.ledger.requests[second] = EFFECTFUL_PREFIX, 0
+            end = self.connect_client()
+            end.say(head(EFFECTFUL_PREFIX, first, second))
             await self.read(end, second, b"")
 
 
 def test_a_request_with_two_ids_is_turned_away() -> None:
-    books = Doubled(1, odd=0.0).run()
-    assert books.seen == {"told[400]": 9} and not books.runs
+    ledger = Doubled(1, fault_share=0.0).run()
+    assert ledger.seen == {"told[400]": 9} and not ledger.executions
 
 
 class Elder(Simulation):
     """Clients that know no chunks."""
 
     async def client(self, number: int) -> None:
-        for step in range(self.asks):
-            id_, end = f"a{number}.{step}", self.knock()
-            self.books.asked[id_] = PURE_PREFIX, 0
-            end.say(head(PURE_PREFIX, id_).replace(b"HTTP/1.1", b"HTTP/1.0"))
-            await self.read(end, id_, b"")
+        for step in range(self.requests_per_client):
+            request_id, end = f"a{number}.{step}", self.connect_client()
+            self.ledger.requests[request_id] = PURE_PREFIX, 0
+            end.say(head(PURE_PREFIX, request_id).replace(b"HTTP/1.1", b"HTTP/1.0"))
+            await self.read(end, request_id, b"")
 
 
 def test_a_client_that_knows_no_chunks_is_told_the_length() -> None:
     seen: Counter[str] = Counter()
     for seed in range(20):
-        seen.update(Elder(seed, odd=1.0, only=("drips",)).run().seen)
+        seen.update(Elder(seed, fault_share=1.0, only_faults=("drips",)).run().seen)
     assert seen["told[200]"] > 50 and seen["told[502]"] > 5
 
 
@@ -162,17 +165,19 @@
     """Long bodies that stop half way, at servers that run a request by its head."""
 
     async def client(self, number: int) -> None:
-        id_, end, length = f"a{number}", self.knock(), 3 * LONG
-        self.books.asked[id_] = ONCE, length
-        told = head(ONCE, id_).replace(b"Content-Length: 0", f"Content-Length: {length}".encode())
-        end.say(told + content(id_, 2 * LONG))
-        await self.read(end, id_, b"")
+        request_id, end, length = f"a{number}", self.connect_client(), 3 * LONG_BODY_BYTES
+        self.ledger.requests[request_id] = EFFECTFUL_PREFIX, length
+        told = head(EFFECTFUL_PREFIX, request_id).replace(
+            b"Content-Length: 0", f"Content-Length: {length}".encode()
+        )
+        end.say(told + request_body(request_id, 2 * LONG_BODY_BYTES))
+        await self.read(end, request_id, b"")
 
 
 def test_a_long_body_that_stops_half_way_is_not_refused() -> None:
     seen: Counter[str] = Counter()
     for seed in range(10):
-        seen.update(Half(seed, odd=1.0, only=("early",), timeout_s=9.0).run().seen)
+        seen.update(Half(seed, fault_share=1.0, only_faults=("early",), timeout_s=9.0).run().seen)
     assert seen["told[502]"] + seen["closed to the client"] == 30 and seen["closed to the client"] > 10
 
 
--- a/wickspring/dataplane/policy/config_adoption.py
+++ b/wickspring/dataplane/policy/config_adoption.py
@@ -1,11 +1,11 @@
 """Which configuration a data plane adopts, of the copies that it is offered.
 
 A data plane never goes back to a lower version. One that has a configuration adopts a higher version that is
-known to have been committed, whoever offers it. One that has none adopts what a process in contact with a
-quorum offers, and waits for that: what others offer may be old, or never have been committed. Only where
-nobody in contact has said anything for `FALLBACK_AFTER_MS` it adopts the last known copy.
+known to have been committed, whoever offers it. One that has none waits for what a process in contact with a
+quorum offers: other copies may be old, or never have been committed. Only where nobody in contact has said
+anything for `FALLBACK_AFTER_MS` it adopts the last known copy.
 
-Within its own version it adopts another text only where its own was never known to be committed, or where a
+Of its own version it adopts another text only where its own was never known to be committed, or where a
 control plane in contact says so. The second must not happen: it is a fence behind the replication protocol
 (`docs/design/control.md`). No I/O; times are milliseconds.
 """
@@ -90,9 +90,8 @@
 
     def fallback(self, now: float) -> ConfigCopy | None:
         """Return the copy to adopt for want of a better one, once that is due."""
-        if self.version or now - self._last_contact_at < FALLBACK_AFTER_MS:
-            return None
-        return self.pending
+        due = not self.version and now - self._last_contact_at >= FALLBACK_AFTER_MS
+        return self.pending if due else None
 
     def adopted(self, copy: ConfigCopy) -> None:
         """Record a copy as the one in use."""
--- a/wickspring/dataplane/policy/endpoint_selection.py
+++ b/wickspring/dataplane/policy/endpoint_selection.py
@@ -1,9 +1,8 @@
 """Choosing the endpoint of an attempt, by what this data plane has observed and what it has been told.
 
-The control plane's advice comes first. Without it a few endpoints are drawn at random, most of them in the
-data plane's own zone, and the one with the lowest cost is chosen (Mitzenmacher, "The Power of Two Choices in
-Randomized Load Balancing", 2001). An endpoint that fails is ejected for a while that doubles with each
-failure in a row. No I/O; times are milliseconds.
+The control plane's advice comes first. Without it a few endpoints are drawn, most of them in the own zone,
+and the one of lowest cost is chosen (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing",
+2001). One that fails is ejected for a time that doubles with each failure. No I/O; times are milliseconds.
 """
 
 from __future__ import annotations
@@ -20,6 +19,7 @@
 SMOOTHING = 10.0  # responses in a moving average
 LATENCY_RATIO_BOUNDS = (0.3, 5.0)
 EJECTION_MS = 400.0  # after a first failure
+EJECTION_JITTER = (0.7, 1.3)
 MAX_EJECTION_DOUBLINGS = 4  # failures in a row that still lengthen an ejection
 MAX_QUIET_RATIO = 2.5  # typical latencies without a response, after which each further one adds to the cost
 
@@ -171,15 +171,17 @@
         if not untried:
             return None
         healthy = [state for state in untried if now >= state.ejected_until and not state.unresponsive]
-        typical_ms, draw = self.typical_ms.get(route, 0.0), self.random.random
+        typical_ms = self.typical_ms.get(route, 0.0)
         sample = self._sample(healthy or untried)
-        costs = [(self.cost(now, state, typical_ms), draw()) for state in sample]  # ties are broken at random
+        tie_break = self.random.random
+        costs = [(self.cost(now, state, typical_ms), tie_break()) for state in sample]
         return sample[costs.index(min(costs))]
 
     def _pick_advised(
         self, now: float, accepting: dict[str, EndpointState], tried: set[str], advice: Advice
     ) -> EndpointState | None:
-        best, lowest_cost = None, float("inf")
+        best = None
+        lowest_cost = float("inf")
         for endpoint_id, cost in advice:
             candidate = accepting.get(endpoint_id)
             if candidate is None or endpoint_id in tried or now < candidate.ejected_until:
@@ -237,5 +239,5 @@
 
     def _eject(self, now: float, candidate: EndpointState) -> None:
         candidate.failures = min(MAX_EJECTION_DOUBLINGS, candidate.failures + 1)
-        ejection_ms = EJECTION_MS * 2.0 ** (candidate.failures - 1)
-        candidate.ejected_until = now + ejection_ms * self.random.uniform(0.7, 1.3)
+        ejection_ms = EJECTION_MS * 2.0 ** (candidate.failures - 1) * self.random.uniform(*EJECTION_JITTER)
+        candidate.ejected_until = now + ejection_ms
--- a/wickspring/dataplane/policy/quota.py
+++ b/wickspring/dataplane/policy/quota.py
@@ -1,9 +1,9 @@
-"""Quotas: one add a request to the tenant's count, and what is done while nobody answers an add.
+"""Quotas: each request adds a unit to its tenant's count, whose total decides; a rule while nobody answers.
 
-The keeper of a tenant's count tells the total in the rule's span with each add; the pilot refuses where that
-is past the limit. It remembers what it has sent on itself, and which part of the total that was. While the
-keeper is silent it goes on within that part of the ceiling, less a margin: all parts together stay under the
-ceiling, and what a pilot has sent on before counts in its part. It tells the next keeper all of it.
+The owner of a tenant's count reports the total in the rule's span with each unit that is added; the data
+plane refuses where that is above the limit. It remembers its own units, and which share of the total they
+were. While the owner does not answer it goes on within that share of the ceiling, less a margin: all shares
+together stay under the ceiling. All of it is reported to the next owner. No I/O; times are milliseconds.
 """
 
 from __future__ import annotations
@@ -14,91 +14,93 @@
 from wickspring.common.quota_rule import ISOLATED_SHARE, WINDOWS_PER_SPAN, quota_ceiling
 from wickspring.common.routing_table import Tenant
 
-PART_LEAST = 0.25  # of an even part, for a pilot that does not know its own
-PART_MEMORY = 12.0  # answers in the mean of the part
-FEW = 6  # units in a total that says nothing yet of parts
+DEFAULT_SHARE = 0.25  # of an even share, for a data plane that does not know its own
+SHARE_SMOOTHING = 12.0  # replies in the moving average of the share
+MIN_TOTAL = 6  # units in a total, below which it says nothing of shares
 
 
 @dataclass(slots=True)
 class TenantUsage:
-    """What this pilot knows of one tenant's count."""
+    """What this data plane knows of one tenant's count."""
 
-    windows: deque[list[int]] = field(default_factory=deque)  # number and own units, oldest first
-    own: int = 0
-    part: float = -1.0  # of the total that is its own; below 0: not known
+    windows: deque[list[int]] = field(default_factory=deque)  # window number and own units, oldest first
+    units: int = 0  # own, in all windows
+    share: float = -1.0  # of the total that is its own; below 0: not known
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaDecision:
-    """Whether a request goes on; else ms after which to come back."""
+    """Whether a request is allowed; else after how many milliseconds its client may come back."""
 
-    goes: bool
-    wait: float = 0.0
+    allowed: bool
+    retry_after_ms: float = 0.0
 
 
 class QuotaPolicy:
-    """All tenants' accounts at this pilot."""
+    """The usage of all tenants at this data plane."""
 
     def __init__(self, span_s: float, excess: float, slack: float) -> None:
-        self.span_s, self.excess, self.slack = span_s, excess, slack
+        self.span_s = span_s
+        self.excess = excess
+        self.slack = slack
         self.window_ms = 1000.0 * span_s / WINDOWS_PER_SPAN
-        self.accounts: dict[str, TenantUsage] = {}
+        self.usages: dict[str, TenantUsage] = {}
 
-    def _account(self, now: float, tenant: str) -> tuple[int, TenantUsage]:
+    def _usage(self, now: float, tenant: str) -> tuple[int, TenantUsage]:
         window = int(now / self.window_ms)
-        account = self.accounts.setdefault(tenant, TenantUsage())
-        while account.windows and account.windows[0][0] < window - WINDOWS_PER_SPAN:
-            account.own -= account.windows.popleft()[1]
-        return window, account
-
-    def sent(self, now: float, tenant: str) -> None:
-        """Note a unit as sent on, from the moment of its add: what is taken back is taken off again."""
-        window, account = self._account(now, tenant)
-        if account.windows and account.windows[-1][0] == window:
-            account.windows[-1][1] += 1
+        usage = self.usages.setdefault(tenant, TenantUsage())
+        while usage.windows and usage.windows[0][0] < window - WINDOWS_PER_SPAN:
+            usage.units -= usage.windows.popleft()[1]
+        return window, usage
+
+    def charge(self, now: float, tenant: str) -> None:
+        """Count a unit as spent, from the moment that the owner is asked to add it."""
+        window, usage = self._usage(now, tenant)
+        if usage.windows and usage.windows[-1][0] == window:
+            usage.windows[-1][1] += 1
         else:
-            account.windows.append([window, 1])
-        account.own += 1
-
-    def taken_back(self, now: float, tenant: str) -> bool:
-        """Take off a unit that was not used; False where none is left to take off."""
-        _, account = self._account(now, tenant)
-        for entry in reversed(account.windows):
-            if entry[1] > 0:
-                entry[1] -= 1
-                account.own -= 1
+            usage.windows.append([window, 1])
+        usage.units += 1
+
+    def refund(self, now: float, tenant: str) -> bool:
+        """Take off a unit that was not spent; False where none is left to take off."""
+        _, usage = self._usage(now, tenant)
+        for window in reversed(usage.windows):
+            if window[1] > 0:
+                window[1] -= 1
+                usage.units -= 1
                 return True
         return False
 
-    def counted(self, now: float, tenant: str, total: int, limit: int, wait: float) -> QuotaDecision:
-        """Rule on a request by the total that its add has come to."""
-        _, account = self._account(now, tenant)
+    def decide(self, now: float, tenant: str, total: int, limit: int, retry_after_ms: float) -> QuotaDecision:
+        """Decide on a request by the total that the owner has reported for its unit."""
+        _, usage = self._usage(now, tenant)
         if total > limit:
-            self.taken_back(now, tenant)
-            return QuotaDecision(False, wait)
-        if total >= FEW:
-            part = min(1.0, account.own / total)
-            account.part = part if account.part < 0 else account.part + (part - account.part) / PART_MEMORY
+            self.refund(now, tenant)
+            return QuotaDecision(False, retry_after_ms)
+        if total >= MIN_TOTAL:
+            share = min(1.0, usage.units / total)
+            usage.share = share if usage.share < 0 else usage.share + (share - usage.share) / SHARE_SMOOTHING
         return QuotaDecision(True)
 
-    def alone(self, now: float, tenant: Tenant, data_planes: int) -> QuotaDecision:
-        """Rule on a request whose add nobody has answered; its unit is noted already."""
-        _, account = self._account(now, tenant.name)
-        whole = quota_ceiling(tenant.rate, tenant.burst, self.span_s, self.excess, self.slack)
-        part = account.part if account.part >= 0 else PART_LEAST / max(1, data_planes)
-        if account.own <= ISOLATED_SHARE * part * whole:
+    def decide_alone(self, now: float, tenant: Tenant, data_plane_count: int) -> QuotaDecision:
+        """Decide on a request that is charged already, and whose owner has not answered."""
+        present, usage = self._usage(now, tenant.name)
+        ceiling = quota_ceiling(tenant.rate, tenant.burst, self.span_s, self.excess, self.slack)
+        share = usage.share if usage.share >= 0 else DEFAULT_SHARE / max(1, data_plane_count)
+        if usage.units <= ISOLATED_SHARE * share * ceiling:
             return QuotaDecision(True)
-        self.taken_back(now, tenant.name)
-        oldest = account.windows[0][0] if account.windows else int(now / self.window_ms)
-        return QuotaDecision(
-            False, max(self.window_ms, (oldest + WINDOWS_PER_SPAN + 1) * self.window_ms - now)
-        )
-
-    def past(self, now: float) -> list[tuple[str, list[tuple[int, int]]]]:
-        """Return all that was sent on within the span, windows ago and units, for a keeper."""
-        told = []
-        for tenant in list(self.accounts):
-            window, account = self._account(now, tenant)
-            if account.own > 0:
-                told.append((tenant, [(window - at, units) for at, units in account.windows if units]))
-        return told
+        self.refund(now, tenant.name)
+        oldest = usage.windows[0][0] if usage.windows else present
+        expires_at = (oldest + WINDOWS_PER_SPAN + 1) * self.window_ms
+        return QuotaDecision(False, max(self.window_ms, expires_at - now))
+
+    def reports(self, now: float) -> list[tuple[str, list[tuple[int, int]]]]:
+        """Return, for each tenant, how many windows ago units were spent, and how many."""
+        reports = []
+        for tenant in list(self.usages):
+            present, usage = self._usage(now, tenant)
+            if usage.units > 0:
+                windows = [(present - number, units) for number, units in usage.windows if units]
+                reports.append((tenant, windows))
+        return reports
--- a/wickspring/dataplane/policy/retry_budget.py
+++ b/wickspring/dataplane/policy/retry_budget.py
@@ -35,14 +35,13 @@
 
     def _current_bucket(self, now: float) -> _Bucket:
         number = int(now / BUCKET_MS)
-        buckets = self._buckets
-        while buckets and buckets[0].number < number - self._bucket_count:
-            expired = buckets.popleft()
+        while self._buckets and self._buckets[0].number < number - self._bucket_count:
+            expired = self._buckets.popleft()
             self.first_attempts -= expired.first_attempts
             self.retries -= expired.retries
-        if not buckets or buckets[-1].number != number:
-            buckets.append(_Bucket(number))
-        return buckets[-1]
+        if not self._buckets or self._buckets[-1].number != number:
+            self._buckets.append(_Bucket(number))
+        return self._buckets[-1]
 
     def record_first(self, now: float) -> None:
         """Record the first attempt of a request."""
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -186,7 +186,7 @@
 
     def usage_reports(self) -> UsageReports:
         """Return the recent usage of all tenants at this data plane."""
-        return self.quota.past(self.clock.now())
+        return self.quota.reports(self.clock.now())
 
     def on_routing_table(self, routing_table: RoutingTable) -> None:
         """Adapt timeouts and connection limits to a new configuration."""
--- a/wickspring/dataplane/request/quota_check.py
+++ b/wickspring/dataplane/request/quota_check.py
@@ -34,17 +34,17 @@
         if tenant is None:
             self._grant(request)
             return
-        self._context.quota.sent(self._context.clock.now(), tenant.name)
+        self._context.quota.charge(self._context.clock.now(), tenant.name)
         _PendingUnit(self, self._context, request, tenant).send()
 
     def decide(self, request: Request, decision: QuotaDecision) -> None:
         """Carry out a decision on a request that has not ended meanwhile."""
         if request.attempts.ended:
             return
-        if decision.goes:
+        if decision.allowed:
             self._grant(request)
             return
-        retry_after_ms = decision.wait * self._context.random.uniform(*RETRY_AFTER_JITTER)
+        retry_after_ms = decision.retry_after_ms * self._context.random.uniform(*RETRY_AFTER_JITTER)
         self._responder.fail(request, ErrorKind.OVER_QUOTA, retry_after_ms)
 
     def _grant(self, request: Request) -> None:
@@ -83,16 +83,16 @@
             self._decide_alone(answered=True)
             return
         now = self._context.clock.now()
-        decision = self._context.quota.counted(now, self._tenant.name, total, limit, window_end_ms)
+        decision = self._context.quota.decide(now, self._tenant.name, total, limit, window_end_ms)
         self._checker.decide(self._request, decision)
 
     def _decide_alone(self, answered: bool = False) -> None:
         context = self._context
         context.event_counts["counted_alone"] += 1
         data_planes = context.data_plane_count() or DEFAULT_DATA_PLANE_COUNT
-        decision = context.quota.alone(context.clock.now(), self._tenant, data_planes)
-        context.quota_client.abandon(self._number, partial(self._on_late_reply, decision.goes))
-        if decision.goes and answered:
+        decision = context.quota.decide_alone(context.clock.now(), self._tenant, data_planes)
+        context.quota_client.abandon(self._number, partial(self._on_late_reply, decision.allowed))
+        if decision.allowed and answered:
             context.quota_client.report_spent(self._tenant.name)
         self._checker.decide(self._request, decision)
 
--- a/wickspring/dataplane/request/response.py
+++ b/wickspring/dataplane/request/response.py
@@ -104,7 +104,7 @@
         """Give back the unit of quota of a request that has not been executed and never will be."""
         context = self._context
         tenant = request.metered_tenant()
-        if tenant is not None and context.quota.taken_back(context.clock.now(), tenant.name):
+        if tenant is not None and context.quota.refund(context.clock.now(), tenant.name):
             context.quota_client.refund(tenant.name)
 
     def on_deadline(self, request: Request) -> None:
--- a/wickspring/lab/experiments/capacity_steps.py
+++ b/wickspring/lab/experiments/capacity_steps.py
@@ -206,7 +206,7 @@
 def _quota_policy(tenants: int) -> QuotaPolicy:
     policy = QuotaPolicy(QUOTA_SPAN_S, QUOTA_EXCESS, QUOTA_SLACK)
     for number in range(tenants):
-        policy.sent(NOW_MS, f"t{number}ab1c")
+        policy.charge(NOW_MS, f"t{number}ab1c")
     return policy
 
 
--- a/wickspring/lab/simulation/gossip.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -1,9 +1,9 @@
-"""Pilots that know each other and pass news on, by the hundred in virtual time: the real code, no socket.
+"""Hundreds of data planes that gossip, in virtual time: the data plane's own code without sockets.
 
-`python -m wickspring.ctl flotilla --pilots 100` starts so many, each told of three others as a lighthouse
-does, and measures: when all know all; the bytes that each sends in a quiet second, with datagrams lost now
-and then; how many that are well were given up; when the others know that one has ended; when a version
-that one was told has come to all; and what becomes of one that hears and is not heard.
+`python -m wickspring.ctl flotilla --pilots 100` starts so many, introduces each to three others as a control
+plane does, and measures: when all know all; the bytes that each sends per second while nothing happens, with
+datagrams lost now and then; how many healthy members were taken for failed; when the others know that one has
+failed; when a version that one has been given has come to all; what becomes of one that only receives.
 """
 
 from __future__ import annotations
@@ -23,108 +23,126 @@
 from wickspring.lab.simulation.clock import VirtualClock
 
 LOSS = 0.01  # of all datagrams
-INTRODUCED = 3
-LOOK_S = 0.25  # between looks at who knows what
-QUIET_S = 30.0  # over which bytes and false removals are counted
-MOST_S = 120.0  # that anything is waited for
-HOP_S = 0.003
-DOCUMENT = 8192  # bytes of a configuration, packed
+INTRODUCTIONS = 3  # data planes that each one is introduced to
+POLL_S = 0.25
+QUIET_S = 30.0  # over which bytes and false failures are counted
+TIMEOUT_S = 120.0  # for any condition to come about
+FETCH_S = 0.009  # to connect to a member and fetch its state
+HEADER_BYTES = 28  # of IPv4 and UDP, before each datagram
+CONFIG_BYTES = 8192  # of a compressed configuration
+NEW_VERSION = 2
+NOT_REACHED = -1.0  # in place of a duration: the condition did not come about
 
+Condition = Callable[["VirtualDataPlane"], bool]
 
-class Net:
-    """What carries datagrams: loses some, and all in the directions that are cut."""
+
+class VirtualNetwork:
+    """Carries datagrams; loses some of them, and all of those who are muted or dead."""
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.ends: dict[str, Wire] = {}
-        self.mute: set[str] = set()  # who is not heard
+        self.sockets: dict[str, VirtualSocket] = {}
+        self.muted: set[str] = set()  # IPs whose datagrams are lost
         self.dead: set[str] = set()
 
-    def carry(self, sender: str, to: str, data: bytes) -> None:
-        """Carry one datagram."""
-        end = self.ends.get(to)
-        if end is None or {sender, to} & self.dead or sender in self.mute or self.random.random() < LOSS:
+    def carry(self, sender: str, receiver: str, data: bytes) -> None:
+        """Carry one datagram, or lose it."""
+        socket = self.sockets.get(receiver)
+        if socket is None or {sender, receiver} & self.dead or sender in self.muted:
             return
-        end.put(data, sender)
+        if self.random.random() >= LOSS:
+            socket.deliver(data, sender)
 
 
-class Wire:
-    """One pilot's end."""
+class VirtualSocket:
+    """The datagram socket of one data plane."""
 
-    def __init__(self, net: Net, ip: str) -> None:
-        self.net, self.ip, self.sent = net, ip, 0
-        self._in, self._out = trio.open_memory_channel[tuple[bytes, str]](10_000)
-        net.ends[ip] = self
+    def __init__(self, network: VirtualNetwork, ip: str) -> None:
+        self.network = network
+        self.ip = ip
+        self.bytes_sent = 0
+        self._incoming, self._received = trio.open_memory_channel[tuple[bytes, str]](10_000)
+        network.sockets[ip] = self
 
     def send(self, ip: str, data: bytes) -> None:
-        """Send one, with what IP and UDP put before it."""
-        self.sent += len(data) + 28
-        self.net.carry(self.ip, ip, data)
+        """Send a datagram."""
+        self.bytes_sent += len(data) + HEADER_BYTES
+        self.network.carry(self.ip, ip, data)
 
-    def put(self, data: bytes, sender: str) -> None:
-        """Have one arrive."""
-        self._in.send_nowait((data, sender))
+    def deliver(self, data: bytes, sender: str) -> None:
+        """Have a datagram arrive."""
+        self._incoming.send_nowait((data, sender))
 
     async def receive(self) -> tuple[bytes, str]:
-        """Wait for one."""
-        return await self._out.receive()
+        """Wait for a datagram and its sender's IP."""
+        return await self._received.receive()
 
 
 class VirtualDataPlane:
-    """What one pilot holds: a version, and nothing more."""
+    """A data plane that knows a version of the configuration, and nothing more."""
+
+    def __init__(self, group: DataPlaneGroup, number: int, nursery: trio.Nursery) -> None:
+        self.ip = f"10.0.{number // 250}.{number % 250 + 1}"
+        self.version = 0
+        self.socket = VirtualSocket(group.network, self.ip)
+        random = Random(group.random.getrandbits(32))
+        self.gossip = VirtualGossipNode(self.ip, 1, group.clock, nursery, random, self, self.socket)
+        self.gossip.group = group
+
+    def knows(self, ip: str) -> bool:
+        """Return whether another data plane counts as alive here."""
+        return ip in self.gossip.members.active_members()
 
-    def __init__(self, fleet: Fleet, number: int, nursery: trio.Nursery) -> None:
-        self.fleet, self.ip, self.version = fleet, f"10.0.{number // 250}.{number % 250 + 1}", 0
-        self.wire = Wire(fleet.net, self.ip)
-        random = Random(fleet.random.getrandbits(32))
-        self.talk = Talk(self.ip, 1, fleet.clock, nursery, random, self, self.wire)
-        self.talk.fleet = fleet
+    # `GossipHost`; nothing is sent over connections here, and no endpoint is known.
 
     def state_digest(self) -> StateDigest:
         """Return the state to compare."""
         return StateDigest(self.version, bytes(DIGEST_SIZE) if self.version else b"", 0, 0)
 
     def send_state(self, connection: PeerConnection, version: int, digest: bytes) -> None:
-        """Nothing is told over cables here."""
+        """Send nothing."""
 
     def on_peer_message(self, connection: PeerConnection, message: PeerReply) -> None:
-        """Nothing comes over cables here."""
+        """Receive nothing."""
 
     def on_gossiped_endpoints(self, endpoints: list[EndpointRecord]) -> None:
-        """No endpoint is known here."""
+        """Receive nothing."""
 
     def on_gossiped_departures(self, states: dict[str, int]) -> None:
-        """No endpoint is known here."""
+        """Receive nothing."""
 
     def is_isolated(self) -> bool:
-        """Tell that lighthouses are in reach."""
+        """Return that a control plane is in reach."""
         return False
 
 
-class Talk(GossipNode):
-    """The real talk; only the cable of a fetch is carried out otherwise."""
+class VirtualGossipNode(GossipNode):
+    """The data plane's own gossip; only the connection of a fetch is simulated."""
 
-    fleet: Fleet
+    group: DataPlaneGroup
 
     async def _fetch_state(self, ip: str) -> None:
-        mine, theirs = self.fleet.data_planes[self.ip], self.fleet.data_planes[ip]
+        own = self.group.data_planes[self.ip]
+        other = self.group.data_planes[ip]
+        network = self.group.network
         try:
-            await trio.sleep(3 * HOP_S)
-            if {self.ip, ip} & (self.fleet.net.dead | self.fleet.net.mute):
+            await trio.sleep(FETCH_S)
+            if {self.ip, ip} & (network.dead | network.muted):
                 return
-            if theirs.version > mine.version:
-                theirs.wire.sent += DOCUMENT
-                mine.version = theirs.version
+            if other.version > own.version:
+                other.socket.bytes_sent += CONFIG_BYTES
+                own.version = other.version
         finally:
             self._is_fetching = False
 
 
-class Fleet:
-    """All pilots of one run."""
+class DataPlaneGroup:
+    """All data planes of one run."""
 
     def __init__(self, count: int, seed: int, nursery: trio.Nursery) -> None:
-        self.random, self.clock = Random(seed), VirtualClock()
-        self.net = Net(self.random)
+        self.random = Random(seed)
+        self.clock = VirtualClock()
+        self.network = VirtualNetwork(self.random)
         self.data_planes: dict[str, VirtualDataPlane] = {}
         for number in range(count):
             data_plane = VirtualDataPlane(self, number, nursery)
@@ -132,70 +150,107 @@
 
     @property
     def living(self) -> list[VirtualDataPlane]:
-        """Return those that have not been ended."""
-        return [one for ip, one in self.data_planes.items() if ip not in self.net.dead]
+        """The data planes that have not been killed."""
+        return [data_plane for ip, data_plane in self.data_planes.items() if ip not in self.network.dead]
 
-    async def until(self, share: float, known: Callable[[VirtualDataPlane], bool]) -> float:
-        """Wait until so large a share of the living know something; the seconds that it took, or -1."""
-        begun = trio.current_time()
-        while trio.current_time() - begun < MOST_S:
+    async def seconds_until(self, share: float, condition: Condition) -> float:
+        """Wait until a condition holds at a share of the living; return how long, or `NOT_REACHED`."""
+        started_at = trio.current_time()
+        while trio.current_time() - started_at < TIMEOUT_S:
             living = self.living
-            if sum(map(known, living)) >= share * len(living):
-                return round(trio.current_time() - begun, 2)
-            await trio.sleep(LOOK_S)
-        return -1.0
+            if sum(map(condition, living)) >= share * len(living):
+                return round(trio.current_time() - started_at, 2)
+            await trio.sleep(POLL_S)
+        return NOT_REACHED
+
+    def false_failures(self) -> int:
+        """Count pairs of the living of which one takes the other for failed."""
+        living = self.living
+        return sum(len(living) - data_plane.gossip.members.size for data_plane in living)
+
+
+class _Run:
+    """One run, step by step; the names of the results are those that `ctl` prints."""
+
+    def __init__(self, group: DataPlaneGroup, result: dict[str, Any]) -> None:
+        self.group = group
+        self.random = group.random
+        self.result = result
+
+    async def join(self, nursery: trio.Nursery) -> None:
+        """Start all data planes, and wait until each knows all others."""
+        data_planes = list(self.group.data_planes.values())
+        count = len(data_planes)
+        for data_plane in data_planes:
+            nursery.start_soon(data_plane.gossip.run)
+        ips = list(self.group.data_planes)
+        for data_plane in data_planes:
+            data_plane.gossip.introduce(self.random.sample(ips, min(INTRODUCTIONS, count)))
+        self.result["all_know_all_s"] = await self.group.seconds_until(
+            1.0, lambda data_plane: data_plane.gossip.members.size == count
+        )
 
-    def gone(self) -> int:
-        """Count pairs of the living in which one takes the other for gone."""
-        return sum(len(self.living) - one.talk.members.size for one in self.living)
+    async def stay_quiet(self) -> None:
+        """Count bytes and false failures while nothing happens."""
+        sockets = [data_plane.socket for data_plane in self.group.data_planes.values()]
+        sent_before = [socket.bytes_sent for socket in sockets]
+        most_failures = 0
+        for _ in range(int(QUIET_S / POLL_S)):
+            await trio.sleep(POLL_S)
+            most_failures = max(most_failures, self.group.false_failures())
+        sent = [
+            (socket.bytes_sent - before) / QUIET_S
+            for socket, before in zip(sockets, sent_before, strict=True)
+        ]
+        self.result["bytes_s"] = round(statistics.mean(sent))
+        self.result["bytes_s_most"] = round(max(sent))
+        self.result["wrongly_gone_most"] = most_failures
+
+    async def spread_version(self) -> None:
+        """Give one data plane a new version, and wait until all have it."""
+        self.random.choice(list(self.group.data_planes.values())).version = NEW_VERSION
+
+        def has_version(data_plane: VirtualDataPlane) -> bool:
+            return data_plane.version == NEW_VERSION
+
+        self.result["news_half_s"] = await self.group.seconds_until(0.5, has_version)
+        self.result["news_all_s"] = await self.group.seconds_until(1.0, has_version)
+
+    async def kill_one(self) -> None:
+        """Kill one data plane, and wait until all take it for failed."""
+        ip = self.random.choice(list(self.group.data_planes))
+        self.group.network.dead.add(ip)
+        half_s = await self.group.seconds_until(0.5, lambda data_plane: not data_plane.knows(ip))
+        rest_s = await self.group.seconds_until(1.0, lambda data_plane: not data_plane.knows(ip))
+        self.result["gone_half_s"] = half_s
+        self.result["gone_all_s"] = rest_s if rest_s < 0 else round(half_s + rest_s, 2)
+
+    async def mute_one(self) -> None:
+        """Have one data plane only receive, until all take it for failed, and then send again."""
+        muted = self.random.choice(self.group.living)
+        self.group.network.muted.add(muted.ip)
+        self.result["unheard_gone_s"] = await self.group.seconds_until(
+            1.0, lambda data_plane: data_plane is muted or not data_plane.knows(muted.ip)
+        )
+        self.group.network.muted.clear()
+        self.result["unheard_back_s"] = await self.group.seconds_until(
+            1.0, lambda data_plane: data_plane is muted or data_plane.knows(muted.ip)
+        )
 
 
-async def _play(count: int, seed: int, result: dict[str, Any]) -> None:
+async def _run_all(count: int, seed: int, result: dict[str, Any]) -> None:
     async with trio.open_nursery() as nursery:
-        fleet = Fleet(count, seed, nursery)
-        random, all_ = fleet.random, list(fleet.data_planes.values())
-        for one in all_:
-            nursery.start_soon(one.talk.run)
-        for one in all_:
-            one.talk.introduce(random.sample([two.ip for two in all_], min(INTRODUCED, count)))
-        result["all_know_all_s"] = await fleet.until(1.0, lambda one: one.talk.members.size == count)
-        sent = [one.wire.sent for one in all_]
-        wrong = most = 0
-        for _ in range(int(QUIET_S / LOOK_S)):
-            await trio.sleep(LOOK_S)
-            wrong += fleet.gone()
-            most = max(most, fleet.gone())
-        bytes_s = [(one.wire.sent - before) / QUIET_S for one, before in zip(all_, sent, strict=True)]
-        result["bytes_s"] = round(statistics.mean(bytes_s))
-        result["bytes_s_most"] = round(max(bytes_s))
-        result["wrongly_gone_most"] = most
-        first = random.choice(all_)
-        first.version = 2
-        result["news_half_s"] = await fleet.until(0.5, lambda one: one.version == 2)
-        result["news_all_s"] = await fleet.until(1.0, lambda one: one.version == 2)
-        ended = random.choice(all_).ip
-        fleet.net.dead.add(ended)
-        result["gone_half_s"] = await fleet.until(
-            0.5, lambda one: ended not in one.talk.members.active_members()
-        )
-        rest = await fleet.until(1.0, lambda one: ended not in one.talk.members.active_members())
-        result["gone_all_s"] = rest if rest < 0 else round(result["gone_half_s"] + rest, 2)
-        unheard = random.choice(fleet.living)
-        fleet.net.mute.add(unheard.ip)
-        rest = await fleet.until(
-            1.0, lambda one: one is unheard or unheard.ip not in one.talk.members.active_members()
-        )
-        result["unheard_gone_s"] = rest
-        fleet.net.mute.clear()
-        back = await fleet.until(
-            1.0, lambda one: one is unheard or unheard.ip in one.talk.members.active_members()
-        )
-        result["unheard_back_s"] = back
+        run = _Run(DataPlaneGroup(count, seed, nursery), result)
+        await run.join(nursery)
+        await run.stay_quiet()
+        await run.spread_version()
+        await run.kill_one()
+        await run.mute_one()
         nursery.cancel_scope.cancel()
 
 
 def measure(count: int, seed: int = 1) -> dict[str, Any]:
-    """Play one run of so many pilots; seconds of its time, and bytes."""
+    """Simulate so many data planes; return seconds of virtual time, and bytes per second."""
     result: dict[str, Any] = {"pilots": count, "seed": seed}
-    trio.run(_play, count, seed, result, clock=trio.testing.MockClock(autojump_threshold=0.0))
+    trio.run(_run_all, count, seed, result, clock=trio.testing.MockClock(autojump_threshold=0.0))
     return result
