--- a/wickspring/lab/simulation/request_path/faulty_server.py
+++ b/wickspring/lab/simulation/request_path/faulty_server.py
@@ -9,7 +9,7 @@
 from wickspring.lab.simulation.request_path.ledger import Ledger, request_body
 from wickspring.lab.simulation.request_path.memory_connection import PeerEnd
 
-# Names of faults, with their weights in the draw.
+# Faults, with their weights in the draw.
 FAULTS = {
     "good": 30,
     "failure": 2,
@@ -37,17 +37,49 @@
     "reset_unread": 2,
     "closes": 3,
 }
+NOT_EXECUTING_FAULTS = ("turned_away", "wrong_door", "reset_unread")
+UNSEALED_FAULTS = ("other_id", "no_id", "no_seal", "empty_seal", "encoded", "two_ids")
+FAULTY_STATUSES = {
+    "late_refusal": (503, 429, 408),
+    "wrong_door": (421,),
+    "turned_away": (503, 429, 500, 200),
+    "missing": (404,),
+}
+ENDINGS = ("end", "reset")
+LONG_RESPONSE_SHARE = 0.12
+MAX_ERROR_BODY_BYTES = 200
+MAX_REPLAY_BYTES = 3000
+SILENCE_S = 5.0
+
+
+@dataclass(slots=True)
+class _Request:
+    """A request as this server has read it."""
+
+    id: str
+    fault: str
+    headers: dict[str, str]
+    is_own: bool  # else it is another that bears the same id
+    is_executed: bool
+
+
+@dataclass(slots=True)
+class _Response:
+    """The bytes of a response, and how many of them are its head."""
+
+    data: bytes
+    head_size: int
 
 
 @dataclass
 class FaultyServer:
-    """A server; each of its connections plays tricks."""
+    """A server; each request to it meets a fault or is answered well."""
 
     name: str
     ledger: Ledger
-    fault_share: float  # share of requests that are not answered well
+    fault_share: float  # of requests that are not answered well
     only_faults: tuple[str, ...] = ()
-    replays: list[bytes] = field(default_factory=list)  # its answers, as they were
+    replays: list[bytes] = field(default_factory=list)  # its responses, as they were
 
     def _choose_fault(self) -> str:
         random = self.ledger.random
@@ -57,173 +89,247 @@
             return random.choice(self.only_faults)
         return random.choices(list(FAULTS), list(FAULTS.values()))[0]
 
-    def _answer(self, request_id: str, fault: str, run: bool) -> tuple[bytes, int]:
-        """Compose an answer; its bytes, and how many of them are its head."""
-        random, ledger = self.ledger.random, self.ledger
-        code, seal = 200, f"seal.{request_id}.{self.name}.{len(ledger.responses[request_id])}"
-        body = f"{request_id} by {self.name}\n".encode() * random.choice((0, 1, 3))
-        if run and (fault == "drips" or random.random() < 0.12):
-            body = f"{request_id} at length by {self.name}\n".encode() * random.randint(1500, 6000)
-        if fault == "failure" or (fault in ("glued", "surplus", "late_surplus") and random.random() < 0.4):
-            code = 500
-        elif fault == "late_refusal":
-            code = random.choice((503, 429, 408))
-        elif fault == "wrong_door":
-            code = 421
-        elif fault == "turned_away":
-            code = random.choice((503, 429, 500, 200))
-        elif fault == "missing":
-            code = 404
-        if code != 200:
-            body = body[:200]
-        told = random.choice([one for one in ledger.requests if one != request_id] or ["x"])
-        id_told = told if fault == "other_id" else request_id
-        lines = [f"X-Attempt-Id: {id_told}", f"X-Server-Seal: {seal}"]
+    # Composing responses.
+
+    def _compose(self, request: _Request, executed: bool) -> _Response:
+        """Compose a response, and enter it into the ledger if a client may be given it."""
+        random = self.ledger.random
+        fault = request.fault
+        sent = self.ledger.responses[request.id]
+        seal = f"seal.{request.id}.{self.name}.{len(sent)}"
+        body = self._body(request, executed)
+        status = self._status(fault)
+        if status != 200:
+            body = body[:MAX_ERROR_BODY_BYTES]
+        lines = self._header_lines(request, seal)
+        framed = self._frame(body, lines, fault)
+        random.shuffle(lines)
+        interim = "HTTP/1.1 102 Processing\r\n\r\n" if random.random() < 0.05 else ""
+        head = "\r\n".join([f"{interim}HTTP/1.1 {status} Said", *lines, "", ""]).encode()
+        if fault not in UNSEALED_FAULTS:
+            sent.append((status, seal, body))
+        return _Response(head + framed, len(head))
+
+    def _body(self, request: _Request, executed: bool) -> bytes:
+        random = self.ledger.random
+        body = f"{request.id} by {self.name}\n".encode() * random.choice((0, 1, 3))
+        if executed and (request.fault == "drips" or random.random() < LONG_RESPONSE_SHARE):
+            body = f"{request.id} at length by {self.name}\n".encode() * random.randint(1500, 6000)
+        return body
+
+    def _status(self, fault: str) -> int:
+        random = self.ledger.random
+        if fault == "failure":
+            return 500
+        if fault in ("glued", "surplus", "late_surplus") and random.random() < 0.4:
+            return 500
+        statuses = FAULTY_STATUSES.get(fault, (200,))
+        return random.choice(statuses) if len(statuses) > 1 else statuses[0]
+
+    def _header_lines(self, request: _Request, seal: str) -> list[str]:
+        """Return the lines that are to show whose response it is."""
+        random = self.ledger.random
+        fault = request.fault
+        others = [request_id for request_id in self.ledger.requests if request_id != request.id]
+        other_id = random.choice(others or ["x"])
+        id_line = f"X-Attempt-Id: {other_id if fault == 'other_id' else request.id}"
+        seal_line = f"X-Server-Seal: {seal}"
+        lines = [id_line, seal_line]
         if fault == "no_seal":
-            del lines[1]
+            lines.remove(seal_line)
         elif fault == "empty_seal":
-            lines[1] = "X-Server-Seal:"
+            lines = [id_line, "X-Server-Seal:"]
         elif fault == "hidden_seal":
             lines.append("Connection: x-server-seal")
         elif fault == "no_id":
-            del lines[0]
+            lines.remove(id_line)
         elif fault == "two_ids":
-            lines.insert(random.choice((0, 1)), f"X-Attempt-Id: {told}")
+            lines.insert(random.choice((0, 1)), f"X-Attempt-Id: {other_id}")
         elif fault == "encoded":
             lines.append("Content-Encoding: gzip")
         if fault == "turned_away" or (fault == "other_id" and random.random() < 0.5):
             lines.append("X-Not-Executed: 1")
-        form = random.choice(("length", "length", "chunked"))
-        if fault == "to_the_end" and code != 204:
+        return lines
+
+    def _frame(self, body: bytes, lines: list[str], fault: str) -> bytes:
+        """Return the body as it goes over the connection, and add the line that says how."""
+        random = self.ledger.random
+        framing = random.choice(("length", "length", "chunked"))
+        if fault == "to_the_end":
             lines.append("Connection: close")
-            framed = body
-        elif form == "length":
+            return body
+        if framing == "length":
             lines.append(f"Content-Length: {len(body)}")
-            framed = body
-        else:
-            lines.append("Transfer-Encoding: chunked")
-            at = random.randint(0, len(body))
-            parts = [part for part in (body[:at], body[at:]) if part]
-            framed = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
-        random.shuffle(lines)
-        interim = b"HTTP/1.1 102 Processing\r\n\r\n" if random.random() < 0.05 else b""
-        head = interim + f"HTTP/1.1 {code} Said\r\n".encode() + "\r\n".join(lines).encode() + b"\r\n\r\n"
-        if fault not in ("other_id", "no_id", "no_seal", "empty_seal", "encoded", "two_ids"):
-            ledger.responses[request_id].append((code, seal, body))
-        return head + framed, len(head)
-
-    def _spoilt(self) -> bytes:
-        """Return an old answer, or the beginning of one."""
+            return body
+        lines.append("Transfer-Encoding: chunked")
+        at = random.randint(0, len(body))
+        parts = [part for part in (body[:at], body[at:]) if part]
+        return b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
+
+    def _replay(self) -> bytes:
+        """Return an earlier response, or the beginning of one."""
         random = self.ledger.random
-        old = random.choice(self.replays) if self.replays else b"HTTP/1.1 200 OK\r\n\r\n"
-        return old[: random.randint(1, len(old))] if random.random() < 0.6 else old
+        earlier = random.choice(self.replays) if self.replays else b"HTTP/1.1 200 OK\r\n\r\n"
+        return earlier[: random.randint(1, len(earlier))] if random.random() < 0.6 else earlier
+
+    # Serving.
 
     async def serve(self, end: PeerEnd) -> None:
         """Serve one connection for as long as it lasts."""
-        random, ledger = self.ledger.random, self.ledger
-        while True:
-            if random.random() < 0.05 * self.fault_share:
-                with trio.move_on_after(random.uniform(0.0, 0.3)):  # it closes what is idle
-                    while not end.got and await end.more():
-                        pass
-                if not end.got:
-                    end.close(random.choice(("end", "reset")))
-                    return
-            head = await end.until(b"\r\n\r\n")
-            if not head:
-                end.close()
-                return
-            lines = dict(line.split(": ", 1) for line in head.decode().lower().split("\r\n")[1:] if line)
-            request_id, fault = lines.get("x-attempt-id", ""), self._choose_fault()
-            ledger.seen[fault] += 1
-            path, _ = ledger.requests.get(request_id, ("", 0))
-            its = head.split()[1].decode().startswith(path)  # else it is another that bears the same id
-            if its:
-                ledger.sent_to[request_id].append(self.name)
-            if lines.get("x-target-instance") != self.name:
-                ledger.fail("sent to another than named", request_id, self.name)
-            runs = fault not in ("turned_away", "wrong_door", "reset_unread")
-            early = fault == "early" and runs
-            if early:  # it runs by the head alone
-                ledger.executions[request_id] += its
-                if random.random() < 0.5:
-                    await trio.sleep(random.uniform(0.0, 0.05))
-                    end.close(random.choice(("end", "reset")))
-                    return
-            if fault == "reset_unread" or (fault == "turned_away" and random.random() < 0.5):
-                if fault == "turned_away":  # without having read the body
-                    end.say(self._answer(request_id, fault, False)[0])
-                end.close(random.choice(("end", "reset")))
-                return
-            if "content-length" in lines:
-                body = await end.part(int(lines["content-length"]))
-                whole = len(body) == int(lines["content-length"])
-            else:
-                body, whole = b"", "transfer-encoding" not in lines
-                while not whole and (size := await end.until(b"\r\n")):
-                    body += await end.part(int(size, 16))
-                    whole = size == b"0\r\n" and bool(await end.until(b"\r\n"))
-                    if size != b"0\r\n":
-                        await end.part(2)
-            if not whole:
-                end.close()
-                return
-            if request_id not in ledger.requests or body != request_body(
-                request_id, ledger.requests[request_id][1]
-            ):
-                ledger.fail(
-                    "a body that its client did not send",
-                    request_id,
-                    len(body),
-                    ledger.requests.get(request_id),
-                )
-            ledger.executions[request_id] += its and runs and not early
-            if not await self._reply(end, request_id, fault, runs):
-                return
-
-    async def _reply(self, end: PeerEnd, request_id: str, fault: str, runs: bool) -> bool:
-        """Answer a request that has been read; True where the connection goes on."""
+        while await self._serve_request(end):
+            pass
+
+    async def _serve_request(self, end: PeerEnd) -> bool:
+        """Read and answer one request; return False where the connection ends."""
+        if not await self._stays_open(end):
+            return False
+        head = await end.until(b"\r\n\r\n")
+        if not head:
+            end.close()
+            return False
+        request = self._read_head(head)
+        if await self._ends_early(end, request):
+            return False
+        body = await _read_body(end, request.headers)
+        if body is None:
+            end.close()
+            return False
+        self._check_body(request, body)
+        if request.fault != "early":
+            self.ledger.executions[request.id] += request.is_own and request.is_executed
+        return await self._reply(end, request)
+
+    async def _stays_open(self, end: PeerEnd) -> bool:
+        """Close an idle connection now and then."""
+        random = self.ledger.random
+        if random.random() >= 0.05 * self.fault_share:
+            return True
+        with trio.move_on_after(random.uniform(0.0, 0.3)):
+            while not end.got and await end.more():
+                pass
+        if end.got:
+            return True
+        end.close(random.choice(ENDINGS))
+        return False
+
+    def _read_head(self, head: bytes) -> _Request:
+        """Return the request, and enter into the ledger that it came here."""
+        ledger = self.ledger
+        lines = head.decode().lower().split("\r\n")[1:]
+        headers = dict(line.split(": ", 1) for line in lines if line)
+        request_id = headers.get("x-attempt-id", "")
+        fault = self._choose_fault()
+        ledger.seen[fault] += 1
+        path, _ = ledger.requests.get(request_id, ("", 0))
+        is_own = head.split()[1].decode().startswith(path)
+        if is_own:
+            ledger.sent_to[request_id].append(self.name)
+        if headers.get("x-target-instance") != self.name:
+            ledger.fail("sent to another than named", request_id, self.name)
+        return _Request(request_id, fault, headers, is_own, fault not in NOT_EXECUTING_FAULTS)
+
+    async def _ends_early(self, end: PeerEnd, request: _Request) -> bool:
+        """End the connection before the body is read, for faults that do so."""
         random = self.ledger.random
+        fault = request.fault
+        if fault == "early":  # executed by the head alone
+            self.ledger.executions[request.id] += request.is_own
+            if random.random() < 0.5:
+                await trio.sleep(random.uniform(0.0, 0.05))
+                end.close(random.choice(ENDINGS))
+                return True
+        if fault == "reset_unread" or (fault == "turned_away" and random.random() < 0.5):
+            if fault == "turned_away":
+                end.say(self._compose(request, executed=False).data)
+            end.close(random.choice(ENDINGS))
+            return True
+        return False
+
+    def _check_body(self, request: _Request, body: bytes) -> None:
+        expected = self.ledger.requests.get(request.id)
+        if expected is None or body != request_body(request.id, expected[1]):
+            self.ledger.fail("a body that its client did not send", request.id, len(body), expected)
+
+    async def _reply(self, end: PeerEnd, request: _Request) -> bool:
+        """Answer a request that has been read; return False where the connection ends."""
+        random = self.ledger.random
+        fault = request.fault
         await trio.sleep(random.choice((0.0, 0.003, 0.02, 0.2)))
         if fault == "silent":
-            await trio.sleep(5.0)
+            await trio.sleep(SILENCE_S)
         if fault == "slow":
             await trio.sleep(random.uniform(0.2, 3.0))
-        said, head = self._answer(request_id, fault, runs)
-        if fault == "junk":
-            end.say(bytes(random.randrange(256) for _ in range(random.randint(1, 60))))
-            end.close(random.choice(("end", "reset")))
-            return False
-        if fault == "closes":
-            end.close(random.choice(("end", "reset")))
+        response = self._compose(request, request.is_executed)
+        if fault in ("junk", "closes"):
+            if fault == "junk":
+                end.say(bytes(random.randrange(256) for _ in range(random.randint(1, 60))))
+            end.close(random.choice(ENDINGS))
             return False
-        if fault == "glued":  # the beginning of an old answer ahead of this one
-            end.say(self._spoilt() if random.random() < 0.5 else said[: random.randint(1, head - 1)])
+        if fault == "glued":  # the beginning of another response ahead of this one
+            start = random.randint(1, response.head_size - 1) if random.random() >= 0.5 else 0
+            end.say(response.data[:start] if start else self._replay())
         if fault == "cut" or (fault == "to_the_end" and random.random() < 0.5):
-            end.say(said[: random.randint(0, random.choice((head, len(said))))])
-            await trio.sleep(random.choice((0.0, 0.0, 0.05, 3.0)))
-            end.close(random.choice(("end", "reset")))
+            await self._cut(end, response)
             return False
-        if fault == "drips":
-            size = len(said) // random.randint(3, 8) + 1
-            while len(said) > size:
-                end.say(said[:size])
-                said = said[size:]
-                await trio.sleep(random.uniform(0.02, 0.5))
-        at = random.randint(0, len(said)) if random.random() < 0.3 else len(said)
-        end.say(said[:at])
-        if at < len(said):
+        data = await self._drip(end, response.data) if fault == "drips" else response.data
+        await self._send(end, data)
+        return await self._follow_up(end, fault, data)
+
+    async def _cut(self, end: PeerEnd, response: _Response) -> None:
+        random = self.ledger.random
+        size = random.randint(0, random.choice((response.head_size, len(response.data))))
+        end.say(response.data[:size])
+        await trio.sleep(random.choice((0.0, 0.0, 0.05, 3.0)))
+        end.close(random.choice(ENDINGS))
+
+    async def _drip(self, end: PeerEnd, data: bytes) -> bytes:
+        """Send a response in pieces with pauses; return the last piece, which is not sent yet."""
+        random = self.ledger.random
+        size = len(data) // random.randint(3, 8) + 1
+        while len(data) > size:
+            end.say(data[:size])
+            data = data[size:]
+            await trio.sleep(random.uniform(0.02, 0.5))
+        return data
+
+    async def _send(self, end: PeerEnd, data: bytes) -> None:
+        """Send bytes, now and then in two parts."""
+        random = self.ledger.random
+        at = random.randint(0, len(data)) if random.random() < 0.3 else len(data)
+        end.say(data[:at])
+        if at < len(data):
             await trio.sleep(random.choice((0.0, 0.01, 0.3)))
-            end.say(said[at:])
+            end.say(data[at:])
+
+    async def _follow_up(self, end: PeerEnd, fault: str, data: bytes) -> bool:
+        """Do what a fault does after a response; return False where the connection ends."""
         if fault == "to_the_end":
             end.close()
             return False
         if fault not in ("glued", "drips"):
-            self.replays.append(said[:3000])
+            self.replays.append(data[:MAX_REPLAY_BYTES])
         if fault in ("surplus", "late_surplus"):
-            more = self._spoilt() if random.random() < 0.7 else said
-            if fault == "late_surplus":  # in the place of the next one
+            surplus = self._replay() if self.ledger.random.random() < 0.7 else data
+            if fault == "late_surplus":  # in the place of the next response
                 while not end.got and await end.more():
                     pass
-            end.say(more)
+            end.say(surplus)
         return True
+
+
+async def _read_body(end: PeerEnd, headers: dict[str, str]) -> bytes | None:
+    """Return the body of a request; None where it ends before it is complete."""
+    if "content-length" in headers:
+        length = int(headers["content-length"])
+        body = await end.part(length)
+        return body if len(body) == length else None
+    if "transfer-encoding" not in headers:
+        return b""
+    body = b""
+    while size_line := await end.until(b"\r\n"):
+        size = int(size_line, 16)
+        body += await end.part(size)
+        if size == 0:
+            return body if await end.until(b"\r\n") else None
+        await end.part(len(b"\r\n"))
+    return None
