--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -295,7 +295,7 @@
     class Spoilt(Chaos):
         def send(self, sender: str, to: str, message: list[Any]) -> None:
             if message[0] != "status" and random.random() < 0.01:
-                chain = self.machines[to].chain if to in self.machines else None
+                chain = self.nodes[to].chain if to in self.nodes else None
                 try:
                     if chain is not None:  # what is not read whole changes nothing that is saved or said
                         spoilt = decode(spoil(random, message))
--- a/tests/controlplane/test_chain.py
+++ b/tests/controlplane/test_chain.py
@@ -131,17 +131,17 @@
 def test_the_sweep_finds_copies_that_hold_as_many_but_others() -> None:
     core = SimulatedCore(3, 4)
     core.run(3000.0)
-    spare, head = core.machines["m3"].chain, core.machines["m0"].chain
+    spare, head = core.nodes["m3"].chain, core.nodes["m0"].chain
     assert spare is not None and head is not None and not spare.is_member
     head.committed.add_departures({"i1": 1, "i2": 2})
     spare.committed.add_departures({"i1": 1, "i3": 1})
     core.run(5000.0)
-    for machine in core.machines.values():
-        assert machine.chain is not None
-        assert machine.chain.committed.departures == {"i1": 1, "i2": 2, "i3": 1}
+    for node in core.nodes.values():
+        assert node.chain is not None
+        assert node.chain.committed.departures == {"i1": 1, "i2": 2, "i3": 1}
         assert (
-            machine.chain.committed.departures_checksum
-            == Replica(departures=dict(machine.chain.committed.departures)).departures_checksum
+            node.chain.committed.departures_checksum
+            == Replica(departures=dict(node.chain.committed.departures)).departures_checksum
         )
 
 
--- a/tests/controlplane/test_chain_defects.py
+++ b/tests/controlplane/test_chain_defects.py
@@ -15,7 +15,7 @@
 from wickspring.controlplane.replication.view import FaultTolerance, Member, PeerObservation, View
 from wickspring.controlplane.replication.view_change import ViewChange
 from wickspring.lab.faults.core_faults import Chaos, Episodes
-from wickspring.lab.simulation.core import InvariantBrokenError
+from wickspring.lab.simulation.core_time import InvariantBrokenError
 from wickspring.lab.simulation.state_exploration import ONE_NUMBER, explore
 
 
@@ -143,12 +143,12 @@
 
     kinds = ("wipe", "wipe", "cut", "kill")
 
-    def stop(self, machine: Any, wipe: bool = False) -> None:
-        kept = machine.disk
-        super().stop(machine, wipe)
+    def stop(self, node: Any, wipe: bool = False) -> None:
+        kept = node.disk
+        super().stop(node, wipe)
         if wipe and kept is not None:
-            machine.disk = kept
-            del self.ledger.best[Member(machine.ip, kept["disk"])]  # what is caught is what comes of it
+            node.disk = kept
+            del self.ledger.highest_ranks[Member(node.ip, kept["disk"])]  # what is caught is what comes of it
 
 
 class Leaving(Episodes):
--- a/tests/controlplane/test_chain_history.py
+++ b/tests/controlplane/test_chain_history.py
@@ -24,19 +24,19 @@
         """Send the next change; again if it is not acknowledged in time."""
         if self.changed >= ends:
             return
-        order = Update(self.changed + 1, b"%d" % (self.changed + 1) + b"." * TEXT)
+        update = Update(self.changed + 1, b"%d" % (self.changed + 1) + b"." * TEXT)
 
-        def heard(verdict: CommitOutcome) -> None:
-            if verdict == CommitOutcome.COMMITTED:
-                self.changed = max(self.changed, order.version)
+        def heard(outcome: CommitOutcome) -> None:
+            if outcome == CommitOutcome.COMMITTED:
+                self.changed = max(self.changed, update.version)
 
-        self.send_order(self.random.choice(sorted(self.machines)), order, heard)
-        self.at(EVERY_MS, lambda: self.change(ends))
+        self.send_update(self.random.choice(sorted(self.nodes)), update, heard)
+        self.schedule(EVERY_MS, lambda: self.change(ends))
 
 
 def caught_up(core: SimulatedCore, ip: str) -> bool:
     """Tell whether a machine holds what the core has acknowledged."""
-    return core.machines[ip].replica.config.version >= core.ledger.acked
+    return core.nodes[ip].replica.config.version >= core.ledger.highest_acknowledged
 
 
 def until(core: Busy, what: str, bound_ms: float, ip: str = "", changed: int = 0) -> float:
@@ -65,7 +65,7 @@
     core.run(2500.0)
     core.change(20)
     until(core, "twenty changes", 30_000.0, changed=20)
-    one = core.machines[f"m{away}"]
+    one = core.nodes[f"m{away}"]
     core.stop(one, wipe=how == "empty")
     core.change(CHANGES)
     until(core, "changes while one is away", 300_000.0, changed=CHANGES - 20)
@@ -87,8 +87,8 @@
     # It takes the whole in a few times at most, and what is changed meanwhile: not each of the changes.
     assert one.received < (16 if how == "twice ended" else 6) * (TEXT + CHANGES * ENTRY)
     until(core, "the last changes", 60_000.0, changed=CHANGES)
-    core.ends_well()
-    assert core.ledger.acked == CHANGES
+    core.check_recovery()
+    assert core.ledger.highest_acknowledged == CHANGES
 
 
 @pytest.mark.parametrize("away", [0, 1, 2])
@@ -98,19 +98,19 @@
     core.run(2500.0)
     core.change(10)
     until(core, "ten changes", 30_000.0, changed=10)
-    one = core.machines[f"m{away}"]
+    one = core.nodes[f"m{away}"]
     core.stop(one)
     core.change(60)
     until(core, "changes while one is away", 60_000.0, changed=60)
-    others = {(one.ip, ip) for ip in core.machines if ip != one.ip}
+    others = {(one.ip, ip) for ip in core.nodes if ip != one.ip}
     core.cut = others | {(ip, there) for there, ip in others}
     core.start(one)
     answers: list[CommitOutcome] = []
-    for order in (Update(), Update(10, b"other"), Update(61, b"new")) * 5:
-        core.send_order(one.ip, order, answers.append)
+    for update in (Update(), Update(10, b"other"), Update(61, b"new")) * 5:
+        core.send_update(one.ip, update, answers.append)
         core.run(core.now + 1000.0)
         assert one.chain is not None and one.chain.committed.config.version == 0
     assert set(answers) <= {CommitOutcome.NOT_YET}
     core.cut.clear()
     assert until(core, "it does not catch up", CATCH_UP_MS, one.ip) <= CATCH_UP_MS
-    core.ends_well()
+    core.check_recovery()
--- /dev/null
+++ b/wickspring/lab/simulation/core_ledger.py
@@ -0,0 +1,148 @@
+"""The ledger of a simulation run: what nodes answered, saved and committed, checked against the invariants.
+
+No acknowledged update is lost or taken back, no version is committed with two texts, and no update is refused
+but for another that is committed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+
+from wickspring.common.digest import digest_of
+from wickspring.controlplane.replication.replica import (
+    MAX_HISTORY,
+    CommitOutcome,
+    Config,
+    Rank,
+    Replica,
+    Update,
+)
+from wickspring.controlplane.replication.view import Member, View
+
+
+@dataclass(slots=True)
+class Ledger:
+    """What has been answered, saved and committed in one run; `fail` is called for a violation."""
+
+    fail: Callable[[str], None]
+    views: dict[int, View] = field(default_factory=dict)
+    committed: dict[int, bytes] = field(default_factory=dict)  # digest of the committed text, by version
+    committed_rank: Rank = (0, 0)  # the highest
+    acknowledged_digests: dict[int, bytes] = field(default_factory=dict)  # by version
+    acknowledged: set[tuple[int, bytes]] = field(default_factory=set)  # version and digest of updates
+    departures: dict[str, int] = field(default_factory=dict)  # acknowledged
+    saved_as: dict[Rank, tuple[bytes, tuple[tuple[int, bytes], ...]]] = field(default_factory=dict)
+    highest_ranks: dict[Member, Rank] = field(default_factory=dict)  # highest rank that each disk has stored
+    highest_acknowledged: int = 0  # version
+    acks: int = 0
+    refusals: int = 0
+    checked: Rank = (0, 0)  # rank that was checked last, to save time
+
+    def on_view(self, ip: str, view: View) -> None:
+        """Check a view that a node has installed: views of one epoch are one view."""
+        if view.epoch and self.views.setdefault(view.epoch, view) != view:
+            self.fail(f"two views of epoch {view.epoch}: {view} and {self.views[view.epoch]} at {ip}")
+
+    def on_saved(self, member: Member, replica: Replica) -> None:
+        """Check a replica that has reached a disk: equal rank is equal text, with an equal history."""
+        config = replica.config
+        if not config.complete:
+            self.fail(f"{member[0]} keeps r{config.version} without its text as a copy")
+        if config.version:
+            what = config.digest, config.history
+            known = self.saved_as.setdefault(config.rank, what)
+            if known[0] != config.digest:
+                self.fail(f"two texts of {config.rank} on disks, at {member[0]}")
+            if known[1] != config.history:
+                self.fail(f"two histories of {config.rank} on disks, at {member[0]}")
+        if config.rank < self.highest_ranks.get(member, (0, 0)):
+            self.fail(f"{member[0]}'s disk went back from {self.highest_ranks[member]} to {config.rank}")
+        self.highest_ranks[member] = config.rank
+
+    def on_committed(self, ip: str, config: Config) -> None:
+        """Check what a node has come to consider committed: it was on all disks of its chain."""
+        if not config.complete:
+            self.fail(f"{ip} calls r{config.version} safe without its text")
+        view = self.views.get(config.epoch)
+        for member in view.chain if view is not None else ():
+            if self.highest_ranks.get(member, (0, 0)) < config.rank:
+                had = self.highest_ranks.get(member)
+                self.fail(f"{ip} calls {config.rank} safe, {member[0]} has had {had} at most")
+        if view is None and config.version:
+            self.fail(f"{ip} calls {config.rank} safe, and nobody has that view")
+        if config.rank == self.checked:
+            return
+        self.checked = config.rank
+        self.committed_rank = max(self.committed_rank, config.rank)
+        for version, digest in (*config.history, (config.version, config.digest)):
+            if version and self.committed.setdefault(version, digest) != digest:
+                self.fail(f"r{version} is safe with two texts, the other at {ip}")
+
+    def answered(
+        self,
+        ip: str,
+        update: Update,
+        outcome: CommitOutcome,
+        safe: Config,
+        view: View,
+        disks: Mapping[Member, Replica],
+    ) -> None:
+        """Check an outcome of a head: only one text is ever acknowledged as that of a version."""
+        version, digest = update.version, digest_of(update.document)
+        if outcome == CommitOutcome.CONFLICT:
+            self.refusals += 1
+            if self.committed.get(version, digest) == digest:
+                self.fail(f"{ip} refuses r{version}, and no other text of it is safe")
+            if (version, digest) in self.acknowledged:
+                self.fail(f"{ip} refuses r{version}, which had been acknowledged")
+        if outcome != CommitOutcome.COMMITTED:
+            return
+        self.acks += 1
+        for server, state in update.departures.items():
+            self.departures[server] = max(state, self.departures.get(server, 0))
+        for member in view.chain:
+            replica = disks.get(member)
+            if replica is None:
+                continue
+            if replica.config.version < version:
+                self.fail(f"r{version} acknowledged, {member[0]} has r{replica.config.version} on its disk")
+            if version and replica.config.outcome_of(version, digest) != CommitOutcome.COMMITTED:
+                self.fail(f"r{version} acknowledged, {member[0]} has another text of it on its disk")
+            if any(replica.departures.get(server, 0) < state for server, state in update.departures.items()):
+                self.fail(f"a server's leaving acknowledged, and not on the disk of {member[0]}")
+        if not version:
+            return
+        self.acknowledged.add((version, digest))
+        remembered = len(safe.history) < MAX_HISTORY or version >= safe.history[0][0]
+        if remembered and self.committed.get(version, digest) != digest:
+            self.fail(f"{ip} acknowledges r{version} with another text than the one that is safe")
+        if (safe.digest if version == safe.version else dict(safe.history).get(version)) == digest:
+            if self.acknowledged_digests.setdefault(version, digest) != digest:
+                self.fail(f"two texts of r{version} acknowledged as its own")
+            self.highest_acknowledged = max(self.highest_acknowledged, version)
+
+    def read(self, ip: str, safe: Replica, acked: int) -> None:
+        """Check what was read; `acked` was the highest version acknowledged when the read started."""
+        if safe.config.version < acked:
+            self.fail(f"{ip} read r{safe.config.version}, and r{acked} had been acknowledged before")
+        if safe.config.version and self.committed.get(safe.config.version) != safe.config.digest:
+            self.fail(f"what {ip} read of r{safe.config.version} is not what is safe")
+
+    def check_final_state(self, replicas: Mapping[str, Replica]) -> None:
+        """Check the replicas of all nodes at the end: they are equal, and have all that was acknowledged."""
+        if len({one.config for one in replicas.values()}) > 1:
+            ranks = {ip: (one.config.rank, one.config.digest.hex()[:6]) for ip, one in replicas.items()}
+            self.fail(f"copies differ at the end: {ranks}")
+        for ip, one in replicas.items():
+            past = dict((*one.config.history, (one.config.version, one.config.digest)))
+            if one.config.version < self.highest_acknowledged:
+                self.fail(
+                    f"r{self.highest_acknowledged} was acknowledged, {ip} ends with r{one.config.version}"
+                )
+            for version, digest in self.acknowledged_digests.items():
+                if version >= min(past) and past.get(version) != digest:
+                    self.fail(f"r{version} was acknowledged with a text that {ip} does not end with")
+            for server, state in self.departures.items():
+                if one.departures.get(server, 0) < state:
+                    self.fail(f"{server} was acknowledged as leaving, and {ip} does not end with it")
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -1,11 +1,11 @@
-"""Every order of events of a small core: three machines, two writers, one machine lost at any moment.
+"""Model checking of a small replication group: three nodes, two writers, one node lost at any moment.
 
-The real transitions of `lighthouse.chain` are run from each state that can be reached, whatever the order in
-which messages come, whichever of them never come, and whenever a machine ends and the others look round; it
-may come back, with its disk or an empty one (then there are too many states to visit all). What must hold is
-checked in each state: views of one epoch are one view; copies of equal rank are one text; no number is safe
-with two texts, and none is refused but for another that is safe; and whoever is in the chain of the newest
-view that anybody has installed holds all that has been acknowledged.
+The real transitions of `controlplane.replication.chain` are run from each state that can be reached, whatever
+the order in which messages arrive, whichever of them are lost, and whenever a node ends and the others
+observe it; it may come back, with its disk or an empty one (then there are too many states to visit all).
+Checked in each state: views of one epoch are one view; replicas of equal rank have one text; no version is
+committed with two texts, and none is refused but for another that is committed; and whoever is in the chain
+of the newest view that any node has installed has all that has been acknowledged.
 """
 
 from __future__ import annotations
@@ -17,17 +17,18 @@
 from wickspring.common.digest import digest_of
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.messages import ReplicationMessage
+from wickspring.controlplane.replication.paxos import PaxosVoter, Proposal
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import Member, PeerObservation, View
-from wickspring.lab.simulation.core import InvariantBrokenError
+from wickspring.lab.simulation.core_time import InvariantBrokenError
 
 IPS = ("a", "b", "c")
 STEP_MS = 2000.0  # that pass with each look round: all that waits for time is due
 ONE_NUMBER = (Update(1, b"x"), Update(1, b"y"))  # two writers, one number
 
 
-class Steady(Random):
-    """No chance: so that equal states are found to be equal."""
+class ConstantRandom(Random):
+    """No randomness, so that equal states are found to be equal."""
 
     def random(self) -> float:
         """Return always the same."""
@@ -43,7 +44,7 @@
     """One state."""
 
     chains: dict[str, ReplicationChain]
-    orders: tuple[Update, ...]
+    updates: tuple[Update, ...]
     net: dict[str, tuple[str, str, ReplicationMessage]] = field(default_factory=dict)  # by its form
     now: float = 0.0
     lost: str = ""
@@ -51,28 +52,16 @@
     disk: tuple[str, dict[str, Any], Replica] | None = None  # what the lost one left: its id, state, copy
     written: int = 0
     looks: dict[str, int] = field(default_factory=dict)
-    acked: frozenset[int] = frozenset()  # places of orders that were acknowledged
+    acknowledged: frozenset[int] = frozenset()  # indexes of updates that were acknowledged
     committed: dict[int, bytes] = field(default_factory=dict)  # number: digest of the text safe under it
     views: dict[int, View] = field(default_factory=dict)
 
     def key(self) -> str:
-        """Return what tells this state from others."""
+        """Return what distinguishes this state from others."""
         parts = []
         for ip, chain in sorted(self.chains.items()):
-            paxos, passing = chain.paxos, chain.passing
-            mine, accepted = paxos.proposal, paxos.accepted
-            told: Any = None
-            if mine is not None:
-                best = mine.best_accepted and (
-                    mine.best_accepted.ballot,
-                    mine.best_accepted.value.state.config,
-                )
-                promised = mine.slot, mine.ballot, sorted(mine.promises.items()), mine.state.config
-                told = promised, sorted(mine.accepts), best, mine.value and mine.value[0]
-            held: Any = None
-            if accepted is not None:
-                view, state = accepted.value
-                held = paxos.accepted_slot, accepted.ballot, view, state.config
+            paxos = chain.paxos
+            passing = chain.passing
             waiting = sorted((ticket, pending.sequence) for ticket, pending in chain.pending.items())
             parts.append(
                 (
@@ -80,21 +69,31 @@
                     chain.me,
                     chain.view,
                     (paxos.promised_slot, paxos.promised_ballot),
-                    held,
+                    _accepted_key(paxos),
                     chain.replica.config,
                     chain.committed.config,
                     chain.sequence,
                     waiting,
                     passing and passing.config,
                     sorted(chain.stored_identities.items()),
-                    told,
+                    _proposal_key(paxos.proposal),
                 )
             )
         looks = sorted(self.looks.items())
-        return repr((parts, sorted(self.net), self.lost, self.back, self.written, looks, sorted(self.acked)))
+        return repr(
+            (
+                parts,
+                sorted(self.net),
+                self.lost,
+                self.back,
+                self.written,
+                looks,
+                sorted(self.acknowledged),
+            )
+        )
 
     def copy(self) -> World:
-        """Return a state that goes its own way; what is never changed in place is shared."""
+        """Return a copy that goes its own way; what is never changed in place is shared."""
         chains = {ip: chain.clone() for ip, chain in self.chains.items()}
         return replace(
             self,
@@ -105,8 +104,8 @@
             views=dict(self.views),
         )
 
-    def after(self, ip: str, chain: ReplicationChain) -> None:
-        """Take what a machine says once it has saved."""
+    def carry_out(self, ip: str, chain: ReplicationChain) -> None:
+        """Carry out a chain's effects, as once it has saved."""
         chain.dirty = False
         effects = chain.take_effects()
         for to, message in effects.messages:
@@ -116,23 +115,23 @@
         for version, digest in (*safe.history, (safe.version, safe.digest)):
             if version and self.committed.setdefault(version, digest) != digest:
                 raise InvariantBrokenError(f"r{version} is safe with two texts, the other at {ip}")
-        for ticket, verdict in effects.outcomes:
-            self.answered(ip, ticket, verdict)
+        for ticket, outcome in effects.outcomes:
+            self.answered(ip, ticket, outcome)
 
-    def answered(self, ip: str, ticket: int, verdict: CommitOutcome) -> None:
-        """Check an answer to an order."""
-        order = self.orders[ticket]
-        digest = digest_of(order.document)
-        known = self.committed.get(order.version)
-        if verdict == CommitOutcome.COMMITTED:
+    def answered(self, ip: str, ticket: int, outcome: CommitOutcome) -> None:
+        """Check the outcome of an update."""
+        update = self.updates[ticket]
+        digest = digest_of(update.document)
+        known = self.committed.get(update.version)
+        if outcome == CommitOutcome.COMMITTED:
             if known not in (None, digest):
                 raise InvariantBrokenError(
-                    f"{ip} acknowledges r{order.version}, and another text of it is safe"
+                    f"{ip} acknowledges r{update.version}, and another text of it is safe"
                 )
             if known == digest:
-                self.acked |= {ticket}
-        elif verdict == CommitOutcome.CONFLICT and (known in (None, digest) or ticket in self.acked):
-            raise InvariantBrokenError(f"{ip} refuses r{order.version}, and no other text of it is safe")
+                self.acknowledged |= {ticket}
+        elif outcome == CommitOutcome.CONFLICT and (known in (None, digest) or ticket in self.acknowledged):
+            raise InvariantBrokenError(f"{ip} refuses r{update.version}, and no other text of it is safe")
 
     def check(self) -> None:
         """Check what must hold."""
@@ -153,18 +152,20 @@
         for ip, chain in self.chains.items():
             if chain.view.epoch != newest or not chain.is_member:
                 continue
-            for place in self.acked:
-                order = self.orders[place]
+            for place in self.acknowledged:
+                update = self.updates[place]
                 if (
-                    chain.replica.config.outcome_of(order.version, digest_of(order.document))
+                    chain.replica.config.outcome_of(update.version, digest_of(update.document))
                     != CommitOutcome.COMMITTED
                 ):
-                    raise InvariantBrokenError(f"{ip} of epoch {newest} lacks r{order.version}, acknowledged")
+                    raise InvariantBrokenError(
+                        f"{ip} of epoch {newest} lacks r{update.version}, acknowledged"
+                    )
 
     def steps(self, loses: str, looks: int, returns: str) -> list[tuple[str, Any]]:
-        """Return all that may happen next."""
+        """Return all steps that may happen next."""
         found: list[tuple[str, Any]] = [("deliver", name) for name in self.net]
-        if self.written < len(self.orders):
+        if self.written < len(self.updates):
             heads = [ip for ip, one in self.chains.items() if one.is_head]
             found += [("write", ip) for ip in heads]
         if not self.lost:
@@ -175,19 +176,19 @@
                 found.append((returns, self.lost))
         return found
 
-    def take(self, kind: str, what: Any) -> None:
-        """Let one thing happen."""
+    def perform(self, kind: str, what: Any) -> None:
+        """Perform one step."""
         if kind == "deliver":
             sender, to, message = self.net.pop(what)
             chain = self.chains.get(to)
             if chain is not None:
                 chain.receive(self.now, sender, message)
-                self.after(to, chain)
+                self.carry_out(to, chain)
         elif kind == "write":
             ticket, self.written = self.written, self.written + 1
             chain = self.chains[what]
-            chain.submit(self.now, ticket, self.orders[ticket])
-            self.after(what, chain)
+            chain.submit(self.now, ticket, self.updates[ticket])
+            self.carry_out(what, chain)
         elif kind == "lose":
             self.lost, chain = what, self.chains.pop(what)
             self.disk = chain.me.disk_id, chain.durable(), chain.replica.copy()
@@ -202,22 +203,22 @@
                 chain = make(Member(what, disk), View(), 0, replica.copy())
                 chain.restore(durable)
             self.chains[what] = chain
-            chain.random = Steady()
+            chain.random = ConstantRandom()
             chain.sequence = 1
             chain.view_change.turn = 0.5
             chain.start(self.now)
-            self.after(what, chain)
+            self.carry_out(what, chain)
         else:
             self.looks[what] = self.looks.get(what, 0) + 1
             chain = self.chains[what]
-            reach = {ip: self.reach(ip, chain) for ip in IPS if ip != what}
+            reach = {ip: self.observe(ip, chain) for ip in IPS if ip != what}
             for _ in range(2):  # the reason must have lasted
                 self.now += STEP_MS
                 chain.tick(self.now, reach)
-            self.after(what, chain)
+            self.carry_out(what, chain)
         self.check()
 
-    def reach(self, ip: str, seen_by: ReplicationChain) -> PeerObservation:
+    def observe(self, ip: str, seen_by: ReplicationChain) -> PeerObservation:
         """Return what a machine is known by; who is not new is thought to know as much as who asks."""
         other = self.chains.get(ip)
         if other is None:
@@ -234,6 +235,28 @@
         )
 
 
+def _accepted_key(paxos: PaxosVoter) -> object:
+    if paxos.accepted is None:
+        return None
+    view, state = paxos.accepted.value
+    return paxos.accepted_slot, paxos.accepted.ballot, view, state.config
+
+
+def _proposal_key(proposal: Proposal | None) -> object:
+    if proposal is None:
+        return None
+    best = proposal.best_accepted
+    return (
+        proposal.slot,
+        proposal.ballot,
+        sorted(proposal.promises.items()),
+        proposal.state.config,
+        sorted(proposal.accepts),
+        best and (best.ballot, best.value.state.config),
+        proposal.value and proposal.value.view,
+    )
+
+
 def explore(
     orders: tuple[Update, ...],
     loses: str,
@@ -242,7 +265,7 @@
     chain: type[ReplicationChain] = ReplicationChain,
     returns: str = "",
 ) -> int:
-    """Visit every state that can be reached, one machine being lost; return how many there are.
+    """Visit every state that can be reached, one node being lost; return how many there are.
 
     Each of the others looks round so many times afterwards: it proposes a view each time. The lost one may
     come back, `returns`: "empty", or with "its disk".
@@ -251,15 +274,15 @@
     chains = {ip: chain(Member(ip, "first"), View(1, members, members), at) for at, ip in enumerate(IPS)}
     start = World(chains, orders)
     for ip, one in start.chains.items():
-        one.random, one.sequence, one.view_change.turn = Steady(), 0, 0.5
+        one.random, one.sequence, one.view_change.turn = ConstantRandom(), 0, 0.5
         one.start(0.0)
-        start.after(ip, one)
+        start.carry_out(ip, one)
     seen, todo = {hash(start.key())}, [start]
     while todo:
         world = todo.pop()
         for kind, what in world.steps(loses, looks, returns):
             following = world.copy()
-            following.take(kind, what)
+            following.perform(kind, what)
             key = hash(following.key())
             if key not in seen:
                 seen.add(key)
