--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -276,9 +276,9 @@
         alone = await system.start_data_plane(second)
         alone.gossip.introduce([first])
         await system.wait_until(lambda: alone.control_client.config.routing_table.version == 1)
-        assert (
-            alone.state_digest()[:2] == (1, digest_of(config_text(1))) and not alone.control_client.in_contact
-        )
+        state = alone.state_digest()
+        assert (state.config_version, state.config_digest) == (1, digest_of(config_text(1)))
+        assert not alone.control_client.in_contact
         assert (await replace_config(system.control_planes[CONTROL_PLANES[0]], 2)).status == 200
         await system.wait_until(lambda: alone.control_client.config.routing_table.version == 2)
 
@@ -580,16 +580,16 @@
         other = zlib.compress(config_text(1, "other"))
         connection = next(iter(control_plane.data_planes)).connection
         for standing, by_control_plane in ((ConfigStatus.SAFE, True), (ConfigStatus.CURRENT, False)):
-            told = ["chart", 1, other, digest_of(config_text(1, "other")), int(standing)]
-            data_plane.control_client.on_config_offer(told, by_control_plane)
+            offer = ConfigOffer(1, other, digest_of(config_text(1, "other")), standing)
+            data_plane.control_client.config.offer(offer, by_control_plane)
             assert data_plane.control_client.config.packed == good
         data_plane.control_client.on_message(
-            connection, ["chart", 1, other, digest_of(config_text(1)), int(ConfigStatus.CURRENT)]
+            connection, ConfigOffer(1, other, digest_of(config_text(1)), ConfigStatus.CURRENT)
         )
         # Not the text of its digest: half a copy is none.
         assert data_plane.control_client.config.packed == good
         data_plane.control_client.on_message(
-            connection, ["chart", 1, other, digest_of(config_text(1, "other")), int(ConfigStatus.CURRENT)]
+            connection, ConfigOffer(1, other, digest_of(config_text(1, "other")), ConfigStatus.CURRENT)
         )
         assert data_plane.control_client.config.packed == other
         await system.wait_until(
--- a/wickspring/controlplane/replication/replica.py
+++ b/wickspring/controlplane/replication/replica.py
@@ -131,9 +131,9 @@
         """Tell whether it changes nothing."""
         return not self.version and not self.departures
 
-    def pack(self) -> list[Any]:
+    def pack(self) -> tuple[int, bytes, dict[str, int]]:
         """Return it for a message."""
-        return [self.version, self.document, self.departures]
+        return self.version, self.document, self.departures
 
     @staticmethod
     def unpack(packed: Any) -> Update:
