--- a/tests/controlplane/test_api_server.py
+++ b/tests/controlplane/test_api_server.py
@@ -114,7 +114,7 @@
     events: list[tuple[str, object]] = []
     monkeypatch.setattr(logs, "log_event", lambda name, **fields: events.append((name, fields["path"])))
     client = call("GET", "/fail")
-    assert client.answers == [(500, "", b"{}")] and events == [("call_failed", "/fail")]
+    assert client.answers == [(500, "", b"{}")] and events == [("request_failed", "/fail")]
 
 
 def test_no_handler_is_found_for_a_path_that_only_begins_alike() -> None:
