--- a/wickspring/controlplane/api/calls.py
+++ b/wickspring/controlplane/api/calls.py
@@ -20,7 +20,7 @@
 from wickspring.controlplane.status import ControlPlaneStatus
 from wickspring.net.clock import Clock
 
-RETRY_AFTER_S = 0.25  # told to callers whose update could not be committed in time
+RETRY_AFTER_S = 0.25  # sent to callers whose update could not be committed in time
 NO_QUORUM = ErrorDetail(ErrorKind.NOT_SAFE_YET, "no majority of the core answers")
 
 
@@ -55,7 +55,7 @@
 
     @property
     def out_of_contact(self) -> bool:
-        """Tell whether a quorum has been out of reach for so long that callers are better off elsewhere."""
+        """Return whether a quorum has been out of reach for so long that callers are better off elsewhere."""
 
     @property
     def epoch(self) -> int:
--- a/wickspring/controlplane/api/config_validation.py
+++ b/wickspring/controlplane/api/config_validation.py
@@ -165,7 +165,7 @@
 
 
 def validate_config(body: bytes) -> Result[int, ErrorDetail]:
-    """Validate a whole document; return its version, or the error that its sender is told."""
+    """Validate a whole document; return its version, or the error for its sender."""
     try:
         document = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/wickspring/controlplane/config_distribution.py
+++ b/wickspring/controlplane/config_distribution.py
@@ -29,7 +29,7 @@
         return cls(config.version, config.digest, zlib.compress(config.document, COMPRESSION_LEVEL))
 
     def is_copy_of(self, config: Config) -> bool:
-        """Tell whether this is the same version and text."""
+        """Return whether this is the same version and text."""
         return self.version == config.version and self.digest == config.digest
 
 
--- a/wickspring/controlplane/data_plane_messages.py
+++ b/wickspring/controlplane/data_plane_messages.py
@@ -28,7 +28,7 @@
 from wickspring.controlplane.quota_service import QuotaService
 from wickspring.controlplane.view_announcements import ViewAnnouncer
 
-MAX_INTRODUCED = 3  # other data planes that a new one is told of
+MAX_INTRODUCED = 3  # other data planes that a new one learns of
 
 
 class DataPlaneMessageHandler:
--- a/wickspring/controlplane/endpoint_registry.py
+++ b/wickspring/controlplane/endpoint_registry.py
@@ -1,7 +1,7 @@
 """The endpoints that are known to one control-plane node, by their heartbeats. No I/O; times are ms.
 
 An endpoint sends its heartbeats to one node. What changes by them is replicated to the other nodes and sent
-to data planes. Of a heartbeat that changes nothing the other nodes are told only that it came.
+to data planes. Of a heartbeat that changes nothing the other nodes learn only that it came.
 """
 
 from __future__ import annotations
@@ -111,7 +111,7 @@
 
 
 def _has_changed(now: float, known: Endpoint, endpoint: Endpoint) -> bool:
-    """Tell whether a heartbeat changes an endpoint for data planes."""
+    """Return whether a heartbeat changes an endpoint for data planes."""
     warm_up_moved = abs(endpoint.cold_until - known.cold_until) > WARM_UP_CHANGE_MS
     if warm_up_moved and endpoint.cold_until > now:
         return True
--- a/wickspring/controlplane/endpoint_service.py
+++ b/wickspring/controlplane/endpoint_service.py
@@ -36,8 +36,8 @@
         self._data_planes = data_planes
         self._updates = updates
         self._saved_ids: set[str] = set()  # endpoints on disk
-        self._unreported_lost: set[str] = set()  # lost endpoints that data planes have not been told of
-        self._received_sequences: dict[str, int] = {}  # heartbeats since other nodes were last told of them
+        self._unreported_lost: set[str] = set()  # lost endpoints not yet reported to data planes
+        self._received_sequences: dict[str, int] = {}  # not yet reported to other nodes
 
     def restore(self) -> None:
         """Start with the endpoints on this node's disk.
@@ -130,7 +130,7 @@
         return [endpoint.to_record(now) for endpoint in known if endpoint is not None]
 
     def replicate_liveness(self) -> bool:
-        """Tell the other nodes which heartbeats have come since the last time; False where none has."""
+        """Report the heartbeats since the last report to the other nodes; False where there are none."""
         if not self._received_sequences:
             return False
         self._replication.peers.broadcast(EndpointHeartbeats(list(self._received_sequences.items())))
@@ -155,7 +155,7 @@
     def expire(self, now: float, contact: QuorumContact) -> None:
         """Find endpoints whose heartbeats have stopped.
 
-        Data planes are told only while this node is sure to be told of all heartbeats.
+        Data planes learn of it only while this node is sure to learn of all heartbeats.
         """
         known_before = set(self._registry.endpoints)
         self._unreported_lost |= set(self._registry.expire(now))
@@ -173,7 +173,7 @@
 
     @property
     def needs_save(self) -> bool:
-        """Tell whether the endpoints on disk are others than those that are ready."""
+        """Return whether the endpoints on disk are others than those that are ready."""
         return self._saved_ids != {endpoint.id for endpoint in self._registry.ready()}
 
     async def save(self) -> None:
--- a/wickspring/controlplane/quorum_contact.py
+++ b/wickspring/controlplane/quorum_contact.py
@@ -2,7 +2,7 @@
 
 Contact is lost for moments at every start and change of view, so callers are sent elsewhere only after
 `CONTACT_TIMEOUT_MS` without it. What is known of endpoints counts as complete once contact has lasted for
-`settle_ms`: by then every endpoint that lives has sent a heartbeat, and this node was told of it.
+`settle_ms`: by then every endpoint that lives has sent a heartbeat, and this node has learned of it.
 """
 
 from __future__ import annotations
@@ -46,11 +46,11 @@
         return self.level
 
     def timed_out(self, now: float) -> bool:
-        """Tell whether contact has been lost for so long that callers are better off elsewhere."""
+        """Return whether contact has been lost for so long that callers are better off elsewhere."""
         return self._lost_for(now) > CONTACT_TIMEOUT_MS
 
     def isolated(self, now: float) -> bool:
-        """Tell whether contact has been lost for so long that the last known state is better than none."""
+        """Return whether contact has been lost for so long that the last known state is better than none."""
         return self._lost_for(now) > ISOLATION_MS
 
     def _lost_for(self, now: float) -> float:
@@ -63,7 +63,7 @@
 
     @property
     def in_contact(self) -> bool:
-        """Tell whether a majority of the voters has answered lately."""
+        """Return whether a majority of the voters has answered lately."""
 
 
 class QuorumContactObserver:
@@ -80,12 +80,12 @@
 
     @property
     def timed_out(self) -> bool:
-        """Tell whether contact has been lost for so long that callers are better off elsewhere."""
+        """Return whether contact has been lost for so long that callers are better off elsewhere."""
         self.observe()
         return self._monitor.timed_out(self._clock.now())
 
     @property
     def isolated(self) -> bool:
-        """Tell whether contact has been lost for so long that the last known state is better than none."""
+        """Return whether contact has been lost for so long that the last known state is better than none."""
         self.observe()
         return self._monitor.isolated(self._clock.now())
