--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -571,7 +571,7 @@
         )  # its lighthouses have another still
 
     play(monkeypatch, two_texts)
-    assert events.count("config_two_texts") == 2
+    assert events.count("config_digest_mismatch") == 2
 
 
 # Looks for contact, settings, and the end.
--- a/wickspring/dataplane/control_client/config_sync.py
+++ b/wickspring/dataplane/control_client/config_sync.py
@@ -40,9 +40,9 @@
         if action in (AdoptionAction.IGNORE, AdoptionAction.WAIT):
             return
         if action is AdoptionAction.REPLACE_UNCOMMITTED:
-            logs.log_event("config_gave_way", version=copy.version)
+            logs.log_event("config_superseded", version=copy.version)
         elif action is AdoptionAction.FENCE:
-            logs.log_event("config_two_texts", version=copy.version, digest=copy.digest.hex())
+            logs.log_event("config_digest_mismatch", version=copy.version, digest=copy.digest.hex())
         self._adopt(copy)
 
     def confirm(self, version: int, digest: bytes) -> None:
@@ -61,12 +61,12 @@
         try:
             self.routing_table = _read(copy)
         except _DOCUMENT_ERRORS as error:
-            logs.log_event("chart_unusable", version=copy.version, reason=repr(error))
+            logs.log_event("config_unusable", version=copy.version, reason=repr(error))
             self.adoption.discard(copy)
             return
         self.packed = copy.packed
         self.adoption.adopted(copy)
-        logs.log_event("chart", version=copy.version, standing=copy.status.name.lower())
+        logs.log_event("config_adopted", version=copy.version, status=copy.status.name.lower())
         self._listener.on_routing_table(self.routing_table)
         self._listener.on_informed()
 
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -113,7 +113,7 @@
         while True:
             await trio.sleep(PROBE_INTERVAL_S * self.random.uniform(*PROBE_INTERVAL_JITTER))
             for name in self.members.tick(self.clock.now() / 1000.0):
-                logs.log_event("pilot_gone", data_plane=name, left=self.members.size)
+                logs.log_event("data_plane_lost", data_plane=name, remaining=self.members.size)
             self.members.update_own(MemberInfo(self.ip), heartbeat=False)
             target = self.members.next_probe_target()
             if target is not None:
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -157,7 +157,7 @@
 
     def _handle(self, incoming: IncomingRequest) -> None:
         context = self.request_context
-        context.event_counts["asked"] += 1
+        context.event_counts["requests"] += 1
         if context.can_route():
             self.admission.admit(incoming)
         else:
@@ -278,8 +278,8 @@
         self.later(STATISTICS_MS * self.random.uniform(0.9, 1.1), self.maintain)
         self.endpoints.forget(self.clock.now(), FORGET_ENDPOINT_MS)
         logs.log_event(
-            "figures",
-            owed=len(self.request_context.requests),
+            "metrics",
+            requests_in_flight=len(self.request_context.requests),
             connections=len(self.connections),
             **self.request_context.event_counts,
             **self.upstream.report(),
@@ -293,7 +293,7 @@
         if not self._ready and self._knows_enough():
             self._ready = True
             version = self.control_client.config.routing_table.version
-            logs.log_event("ready", version=version, servers=len(self.endpoints.candidates))
+            logs.log_event("ready", version=version, endpoints=len(self.endpoints.candidates))
         return self._ready
 
     def _knows_enough(self) -> bool:
@@ -338,7 +338,7 @@
         probe.tidy()
         nursery.start_soon(accept, ready, probe, serve_readiness)
         nursery.start_soon(accept, front, data_plane, serve)
-        logs.log_event("afloat", ip=settings.ip, zone=settings.zone)
+        logs.log_event("started", ip=settings.ip, zone=settings.zone)
         await ended.wait()
         await _shut_down(data_plane, front)
         nursery.cancel_scope.cancel()
@@ -348,11 +348,11 @@
     """Take the last connections that are on their way, and let requests in progress end."""
     requests = data_plane.request_context.requests
     data_plane.draining = True
-    logs.log_event("draining", owed=len(requests))
+    logs.log_event("draining", requests_in_flight=len(requests))
     with trio.move_on_after(DRAIN_SHARE * data_plane.settings.guarantees.grace_s):
         await trio.sleep(DRAIN_ACCEPT_S)
         take_rest(front, data_plane, serve)
         close_listener(front)
         await data_plane.drain()
         await trio.sleep(CLOSE_S)
-    logs.log_event("moored", owed=len(requests))
+    logs.log_event("stopped", requests_in_flight=len(requests))
--- a/wickspring/dataplane/request/admission.py
+++ b/wickspring/dataplane/request/admission.py
@@ -159,6 +159,6 @@
 
     def _on_advice_timeout(self, request: Request, number: int) -> None:
         self._context.load_client.cancel(number)
-        self._context.event_counts["chosen_alone"] += 1
+        self._context.event_counts["endpoint_selected_locally"] += 1
         request.advice = []
         self._forwarder.send_if_ready(request)
--- a/wickspring/dataplane/request/forwarding.py
+++ b/wickspring/dataplane/request/forwarding.py
@@ -122,7 +122,7 @@
         ratio = context.endpoints.attempt_ended(now, candidate, number, attempts.route.name, result)
         if load_owner:
             context.load_client.request_finished(load_owner, candidate.endpoint.id, ratio)
-        context.event_counts[f"tries[{outcome.value}]"] += 1
+        context.event_counts[f"attempts[{outcome.value}]"] += 1
         if attempts.ended:
             return
         if not request.streaming_attempt:
--- a/wickspring/dataplane/request/hedging.py
+++ b/wickspring/dataplane/request/hedging.py
@@ -41,7 +41,7 @@
             return True
         if budget.take(now, self._context.data_plane_count()):
             return True
-        self._context.event_counts["no_budget"] += 1
+        self._context.event_counts["retry_budget_exhausted"] += 1
         return False
 
 
--- a/wickspring/dataplane/request/quota_check.py
+++ b/wickspring/dataplane/request/quota_check.py
@@ -88,7 +88,7 @@
 
     def _decide_alone(self, answered: bool = False) -> None:
         context = self._context
-        context.event_counts["counted_alone"] += 1
+        context.event_counts["quota_decided_locally"] += 1
         data_planes = context.data_plane_count() or DEFAULT_DATA_PLANE_COUNT
         decision = context.quota.alone(context.clock.now(), self._tenant, data_planes)
         context.quota_client.abandon(self._number, partial(self._on_late_reply, decision.goes))
--- a/wickspring/dataplane/request/response.py
+++ b/wickspring/dataplane/request/response.py
@@ -128,7 +128,7 @@
 
     def refuse(self, client: Client, kind: ErrorKind, retry_after_ms: float = 0.0) -> None:
         """Send a client an error."""
-        self._context.event_counts[f"refused[{kind.value}]"] += 1
+        self._context.event_counts[f"rejected[{kind.value}]"] += 1
         response = ERROR_RESPONSES[kind]
         client.answer(response.status, retry_after(retry_after_ms) if response.comes_back else "", b"")
 
--- a/wickspring/lab/experiments/capacity_site.py
+++ b/wickspring/lab/experiments/capacity_site.py
@@ -63,7 +63,9 @@
 def requests_received(gateway: VirtualGateway) -> float:
     """Return how many requests the data planes have received."""
     return float(
-        sum(data_plane.request_context.event_counts["asked"] for data_plane in gateway.data_planes.values())
+        sum(
+            data_plane.request_context.event_counts["requests"] for data_plane in gateway.data_planes.values()
+        )
     )
 
 
