--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -6,14 +6,20 @@
 import shutil
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 import msgpack
 import msgspec
 import pytest
 import trio
 
-from tests.support.virtual_system import _WHO, CONTROL_PLANES, DATA_PLANES, Site, play
+from tests.support.virtual_system import (
+    CONTROL_PLANES,
+    CURRENT_MACHINE,
+    DATA_PLANES,
+    VirtualSystem,
+    run_virtual_system,
+)
 from wickspring.agent.store import Store
 from wickspring.common import messages
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
@@ -194,12 +200,21 @@
     return message
 
 
-def receiver(site: Site, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
+MessageT = TypeVar("MessageT", bound=messages.Message)
+
+
+def typed(decoder: messages.MessageDecoder[MessageT], wire_message: list[Any]) -> MessageT:
+    message = decoder.decode(wire_message)
+    assert message is not None
+    return message
+
+
+def receiver(system: VirtualSystem, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
     """Return what takes such a message today."""
     connection = PeerConnection(link, VirtualClock())
     connection.name, kind = one["sender"], one["kind"]
     session = PeerSession(connection)
-    control_plane, data_plane = site.control_planes[CONTROL_PLANES[0]], site.data_planes[DATA_PLANES[0]]
+    control_plane, data_plane = system.control_planes[CONTROL_PLANES[0]], system.data_planes[DATA_PLANES[0]]
     if one["to"] == CONTROL:
         if kind == "chain":
             members = tuple(Member(f"10.1.0.{n}", "first") for n in (1, 2, 3))
@@ -211,12 +226,13 @@
             session.is_control_plane_node = True
         return lambda message: control_plane.peer_server.receive(session, message)
     if one["from"] == CONTROL:
-        return lambda message: data_plane.control_client.on_message(connection, message)
+        on_message = data_plane.control_client.on_message
+        return lambda message: on_message(connection, typed(messages.CONTROL_PLANE_MESSAGES, message))
     if one["transport"] == "udp":
-        return lambda message: data_plane.gossip.on_datagram(connection.name, message)
+        return lambda message: data_plane.gossip.on_datagram(typed(messages.DATAGRAMS, message))
     if kind == "fetch":
-        return lambda message: data_plane.send_state(connection, int(message[1]), bytes(message[2]))
-    return lambda message: data_plane.on_peer_message(connection, message)
+        return lambda message: data_plane.gossip._on_fetch(connection, typed(messages.PEER_REQUESTS, message))
+    return lambda message: data_plane.on_peer_message(connection, typed(messages.PEER_REPLIES, message))
 
 
 def cut_short(one: dict[str, Any]) -> list[Any]:
@@ -229,31 +245,31 @@
 def test_its_receiver_takes_each_message(
     monkeypatch: pytest.MonkeyPatch, direction: tuple[str, str, str]
 ) -> None:
-    async def observation(site: Site) -> None:
-        data_plane = await site.start_pilot(DATA_PLANES[0])
-        await site.until_safe(CONTROL_PLANES[0], 1)
-        await site.until(
+    async def observation(system: VirtualSystem) -> None:
+        data_plane = await system.start_data_plane(DATA_PLANES[0])
+        await system.commit_config(CONTROL_PLANES[0], 1)
+        await system.wait_until(
             lambda: (
                 data_plane.control_client.informed
                 and data_plane.control_client.config.routing_table.version == 1
             )
         )
-        _WHO.set(
+        CURRENT_MACHINE.set(
             CONTROL_PLANES[0] if direction[1] == CONTROL else DATA_PLANES[0]
         )  # who dials where a message asks for it
         for one in MESSAGES:
             if (one["from"], one["to"], one["transport"]) != direction:
                 continue
             link = Link()
-            receiver(site, one, link)(unpacked(one))
+            receiver(system, one, link)(unpacked(one))
             replies = REPLIES.get((one["from"], one["to"], one["kind"]))
             assert replies is None or replies & set(link.said), one["kind"]
             if (one["from"], one["kind"]) not in WITHOUT_ARGUMENTS:
                 with pytest.raises(DECODE_ERRORS):
-                    receiver(site, one, Link())(cut_short(one))
+                    receiver(system, one, Link())(cut_short(one))
         await trio.sleep(0.1)
 
-    play(monkeypatch, observation)
+    run_virtual_system(monkeypatch, observation)
 
 
 def test_messages_are_packed_to_the_same_bytes() -> None:
