--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -108,12 +108,12 @@
         self.ledger.requests[request_id] = EFFECTFUL_PREFIX, 0
         ends = [self.connect_client() for _ in range(3)]
         for end, path in zip(ends, (EFFECTFUL_PREFIX, PURE_PREFIX, EFFECTFUL_PREFIX), strict=True):
-            end.say(head(path, request_id))
+            end.send(head(path, request_id))
             await trio.sleep(0.01 if path == EFFECTFUL_PREFIX else 0.1)
             if path == PURE_PREFIX:
                 await self.read(end, request_id, b"")
         await self.read(ends[2], request_id, b"")
-        self.ledger.seen["still at work"] += not ends[0].got
+        self.ledger.seen["still at work"] += not ends[0].received
 
 
 def head(path: str, *ids: str) -> bytes:
@@ -134,7 +134,7 @@
         for first, second in (("a", "b"), ("a", "a"), ("c", "a")):
             self.ledger.requests[first] = self.ledger.requests[second] = EFFECTFUL_PREFIX, 0
             end = self.connect_client()
-            end.say(head(EFFECTFUL_PREFIX, first, second))
+            end.send(head(EFFECTFUL_PREFIX, first, second))
             await self.read(end, second, b"")
 
 
@@ -150,7 +150,7 @@
         for step in range(self.requests_per_client):
             request_id, end = f"a{number}.{step}", self.connect_client()
             self.ledger.requests[request_id] = PURE_PREFIX, 0
-            end.say(head(PURE_PREFIX, request_id).replace(b"HTTP/1.1", b"HTTP/1.0"))
+            end.send(head(PURE_PREFIX, request_id).replace(b"HTTP/1.1", b"HTTP/1.0"))
             await self.read(end, request_id, b"")
 
 
@@ -170,7 +170,7 @@
         told = head(EFFECTFUL_PREFIX, request_id).replace(
             b"Content-Length: 0", f"Content-Length: {length}".encode()
         )
-        end.say(told + request_body(request_id, 2 * LONG_BODY_BYTES))
+        end.send(told + request_body(request_id, 2 * LONG_BODY_BYTES))
         await self.read(end, request_id, b"")
 
 
--- a/wickspring/lab/simulation/request_path/environment.py
+++ b/wickspring/lab/simulation/request_path/environment.py
@@ -17,29 +17,30 @@
 
 
 class SilentDatagrams:
-    """Stands in for the datagrams of pilots among themselves."""
+    """A datagram socket on which everything is lost."""
 
     def __init__(self, ip: str, port: int) -> None:
-        self.ip, self.port = ip, port
+        self.ip = ip
+        self.port = port
 
     def send(self, ip: str, data: bytes) -> None:
         """Lose it."""
 
     async def receive(self) -> tuple[bytes, str]:
-        """Wait for ever."""
+        """Wait forever."""
         await trio.sleep_forever()
         raise AssertionError
 
 
 class _ErrorCollector(logging.Handler):
-    """Keeps what the pilot logs of errors of its own."""
+    """Collects the errors that a data plane logs of itself."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__(logging.ERROR)
         self.errors = errors
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep one."""
+        """Collect one; a broken invariant is raised elsewhere."""
         error = record.exc_info[1] if record.exc_info else None
         if not isinstance(error, InvariantBrokenError):
             self.errors.append(f"{record.getMessage()} {error!r}")
@@ -47,17 +48,18 @@
 
 @contextmanager
 def simulated_environment(errors: list[str]) -> Iterator[None]:
-    """Let pilots be built without sockets and with a virtual clock."""
+    """Have data planes built without sockets and with a virtual clock; collect their errors."""
 
-    async def nothing(_: ReconnectingClient) -> None: ...
+    async def stay_disconnected(_: ReconnectingClient) -> None: ...
 
-    handler, logger = _ErrorCollector(errors), logging.getLogger("wickspring")
+    handler = _ErrorCollector(errors)
+    logger = logging.getLogger("wickspring")
     logger.addHandler(handler)
     try:
         with (
             mock.patch.object(host, "Clock", VirtualClock),
             mock.patch.object(process, "Udp", SilentDatagrams),
-            mock.patch.object(ReconnectingClient, "run", nothing),
+            mock.patch.object(ReconnectingClient, "run", stay_disconnected),
         ):
             yield
     finally:
--- a/wickspring/lab/simulation/request_path/faulty_server.py
+++ b/wickspring/lab/simulation/request_path/faulty_server.py
@@ -183,7 +183,7 @@
         """Read and answer one request; return False where the connection ends."""
         if not await self._stays_open(end):
             return False
-        head = await end.until(b"\r\n\r\n")
+        head = await end.read_until(b"\r\n\r\n")
         if not head:
             end.close()
             return False
@@ -205,9 +205,9 @@
         if random.random() >= 0.05 * self.fault_share:
             return True
         with trio.move_on_after(random.uniform(0.0, 0.3)):
-            while not end.got and await end.more():
+            while not end.received and await end.wait_for_more():
                 pass
-        if end.got:
+        if end.received:
             return True
         end.close(random.choice(ENDINGS))
         return False
@@ -240,7 +240,7 @@
                 return True
         if fault == "reset_unread" or (fault == "turned_away" and random.random() < 0.5):
             if fault == "turned_away":
-                end.say(self._compose(request, executed=False).data)
+                end.send(self._compose(request, executed=False).data)
             end.close(random.choice(ENDINGS))
             return True
         return False
@@ -262,12 +262,12 @@
         response = self._compose(request, request.is_executed)
         if fault in ("junk", "closes"):
             if fault == "junk":
-                end.say(bytes(random.randrange(256) for _ in range(random.randint(1, 60))))
+                end.send(bytes(random.randrange(256) for _ in range(random.randint(1, 60))))
             end.close(random.choice(ENDINGS))
             return False
         if fault == "glued":  # the beginning of another response ahead of this one
             start = random.randint(1, response.head_size - 1) if random.random() >= 0.5 else 0
-            end.say(response.data[:start] if start else self._replay())
+            end.send(response.data[:start] if start else self._replay())
         if fault == "cut" or (fault == "to_the_end" and random.random() < 0.5):
             await self._cut(end, response)
             return False
@@ -278,7 +278,7 @@
     async def _cut(self, end: PeerEnd, response: _Response) -> None:
         random = self.ledger.random
         size = random.randint(0, random.choice((response.head_size, len(response.data))))
-        end.say(response.data[:size])
+        end.send(response.data[:size])
         await trio.sleep(random.choice((0.0, 0.0, 0.05, 3.0)))
         end.close(random.choice(ENDINGS))
 
@@ -287,7 +287,7 @@
         random = self.ledger.random
         size = len(data) // random.randint(3, 8) + 1
         while len(data) > size:
-            end.say(data[:size])
+            end.send(data[:size])
             data = data[size:]
             await trio.sleep(random.uniform(0.02, 0.5))
         return data
@@ -296,10 +296,10 @@
         """Send bytes, now and then in two parts."""
         random = self.ledger.random
         at = random.randint(0, len(data)) if random.random() < 0.3 else len(data)
-        end.say(data[:at])
+        end.send(data[:at])
         if at < len(data):
             await trio.sleep(random.choice((0.0, 0.01, 0.3)))
-            end.say(data[at:])
+            end.send(data[at:])
 
     async def _follow_up(self, end: PeerEnd, fault: str, data: bytes) -> bool:
         """Do what a fault does after a response; return False where the connection ends."""
@@ -311,9 +311,9 @@
         if fault in ("surplus", "late_surplus"):
             surplus = self._replay() if self.ledger.random.random() < 0.7 else data
             if fault == "late_surplus":  # in the place of the next response
-                while not end.got and await end.more():
+                while not end.received and await end.wait_for_more():
                     pass
-            end.say(surplus)
+            end.send(surplus)
         return True
 
 
@@ -321,15 +321,15 @@
     """Return the body of a request; None where it ends before it is complete."""
     if "content-length" in headers:
         length = int(headers["content-length"])
-        body = await end.part(length)
+        body = await end.read(length)
         return body if len(body) == length else None
     if "transfer-encoding" not in headers:
         return b""
     body = b""
-    while size_line := await end.until(b"\r\n"):
+    while size_line := await end.read_until(b"\r\n"):
         size = int(size_line, 16)
-        body += await end.part(size)
+        body += await end.read(size)
         if size == 0:
-            return body if await end.until(b"\r\n") else None
-        await end.part(len(b"\r\n"))
+            return body if await end.read_until(b"\r\n") else None
+        await end.read(len(b"\r\n"))
     return None
--- a/wickspring/lab/simulation/request_path/ledger.py
+++ b/wickspring/lab/simulation/request_path/ledger.py
@@ -11,29 +11,31 @@
 
 
 class InvariantBrokenError(Exception):
-    """A rule of the users is broken."""
+    """An invariant of the gateway is broken."""
 
 
 @dataclass
 class Ledger:
-    """What was asked, run, said and told."""
+    """The requests of one run and all that became of them, by request id."""
 
     random: Random
-    requests: dict[str, tuple[str, int]] = field(default_factory=dict)  # id to path and length of its body
+    requests: dict[str, tuple[str, int]] = field(default_factory=dict)  # path, length of the body
     executions: Counter[str] = field(default_factory=Counter)
+    # The servers that it was sent to, in order.
     sent_to: defaultdict[str, list[str]] = field(default_factory=lambda: defaultdict(list))
+    # Status, seal and body of each response that a client may be given.
     responses: defaultdict[str, list[tuple[int, str, bytes]]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    statuses: dict[str, int] = field(default_factory=dict)  # id to the status that its client read
-    seen: Counter[str] = field(default_factory=Counter)
+    statuses: dict[str, int] = field(default_factory=dict)  # that its client has read
+    seen: Counter[str] = field(default_factory=Counter)  # events, by name
 
     def fail(self, what: str, *about: object) -> None:
-        """Stop: a rule is broken."""
+        """Raise InvariantBrokenError."""
         raise InvariantBrokenError(f"{what}: {about}")
 
     def read(self, request_id: str, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Enter a whole answer that a client has read, and look up whether it may be."""
+        """Record a complete response that a client has read, and check it."""
         self.statuses[request_id] = status
         self.seen[f"told[{status}]"] += 1
         seal = headers.get("x-server-seal", "")
@@ -53,14 +55,14 @@
         if status < 500 and headers.get("x-attempt-id", request_id) != request_id:
             self.fail("another's answer", request_id, headers)
 
-    def check_end(self, tries: int) -> None:
-        """Look up what can only be told in the end."""
+    def check_end(self, max_attempts: int) -> None:
+        """Check what can only be known at the end of the run."""
         for request_id, (path, _) in self.requests.items():
             if path == EFFECTFUL_PREFIX and self.executions[request_id] > 1:
                 self.fail("ran twice", request_id, self.sent_to[request_id])
             if self.statuses.get(request_id) in NOT_EXECUTED_STATUSES and self.executions[request_id]:
                 self.fail("refused though it ran", request_id, self.statuses[request_id])
-            if len(self.sent_to[request_id]) > min(tries, len(set(self.sent_to[request_id]))):
+            if len(self.sent_to[request_id]) > min(max_attempts, len(set(self.sent_to[request_id]))):
                 self.fail("too many tries, or one server twice", request_id, self.sent_to[request_id])
 
 
--- a/wickspring/lab/simulation/request_path/memory_connection.py
+++ b/wickspring/lab/simulation/request_path/memory_connection.py
@@ -4,6 +4,7 @@
 
 import math
 from collections import deque
+from dataclasses import dataclass
 from random import Random
 
 import trio
@@ -11,34 +12,50 @@
 LATENCY_S = 0.002  # one way
 
 
+@dataclass(slots=True)
+class _Segment:
+    """Bytes, or an end, on their way to the data plane."""
+
+    arrives_at: float  # seconds of virtual time
+    data: bytes
+    end: str
+
+
 class DataPlaneEnd:
-    """The pilot's end of a connection in memory: what `net.link.Link` is to a socket."""
-
-    def __init__(self, random: Random, most: float) -> None:
-        self.random, self.most = random, most  # bytes that the kernels between hold
-        self.broken = self._closing = self._shut = False
-        self.given = self.taken = 0
-        self._unsent, self._in, self._end = bytearray(), bytearray(), ""
-        self._coming: deque[tuple[float, bytes, str]] = deque()
-        self._moved, self.far = trio.Event(), PeerEnd(self)
-
-    def move(self) -> None:
-        """Wake whoever waits at this end."""
-        moved, self._moved = self._moved, trio.Event()
-        moved.set()
-
-    def come(self, data: bytes, end: str = "") -> None:
-        """Send bytes or an end on their way here."""
-        self._coming.append((trio.current_time() + LATENCY_S, data, end))
-        self.move()
+    """The data plane's end: what `net.link.Link` is to a socket."""
+
+    def __init__(self, random: Random, kernel_bytes: float) -> None:
+        self.random = random
+        self.kernel_bytes = kernel_bytes  # that the kernels of both sides buffer
+        self.broken = False
+        self.given = 0  # bytes to send
+        self.taken = 0  # of which the kernel has taken
+        self.peer = PeerEnd(self)
+        self._closing = False
+        self._shut = False
+        self._unsent = bytearray()
+        self._unread = bytearray()
+        self._end = ""
+        self._in_transit: deque[_Segment] = deque()
+        self._moved = trio.Event()
+
+    def wake(self) -> None:
+        """Wake the task that waits at this end."""
+        self._moved.set()
+        self._moved = trio.Event()
+
+    def arrive_later(self, data: bytes, end: str = "") -> None:
+        """Have bytes, or an end (`end` or `reset`), arrive here after the latency."""
+        self._in_transit.append(_Segment(trio.current_time() + LATENCY_S, data, end))
+        self.wake()
 
     def _arrive(self) -> None:
-        while self._coming and self._coming[0][0] <= trio.current_time():
-            _, data, end = self._coming.popleft()
-            self._in += data
-            self._end = self._end or end
-            if end == "reset" and self.random.random() < 0.5:
-                self._in.clear()
+        while self._in_transit and self._in_transit[0].arrives_at <= trio.current_time():
+            segment = self._in_transit.popleft()
+            self._unread += segment.data
+            self._end = self._end or segment.end
+            if segment.end == "reset" and self.random.random() < 0.5:
+                self._unread.clear()
 
     @property
     def flushed(self) -> bool:
@@ -61,15 +78,15 @@
         """Let the kernel take what it has room for."""
         if self.broken:
             return
-        room = int(min(len(self._unsent), max(0, self.most - self.far.unread)))
+        room = int(min(len(self._unsent), max(0, self.kernel_bytes - self.peer.unread)))
         if room:
-            self.far.got += self._unsent[:room]
+            self.peer.received += self._unsent[:room]
             del self._unsent[:room]
             self.taken += room
-            self.far.move()
+            self.peer.wake()
         if self._shut and not self._unsent:
-            self.far.end()
-        self.move()
+            self.peer.end()
+        self.wake()
 
     async def room(self) -> bool:
         """Wait until all is taken."""
@@ -83,100 +100,106 @@
             if self._closing:
                 return None
             self._arrive()
-            if self._in:
+            if self._unread:
                 size = self.random.choice((1, 7, 65536, 65536, 65536))
-                data = bytes(self._in[:size])
-                del self._in[:size]
+                data = bytes(self._unread[:size])
+                del self._unread[:size]
                 return data
             if self._end == "reset":
                 self.broken = True
                 return None
             if self._end:
                 return b""
-            with trio.move_on_at(self._coming[0][0] if self._coming else math.inf):
+            with trio.move_on_at(self._in_transit[0].arrives_at if self._in_transit else math.inf):
                 await self._moved.wait()
 
     def peek(self) -> bytes | None:
         """Return a byte that has come, b"" at the end, None if nothing has."""
         self._arrive()
-        if self.broken or (self._end and not self._in):
+        if self.broken or (self._end and not self._unread):
             return b""
-        return bytes(self._in[:1]) or None
+        return bytes(self._unread[:1]) or None
 
     def finish(self) -> None:
-        """Write nothing more."""
+        """Send nothing more."""
         self._shut = True
         self.flush()
 
     def abort(self) -> None:
         """Close with a reset."""
-        self.far.reset = True
+        self.peer.reset = True
         self.close()
 
     def close(self) -> None:
         """Close at once."""
-        self.broken = self._closing = True
-        self.far.end()
-        self.move()
+        self.broken = True
+        self._closing = True
+        self.peer.end()
+        self.wake()
 
 
 class PeerEnd:
-    """The peer's end."""
+    """The end of a server or client."""
 
     def __init__(self, near: DataPlaneEnd) -> None:
-        self.near, self.got = near, bytearray()
-        self.ended = self.reset = self.gone = False
-        self._moved, self._known = trio.Event(), 0
+        self.data_plane_end = near
+        self.received = bytearray()  # and not read yet
+        self.ended = False  # by the data plane
+        self.reset = False  # by the data plane
+        self.gone = False  # closed by the peer itself
+        self._moved = trio.Event()
+        self._known = 0  # bytes received when the peer last looked
 
     @property
     def unread(self) -> int:
         """How many bytes the kernels between hold."""
-        return len(self.got) - self._known
+        return len(self.received) - self._known
 
-    def move(self) -> None:
-        """Wake the peer."""
-        moved, self._moved = self._moved, trio.Event()
-        moved.set()
+    def wake(self) -> None:
+        """Wake the task that waits at this end."""
+        self._moved.set()
+        self._moved = trio.Event()
 
     def end(self) -> None:
-        """Note that the pilot's end is closed."""
+        """Take note that the data plane has closed its end."""
         self.ended = True
-        self.move()
-
-    async def more(self) -> bool:
-        """Wait for further bytes; False at the end."""
-        before = self._known = len(self.got)
-        self.near.flush()
-        while len(self.got) <= before and not self.ended:
+        self.wake()
+
+    async def wait_for_more(self) -> bool:
+        """Wait for further bytes; return False at the end."""
+        before = len(self.received)
+        self._known = before
+        self.data_plane_end.flush()
+        while len(self.received) <= before and not self.ended:
             await self._moved.wait()
-        return len(self.got) > before
+        return len(self.received) > before
 
-    async def part(self, size: int) -> bytes:
-        """Take so many bytes, or fewer at the end."""
+    async def read(self, size: int) -> bytes:
+        """Return so many bytes, or fewer at the end."""
         taken = b""
         while len(taken) < size:
-            if not self.got and not await self.more():
+            if not self.received and not await self.wait_for_more():
                 break
-            piece = bytes(self.got[: size - len(taken)])
-            del self.got[: len(piece)]
+            piece = bytes(self.received[: size - len(taken)])
+            del self.received[: len(piece)]
             self._known = max(0, self._known - len(piece))
             taken += piece
         return taken
 
-    async def until(self, mark: bytes) -> bytes:
-        """Take bytes up to a mark; none where it does not come."""
-        while mark not in self.got:
-            if not await self.more():
+    async def read_until(self, mark: bytes) -> bytes:
+        """Return bytes up to and with a mark; none where it does not come."""
+        while mark not in self.received:
+            if not await self.wait_for_more():
                 return b""
-        return await self.part(self.got.index(mark) + len(mark))
+        return await self.read(self.received.index(mark) + len(mark))
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         """Send bytes."""
         if not self.gone and data:
-            self.near.come(data)
+            self.data_plane_end.arrive_later(data)
 
     def close(self, how: str = "end") -> None:
-        """End it: `end` in good order, `reset` at once."""
+        """Close this end: `end` in good order, `reset` at once."""
         if not self.gone:
             self.gone = True
-            self.near.come(b"", how)
+            self.data_plane_end.arrive_later(b"", how)
--- a/wickspring/lab/simulation/request_path/simulation.py
+++ b/wickspring/lab/simulation/request_path/simulation.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from random import Random
 from typing import Any, cast
 from unittest import mock
@@ -29,11 +29,48 @@
 GRACE_MS = 130.0  # after a request's deadline until its response must have come, which may be sent in parts
 LONG_BODY_BYTES = 64 * 1024  # beyond which a body is streamed
 TIMEOUT_S = 120.0  # of a run
+LAST_EXECUTION_S = 4.0  # after the last response, by which every server has executed what it will
+MAX_ATTEMPTS = 2  # of a request, by the configuration
+CONNECT_FAILURE_SHARE = 0.05
+
+
+@dataclass(slots=True, frozen=True)
+class _ClientRequest:
+    """A request as a client sends it."""
+
+    id: str
+    data: bytes
+    deadline_ms: float
+    body_length: int
+
+
+@dataclass(slots=True)
+class _ResponseReader:
+    """What a client has read of one response."""
+
+    http: h11.Connection
+    status: int = 0
+    headers: dict[str, str] = field(default_factory=dict)
+    body: bytes = b""
+    is_streamed: bool = False
+
+    def has_begun(self) -> bool:
+        """Return whether any byte of the response has come."""
+        return bool(self.status or self.http.trailing_data[0])
+
+
+@dataclass(slots=True, frozen=True)
+class _ReadResult:
+    """The end of a response: bytes that follow it, and whether the connection goes on."""
+
+    rest: bytes
+    goes_on: bool
+    is_streamed: bool
 
 
 @dataclass
 class Simulation:
-    """One play: a pilot, servers that lie, clients that ask."""
+    """One run: a data plane, faulty servers, and clients."""
 
     seed: int
     fault_share: float = 0.6
@@ -41,12 +78,12 @@
     server_pairs: int = 4
     client_count: int = 3
     requests_per_client: int = 5
-    effectful_share: float = 0.5  # share of requests that may run once
+    effectful_share: float = 0.5  # of requests, that may be executed only once
     timeout_s: float = 2.0  # of the routes
-    drains: bool = False  # the pilot is told to end meanwhile
+    drains: bool = False  # the data plane is told to end during the run
 
     def __post_init__(self) -> None:
-        """Open the ledger."""
+        """Create the servers and the ledger."""
         self.random = Random(self.seed)
         self.ledger = Ledger(self.random)
         self.faulty_servers = {
@@ -56,7 +93,7 @@
         self.errors: list[str] = []
 
     def run(self) -> Ledger:
-        """Play it in virtual time; `InvariantBrokenError` names the rule that is broken."""
+        """Run in virtual time; raise InvariantBrokenError, or an error of the data plane's own."""
         run: Any = trio._core._run
         run._r.seed(self.seed)
         with (
@@ -69,33 +106,14 @@
                 if not self.errors:
                     raise _first_error(group) from group
         if self.errors:
-            self.ledger.fail("an error of the pilot's own", self.errors[0])
-        self.ledger.check_end(2)
+            self.ledger.fail("an error of the data plane's own", self.errors[0])
+        self.ledger.check_end(MAX_ATTEMPTS)
         return self.ledger
 
     async def _main(self) -> None:
         async with trio.open_nursery() as nursery:
-            limits = Limits(memory_mb=256.0, max_fds=1024)
-            settings = NodeSettings(
-                "edge-a-1", "10.1.0.30", "a", "7340,7355", ["10.1.0.33:8783"], limits=limits
-            )
-            self.data_plane = data_plane = DataPlane(settings, nursery, self.seed)
-            nursery.start_soon(data_plane.timers.run)
-            data_plane.tidy()
-            timeout = f'"timeout_s": {self.timeout_s}'.encode()
-            routing_table = build_routing_table(
-                gateway_config(1, effectful_prefix=EFFECTFUL_PREFIX).replace(b'"timeout_s": 2.0', timeout)
-            )
-            data_plane.control_client.config.routing_table = routing_table
-            data_plane.control_client.data_plane_count = 1
-            data_plane.on_routing_table(routing_table)
-            for number, name in enumerate(self.faulty_servers):
-                service = ("looker", "doer")[number % 2]
-                data_plane.endpoints.update(
-                    data_plane.clock.now(), Endpoint(name, service, f"10.0.0.{number}:80", "a", 2)
-                )
             self.nursery = nursery
-            cast(Any, data_plane.upstream).connect = self._connect
+            self.data_plane = self._start_data_plane()
             if self.drains:
                 nursery.start_soon(self._drain)
             with trio.move_on_after(TIMEOUT_S) as limit:
@@ -104,14 +122,37 @@
                         clients.start_soon(self.client, number)
             if limit.cancelled_caught:
                 self.ledger.fail("a client waits without end")
-            await trio.sleep(4.0)  # whoever runs late has run by then
-            context = data_plane.request_context
+            await trio.sleep(LAST_EXECUTION_S)
+            context = self.data_plane.request_context
             if context.requests or context.unrepeatable_ids:
                 self.ledger.fail("still owed", list(context.requests))
             nursery.cancel_scope.cancel()
 
+    def _start_data_plane(self) -> DataPlane:
+        """Return a data plane that knows the configuration and the servers."""
+        limits = Limits(memory_mb=256.0, max_fds=1024)
+        settings = NodeSettings("edge-a-1", "10.1.0.30", "a", "7340,7355", ["10.1.0.33:8783"], limits=limits)
+        data_plane = DataPlane(settings, self.nursery, self.seed)
+        self.nursery.start_soon(data_plane.timers.run)
+        data_plane.tidy()
+        routing_table = build_routing_table(self._config())
+        data_plane.control_client.config.routing_table = routing_table
+        data_plane.control_client.data_plane_count = 1
+        data_plane.on_routing_table(routing_table)
+        now = data_plane.clock.now()
+        for number, name in enumerate(self.faulty_servers):
+            service = ("looker", "doer")[number % 2]
+            data_plane.endpoints.update(now, Endpoint(name, service, f"10.0.0.{number}:80", "a", 2))
+        cast(Any, data_plane.upstream).connect = self._connect
+        return data_plane
+
+    def _config(self) -> bytes:
+        timeout = f'"timeout_s": {self.timeout_s}'.encode()
+        config = gateway_config(1, effectful_prefix=EFFECTFUL_PREFIX)
+        return config.replace(b'"timeout_s": 2.0', timeout)
+
     async def _drain(self) -> None:
-        """Do as `pilot.run` does when it is told to end."""
+        """Do as `process.run` does when it is told to end."""
         data_plane = self.data_plane
         await trio.sleep(self.random.uniform(0.0, 1.5))
         data_plane.draining = True
@@ -122,20 +163,22 @@
     async def _connect(self, conn: Any) -> Link | None:
         random = self.random
         await trio.sleep(random.choice((0.0, 0.001, 0.01)))
-        if random.random() < 0.05 * self.fault_share:
+        if random.random() < CONNECT_FAILURE_SHARE * self.fault_share:
             self.data_plane.upstream.dial_failed(conn)
             return None
         if conn.state.value == "closed":
             return None
         near = DataPlaneEnd(random, random.choice((math.inf, math.inf, 300, 30_000)))
-        self.nursery.start_soon(self.faulty_servers[conn.server.decode()].serve, near.far)
+        self.nursery.start_soon(self.faulty_servers[conn.server.decode()].serve, near.peer)
         return cast(Link, near)
 
+    # Clients.
+
     async def client(self, number: int) -> None:
-        """Ask until all is asked."""
-        asks = self.requests_per_client
-        while asks > 0 and self.requests_per_client:
-            asks = await self._converse(self.connect_client(), number, asks)
+        """Send all requests of one client."""
+        left = self.requests_per_client
+        while left > 0 and self.requests_per_client:
+            left = await self._use_connection(self.connect_client(), number, left)
 
     def connect_client(self) -> PeerEnd:
         """Open a client's connection."""
@@ -143,113 +186,136 @@
         link = cast(Link, near)
         front = Http1Connection(link, self.data_plane, patience=self.data_plane.patience)
         self.nursery.start_soon(self.data_plane.serve, front, link)
-        return near.far
+        return near.peer
 
-    def _request(self, number: int) -> tuple[str, bytes, float, int]:
+    def _compose_request(self, number: int) -> _ClientRequest:
         random = self.random
         path = EFFECTFUL_PREFIX if random.random() < self.effectful_share else PURE_PREFIX
         request_id = f"a{number}.{len(self.ledger.requests)}"
         length = random.choice((0, 0, 0, 40, 3000))
         if random.random() < 0.15:
             length = random.randint(LONG_BODY_BYTES, 3 * LONG_BODY_BYTES)
-        wait = random.choice((300, 900, 2000))
+        deadline_ms = random.choice((300, 900, 2000))
         self.ledger.requests[request_id] = path, length
         head = (
             f"POST {path}x HTTP/1.1\r\nHost: {HOST}\r\nX-Key: {API_KEY}\r\nX-Attempt-Id: {request_id}\r\n"
-            f"X-Deadline-Ms: {wait}\r\n"
-        )
-        body = request_body(request_id, length)
-        if random.random() < 0.5:
-            return request_id, f"{head}Content-Length: {length}\r\n\r\n".encode() + body, wait, length
-        chunks = b"%x\r\n%s\r\n" % (length, body) if length else b""
-        return (
-            request_id,
-            f"{head}Transfer-Encoding: chunked\r\n\r\n".encode() + chunks + b"0\r\n\r\n",
-            wait,
-            length,
+            f"X-Deadline-Ms: {deadline_ms}\r\n"
         )
+        framed = self._frame(request_body(request_id, length))
+        return _ClientRequest(request_id, head.encode() + framed, deadline_ms, length)
 
-    async def _converse(self, end: PeerEnd, number: int, asks: int) -> int:
-        """Ask on one connection until it ends; return how many are left to ask."""
-        random, rest = self.random, b""
-        coming: list[tuple[str, bytes, float, int]] = []
-        while asks > 0 or coming:
-            if not coming:
-                coming = [self._request(number) for _ in range(min(asks, random.choice((1, 1, 1, 3))))]
-                asks -= len(coming)
-                if len(coming) == 1:
-                    self.nursery.start_soon(self._say, end, coming[0][1])
-                else:
-                    end.say(b"".join(said for _, said, _, _ in coming))
-            request_id, _, wait, length = coming.pop(0)
+    def _frame(self, body: bytes) -> bytes:
+        """Return the end of a head and the body, by length or in chunks."""
+        if self.random.random() < 0.5:
+            return b"Content-Length: %d\r\n\r\n" % len(body) + body
+        chunks = b"%x\r\n%s\r\n" % (len(body), body) if body else b""
+        return b"Transfer-Encoding: chunked\r\n\r\n" + chunks + b"0\r\n\r\n"
+
+    async def _use_connection(self, end: PeerEnd, number: int, left: int) -> int:
+        """Send requests on one connection until it ends; return how many are left to send."""
+        random = self.random
+        rest = b""
+        pending: list[_ClientRequest] = []  # sent, and not answered yet
+        while left > 0 or pending:
+            if not pending:
+                count = min(left, random.choice((1, 1, 1, 3)))
+                pending = [self._compose_request(number) for _ in range(count)]
+                left -= count
+                self._send_all(end, pending)
+            request = pending.pop(0)
             if random.random() < 0.03:
                 await trio.sleep(random.uniform(0.0, 0.1))
                 end.close(random.choice(("end", "reset")))
-                return asks
-            begun = trio.current_time()
-            rest, goes_on, flows = await self.read(end, request_id, rest)
-            late = 1000.0 * (trio.current_time() - begun) - wait - GRACE_MS
-            if late > 0 and length < LONG_BODY_BYTES and not flows:
-                self.ledger.fail("answered late", request_id, late)
-            if not goes_on:
+                return left
+            result = await self._read_in_time(end, request, rest)
+            rest = result.rest
+            if not result.goes_on:
                 end.close()
-                return asks
-            if not coming and random.random() < 0.5:
+                return left
+            if not pending and random.random() < 0.5:
                 await trio.sleep(random.choice((0.0, 0.01, 0.5)))
-                if rest or end.got:
-                    self.ledger.fail("bytes that nobody asked for", bytes(rest + end.got)[:200])
+                if rest or end.received:
+                    self.ledger.fail("bytes that nobody asked for", bytes(rest + end.received)[:200])
         end.close()
-        return asks
+        return left
+
+    def _send_all(self, end: PeerEnd, requests: list[_ClientRequest]) -> None:
+        """Send one request, perhaps in two parts, or several at once."""
+        if len(requests) == 1:
+            self.nursery.start_soon(self._send_in_parts, end, requests[0].data)
+        else:
+            end.send(b"".join(request.data for request in requests))
 
-    async def _say(self, end: PeerEnd, said: bytes) -> None:
-        at = self.random.randint(0, len(said)) if self.random.random() < 0.5 else len(said)
-        end.say(said[:at])
-        if at < len(said):
+    async def _send_in_parts(self, end: PeerEnd, data: bytes) -> None:
+        at = self.random.randint(0, len(data)) if self.random.random() < 0.5 else len(data)
+        end.send(data[:at])
+        if at < len(data):
             await trio.sleep(self.random.choice((0.0, 0.01, 0.1)))
-            end.say(said[at:])
+            end.send(data[at:])
 
-    async def read(self, end: PeerEnd, request_id: str, rest: bytes) -> tuple[bytes, bool, bool]:
-        """Read one answer strictly; what is left over, whether the connection goes on, whether it flowed."""
-        http, status, headers, body = h11.Connection(h11.CLIENT), 0, dict[str, str](), b""
+    async def _read_in_time(self, end: PeerEnd, request: _ClientRequest, rest: bytes) -> _ReadResult:
+        """Read the response to a request, and check that it comes before the deadline."""
+        started_at = trio.current_time()
+        result = await self.read(end, request.id, rest)
+        late_ms = 1000.0 * (trio.current_time() - started_at) - request.deadline_ms - GRACE_MS
+        if late_ms > 0 and request.body_length < LONG_BODY_BYTES and not result.is_streamed:
+            self.ledger.fail("answered late", request.id, late_ms)
+        return result
+
+    async def read(self, end: PeerEnd, request_id: str, rest: bytes) -> _ReadResult:
+        """Read one response strictly, of which some bytes may have come before."""
+        http = h11.Connection(h11.CLIENT)
         http.send(h11.Request(method="POST", target="/", headers=[("Host", HOST), ("Content-Length", "0")]))
         http.send(h11.EndOfMessage())
+        reader = _ResponseReader(http)
         if rest:
             http.receive_data(rest)
-        flows = False
         while True:
             try:
                 event = http.next_event()
             except h11.RemoteProtocolError:
                 if not end.ended:
                     self.ledger.fail("bytes that are no answer", request_id)
-                self.ledger.seen["cut to the client"] += 1
-                return b"", False, flows
+                return self._cut_off(reader, "cut to the client")
             if event is h11.NEED_DATA:
-                if not end.got and not await end.more():
-                    if end.reset and (status or http.trailing_data[0]):
-                        self.ledger.seen["reset to the client"] += 1
-                        return b"", False, flows
-                    if not status and not http.trailing_data[0]:
-                        self.ledger.seen["closed to the client"] += 1
-                        return b"", False, flows
+                if not end.received and not await end.wait_for_more():
+                    if end.reset and reader.has_begun():
+                        return self._cut_off(reader, "reset to the client")
+                    if not reader.has_begun():
+                        return self._cut_off(reader, "closed to the client")
                     http.receive_data(b"")
                     continue
-                data = await end.part(len(end.got))
-                http.receive_data(data)
-            elif isinstance(event, h11.Response):
-                status = event.status_code
-                headers = {k.decode(): v.decode() for k, v in event.headers}
-                flows = int(headers.get("content-length", LONG_BODY_BYTES + 1)) > LONG_BODY_BYTES  # it flows
-            elif isinstance(event, h11.Data):
-                body += bytes(event.data)
+                http.receive_data(await end.read(len(end.received)))
             elif isinstance(event, h11.EndOfMessage):
-                self.ledger.read(request_id, status, headers, body)
-                if NOT_EXECUTED_HEADER in headers and self.ledger.executions[request_id]:
-                    self.ledger.fail("said not to have run", request_id)
-                return http.trailing_data[0], headers.get("connection") != "close", flows
+                return self._complete(reader, request_id)
+            else:
+                _collect(reader, event)
+
+    def _cut_off(self, reader: _ResponseReader, how: str) -> _ReadResult:
+        self.ledger.seen[how] += 1
+        return _ReadResult(b"", False, reader.is_streamed)
+
+    def _complete(self, reader: _ResponseReader, request_id: str) -> _ReadResult:
+        headers = reader.headers
+        self.ledger.read(request_id, reader.status, headers, reader.body)
+        if NOT_EXECUTED_HEADER in headers and self.ledger.executions[request_id]:
+            self.ledger.fail("said not to have run", request_id)
+        goes_on = headers.get("connection") != "close"
+        return _ReadResult(reader.http.trailing_data[0], goes_on, reader.is_streamed)
+
+
+def _collect(reader: _ResponseReader, event: object) -> None:
+    """Add the head or a part of the body to what has been read."""
+    if isinstance(event, h11.Response):
+        reader.status = event.status_code
+        reader.headers = {name.decode(): value.decode() for name, value in event.headers}
+        length = int(reader.headers.get("content-length", LONG_BODY_BYTES + 1))
+        reader.is_streamed = length > LONG_BODY_BYTES
+    elif isinstance(event, h11.Data):
+        reader.body += bytes(event.data)
 
 
 def _first_error(group: BaseExceptionGroup[BaseException]) -> BaseException:
-    for one in group.exceptions:
-        return _first_error(one) if isinstance(one, BaseExceptionGroup) else one
+    for error in group.exceptions:
+        return _first_error(error) if isinstance(error, BaseExceptionGroup) else error
     return group
