--- a/wickspring/controlplane/endpoint_service.py
+++ b/wickspring/controlplane/endpoint_service.py
@@ -89,7 +89,11 @@
         """Return the address for heartbeats from a zone: of a node there that is in reach, else this one."""
         if zone != self._settings.zone:
             for ip, status in self._replication.peers.statuses.items():
-                if status.zone == zone and not status.unhealthy and self._replication.peers.is_reachable(ip):
+                if (
+                    status.zone == zone
+                    and not status.is_unhealthy
+                    and self._replication.peers.is_reachable(ip)
+                ):
                     return status.control_address
         return self._settings.bind.control_addr
 
