--- a/tests/dataplane/test_gossip.py
+++ b/tests/dataplane/test_gossip.py
@@ -1,4 +1,4 @@
-"""Pilots among themselves, in virtual time: who is there, who has ended, and what one of them was told."""
+"""Gossip among data planes in virtual time: joins, failures, and the spread of a version."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     assert 0.0 <= found["all_know_all_s"] < 30.0
     assert found["wrongly_gone_most"] == 0 and found["bytes_s_most"] < LINK_SHARE_BYTES_S
     assert 0.0 <= found["news_half_s"] < 5.0 and 0.0 <= found["news_all_s"] < 5.0
-    # Whom no doubt reaches finds out in its own turn: a round for each of the others, and its patience.
+    # One that no suspicion reaches finds out by its own probe: a round for each of the others, and a timeout.
     own_turn_s = 1.2 * data_planes + 25.0
     assert 0.0 < found["gone_half_s"] < 25.0 and 0.0 < found["gone_all_s"] < own_turn_s
     assert 0.0 < found["unheard_gone_s"] < own_turn_s and 0.0 <= found["unheard_back_s"] < own_turn_s
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -1,4 +1,4 @@
-"""A pilot's decisions and a lighthouse's counts as pure machines, under random load."""
+"""A data plane's policies and a control plane's counts, without I/O and under random load."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_no_sliding_span_passes_the_ceiling_with_keepers_lost(seed: int) -> None:
-    """Pilots add, or rule alone while the keeper is away; keepers begin anew from the pilots' word."""
+    """Data planes add, or decide alone while the owner is away; new owners start from usage reports."""
     random = Random(seed)
     tenant = Tenant("t", 0, random.choice((7.0, 33.0, 63.0)), random.choice((0.0, 33.0, 63.0)))
     data_planes = [QuotaPolicy(SPAN_S, EXCESS, SLACK) for _ in range(8)]
     weights = [random.choice((1.0, 1.0, 4.0)) for _ in data_planes]
     owner: QuotaCounter | None = QuotaCounter(SPAN_S, EXCESS, SLACK)
     now, sent, away_until = 1e6, list[float](), 0.0
-    cut: set[int] = set()  # pilots that no keeper hears
+    cut: set[int] = set()  # data planes that no owner receives from
     while now < 1e6 + 60_000.0:
         hot = 8.0 if 20_000.0 < now - 1e6 < 40_000.0 else 0.6
         now += random.expovariate(max(1.0, tenant.rate) * hot) * 1000.0
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize(("told", "kept"), [(True, True), (False, False)])
 def test_what_pilots_cut_off_may_send_on_is_kept_back(told: bool, kept: bool) -> None:
-    """Half of the pilots of a hot tenant are cut off; without what is kept back the ceiling is passed."""
+    """Half of a hot tenant's data planes are cut off; without the reservation the ceiling is passed."""
     random, tenant = Random(3), Tenant("t", 0, 63.0, 63.0)
     data_planes, owner = (
         [QuotaPolicy(SPAN_S, EXCESS, SLACK) for _ in range(8)],
@@ -219,7 +219,7 @@
         if told and step % 250 == 0:
             for name, windows in owner.low_tenants(now, {"t": 63.0}).items():
                 other.receive_replicated(now, name, windows)
-    other.start_view(2000.0)  # and pilot p, which alone could tell, has ended too
+    other.start_view(2000.0)  # and data plane p, which alone could report, has ended too
     given = 0
     for step in range(2000, 5000):
         total, limit, _ = other.acquire(float(step), "t", "q", 63.0, 63.0)
--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -1,4 +1,4 @@
-"""Answers and the requests they belong to: a pilot's own path among peers that lie, stop and reset."""
+"""Responses and the requests they belong to: a data plane among faulty servers and clients."""
 
 from __future__ import annotations
 
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -87,16 +87,14 @@
 
     def __init__(
         self,
-        ip: str,
-        port: int,
+        address: tuple[str, int],
         clock: Clock,
         nursery: trio.Nursery,
         random: Random,
         host: GossipHost,
         datagrams: Datagrams,
     ) -> None:
-        self.ip = ip
-        self.port = port
+        self.ip, self.port = address
         self.clock = clock
         self.nursery = nursery
         self.random = random
@@ -104,7 +102,7 @@
         self.datagrams = datagrams
         now_s = clock.now() / 1000.0
         self.members: Membership[MemberInfo] = Membership(
-            ip, now_s, MemberInfo(ip), PROBE_INTERVAL_S, random.getrandbits(32), now_s
+            self.ip, now_s, MemberInfo(self.ip), PROBE_INTERVAL_S, random.getrandbits(32), now_s
         )
         self._probe_number = 0
         self._pending_acks: dict[int, Callable[[], None]] = {}
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -1,4 +1,4 @@
-"""A data plane process: its parts, how they are connected, and its start and end."""
+"""A data plane: its parts, and how they are connected."""
 
 from __future__ import annotations
 
@@ -12,9 +12,7 @@
 
 from wickspring import interface as api
 from wickspring.common import logs
-from wickspring.common.bootstrap import Bootstrap
 from wickspring.common.connection import PeerConnection, accept_connections
-from wickspring.common.errors import ErrorDetail, ErrorKind, GatewayError
 from wickspring.common.messages import (
     ConfigOffer,
     EndpointRecord,
@@ -32,7 +30,6 @@
 from wickspring.dataplane.gossip import GossipNode
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
-from wickspring.dataplane.readiness import ReadinessProbe, serve_readiness
 from wickspring.dataplane.request.admission import Admission
 from wickspring.dataplane.request.forwarding import Forwarder
 from wickspring.dataplane.request.model import IncomingRequest, RequestContext
@@ -44,9 +41,7 @@
 from wickspring.net.datagrams import Udp
 from wickspring.net.feed import Feed
 from wickspring.net.host import Host
-from wickspring.net.http1_front import Http1Connection, Patience
-from wickspring.net.link import Link
-from wickspring.net.listening import accept, close_listener, take_rest
+from wickspring.net.http1_front import Patience
 from wickspring.net.upstream.manager import Upstream
 
 CONNECTION_SHARE = 0.9  # of an endpoint's connections that all data planes together open
@@ -57,10 +52,7 @@
 FORGET_ENDPOINT_MS = 20_000.0
 READY_BY_ONE_MS = 2500.0  # since the start, after which one control plane's endpoints suffice to be ready
 STATISTICS_MS = 10_000.0
-DRAIN_ACCEPT_S = 0.4  # after SIGTERM, in which connections that are on their way are still accepted
-DRAIN_SHARE = 0.93  # of the time between SIGTERM and SIGKILL that requests in progress have
 DRAIN_POLL_S = 0.02
-CLOSE_S = 0.1  # for the last bytes to go out
 
 INITIAL_LIMITS = ConnectionLimits(
     most_per_server=MIN_CONNECTIONS,
@@ -101,9 +93,8 @@
         self.quota = QuotaPolicy(rules.quota_window_s, rules.quota_excess, rules.quota_slack)
         self.control_client = ControlClient(settings, self.clock, nursery, self.random, self.endpoints, self)
         self.datagrams = Udp(settings.ip, settings.talk_port)
-        self.gossip = GossipNode(
-            settings.ip, settings.talk_port, self.clock, nursery, self.random, self, self.datagrams
-        )
+        address = settings.ip, settings.talk_port
+        self.gossip = GossipNode(address, self.clock, nursery, self.random, self, self.datagrams)
         self.upstream = self._build_upstream()
         self.request_context = self._build_request_context()
         self.responder = Responder(self.request_context)
@@ -334,45 +325,3 @@
             await trio.sleep(DRAIN_POLL_S)
         for connection in list(self.connections):
             connection.end_quiet()
-
-
-async def serve(link: Link, data_plane: DataPlane) -> None:
-    """Serve one client's connection."""
-    await data_plane.serve(Http1Connection(link, data_plane, patience=data_plane.patience), link)
-
-
-async def run(started: Bootstrap, seed: int, ended: trio.Event) -> None:
-    """Run a data plane until `ended` is set; raise GatewayError where the settings name no listeners."""
-    settings = started.settings
-    front = started.front
-    ready = started.ready
-    if front is None or ready is None:
-        raise GatewayError(
-            ErrorDetail(ErrorKind.BAD_SETTINGS, "bind: a pilot needs front_http and ready_addr")
-        )
-    async with trio.open_nursery() as nursery:
-        data_plane = DataPlane(settings, nursery, seed)
-        data_plane.start(started.talk)
-        probe = ReadinessProbe(data_plane, nursery, data_plane.memory_mb)
-        nursery.start_soon(probe.timers.run)
-        probe.tidy()
-        nursery.start_soon(accept, ready, probe, serve_readiness)
-        nursery.start_soon(accept, front, data_plane, serve)
-        logs.log_event("started", ip=settings.ip, zone=settings.zone)
-        await ended.wait()
-        await _shut_down(data_plane, front)
-        nursery.cancel_scope.cancel()
-
-
-async def _shut_down(data_plane: DataPlane, front: socket.socket) -> None:
-    """Take the last connections that are on their way, and let requests in progress end."""
-    requests = data_plane.request_context.requests
-    data_plane.draining = True
-    logs.log_event("draining", requests_in_flight=len(requests))
-    with trio.move_on_after(DRAIN_SHARE * data_plane.settings.guarantees.grace_s):
-        await trio.sleep(DRAIN_ACCEPT_S)
-        take_rest(front, data_plane, serve)
-        close_listener(front)
-        await data_plane.drain()
-        await trio.sleep(CLOSE_S)
-    logs.log_event("stopped", requests_in_flight=len(requests))
--- a/wickspring/lab/simulation/gossip.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -86,7 +86,7 @@
         self.version = 0
         self.socket = VirtualSocket(group.network, self.ip)
         random = Random(group.random.getrandbits(32))
-        self.gossip = VirtualGossipNode(self.ip, 1, group.clock, nursery, random, self, self.socket)
+        self.gossip = VirtualGossipNode((self.ip, 1), group.clock, nursery, random, self, self.socket)
         self.gossip.group = group
 
     def knows(self, ip: str) -> bool:
--- a/wickspring/lab/simulation/request_path/simulation.py
+++ b/wickspring/lab/simulation/request_path/simulation.py
@@ -15,7 +15,7 @@
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.routing_table import build_routing_table
 from wickspring.common.settings import Limits, NodeSettings
-from wickspring.dataplane import process
+from wickspring.dataplane import server
 from wickspring.dataplane.process import DataPlane
 from wickspring.dataplane.upstream import NOT_EXECUTED_HEADER
 from wickspring.lab.emulation.local_gateway import API_KEY, HOST, PURE_PREFIX, gateway_config
@@ -152,11 +152,11 @@
         return config.replace(b'"timeout_s": 2.0', timeout)
 
     async def _drain(self) -> None:
-        """Do as `process.run` does when it is told to end."""
+        """Do as `server.run` does when it is told to end."""
         data_plane = self.data_plane
         await trio.sleep(self.random.uniform(0.0, 1.5))
         data_plane.draining = True
-        await trio.sleep(process.DRAIN_ACCEPT_S)
+        await trio.sleep(server.DRAIN_ACCEPT_S)
         self.requests_per_client = 0
         await data_plane.drain()
 
