--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,9 @@
 REAL_TIME_PATHS = (
     "agent/test_agent.py",
     "common/test_malformed_input.py",
-    "fleet/test_parts.py",
+    "fleet/test_node.py",
+    "fleet/test_processes.py",
+    "fleet/test_wire.py",
     "lab",
     "net",
     "system/test_example.py",
--- /dev/null
+++ b/tests/fleet/test_rollout.py
@@ -0,0 +1,215 @@
+"""Operations on a fleet: upgrades, restarts and drains, one batch after another."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import msgspec
+import pytest
+from rpds import HashTrieMap
+
+from tests.support.fleet import NOW, RULES, homes, record
+from wickspring.fleet import home, rollout
+from wickspring.fleet.home import Around
+from wickspring.fleet.model import FLEET, Kind, Operation, Phase, Step, scope_of
+
+
+class Drive:
+    """A coordinator and one home, with instances moved by hand."""
+
+    def __init__(self, kind: Kind, count: int = 3, build: str = "2", batch: int = 1) -> None:
+        self.home = homes(*(record(f"n{n}") for n in range(count)))
+        self.now, self.dead = NOW, frozenset[str]()
+        chosen = tuple(self.home.records[f"n{n}"] for n in range(count))
+        self.operation = rollout.plan(
+            kind, chosen, id="op", by="x", coordinator="a0", now=NOW, build=build, batch=batch
+        )
+
+    def turn(self, times: int = 4) -> Operation:
+        for _ in range(times):
+            setting = rollout.Setting(
+                self.home.records, {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES, self.dead
+            )
+            self.operation, asks = rollout.advance(self.operation, self.now, setting)
+            for one in asks:
+                self.home, reply = home.reduce(
+                    self.home, self.now, one.request, RULES, Around(self.home.records)
+                )
+                self.operation = rollout.heard(self.operation, self.now, one.agent, one.request, reply)
+        return self.operation
+
+    def be(self, name: str, state: str, **more: object) -> None:
+        old = self.home.records[name]
+        fields: dict[str, object] = {
+            "state": state,
+            "build": old.want.build,
+            "generation": old.want.generation,
+            "version": old.want.version,
+        }
+        self.home = home.observe(self.home, name, msgspec.structs.replace(old.seen, **{**fields, **more}))
+
+    def step(self, name: str) -> Step:
+        found = self.operation.find(name)
+        assert found is not None
+        return found.step
+
+    def pass_time(self, seconds: float) -> None:
+        for _ in range(int(seconds)):
+            self.now += 1.0
+            self.turn()
+
+
+def test_an_upgrade_goes_one_after_another_and_holds_each() -> None:
+    drive = Drive(Kind.UPGRADE)
+    drive.turn()
+    assert [drive.step(f"n{n}") for n in range(3)] == [Step.MOVING, Step.PENDING, Step.PENDING]
+    assert drive.home.records["n0"].want.build == "2"
+    drive.be("n0", "starting")
+    drive.pass_time(2)
+    assert drive.step("n0") is Step.MOVING
+    drive.be("n0", "ready")
+    drive.turn()
+    assert drive.step("n0") is Step.PROVING
+    drive.pass_time(RULES.hold_s + 1)
+    assert drive.step("n0") is Step.DONE
+    assert drive.step("n1") is Step.MOVING
+    for name in ("n1", "n2"):
+        drive.be(name, "ready")
+        drive.pass_time(RULES.hold_s + 3)
+    assert drive.turn().phase is Phase.DONE
+    assert all(one.claim is None for one in drive.home.records.values())
+    assert not drive.home.slots
+
+
+@pytest.mark.parametrize(
+    ("seen", "reason"),
+    [
+        ({"state": "waiting", "failures": 3, "last_exit": 1}, "ended 3 times, last with 1"),
+        ({"state": "ready", "requests": 100, "failed": 50}, "50 of 100 answers failed"),
+        ({"state": "silent"}, "was ready, and is silent"),
+    ],
+)
+def test_a_build_that_fails_is_taken_back_from_all_it_reached(seen: dict[str, object], reason: str) -> None:
+    drive = Drive(Kind.UPGRADE)
+    drive.turn()
+    drive.be("n0", "ready")
+    drive.pass_time(RULES.hold_s + 2)
+    assert drive.step("n0") is Step.DONE
+    if seen["state"] != "waiting":
+        drive.be("n1", "ready")
+        drive.turn()
+    drive.be("n1", **seen)  # type: ignore[arg-type]
+    drive.turn()
+    assert drive.operation.phase is Phase.REVERTING
+    assert reason in drive.operation.reason
+    assert drive.home.records["n1"].want.build == "1"
+    drive.be("n1", "ready", failures=0)
+    drive.pass_time(3)
+    assert drive.home.records["n0"].want.build == "1"
+    drive.be("n0", "ready")
+    drive.pass_time(3)
+    assert drive.turn().phase is Phase.FAILED
+    assert [drive.step(f"n{n}") for n in range(3)] == [Step.REVERTED, Step.REVERTED, Step.UNTOUCHED]
+
+
+def test_a_build_that_never_becomes_ready_ends_in_time() -> None:
+    drive = Drive(Kind.UPGRADE)
+    drive.turn()
+    drive.be("n0", "starting")
+    drive.pass_time(RULES.ready_within_s + RULES.drain_within_s + 2)
+    assert drive.operation.phase is Phase.REVERTING
+    assert "not ready after 30 s" in drive.operation.reason
+
+
+def test_an_agent_that_is_lost_is_no_fault_of_the_build_and_may_come_back() -> None:
+    drive = Drive(Kind.UPGRADE, count=2)
+    drive.turn()
+    drive.dead = frozenset({"a0"})
+    drive.turn(1)
+    assert drive.step("n0") is Step.LOST
+    assert drive.step("n1") is Step.LOST
+    drive = Drive(Kind.UPGRADE, count=1)
+    drive.turn()
+    drive.be("n0", "ready")
+    drive.turn(1)
+    assert drive.step("n0") is Step.PROVING
+
+
+def test_a_coordinator_that_has_come_back_waits_for_what_it_has_not_heard() -> None:
+    drive = Drive(Kind.UPGRADE, count=2)
+    drive.turn()
+    setting = rollout.Setting(HashTrieMap(), {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES)
+    after, _ = rollout.advance(drive.operation, NOW + 5.0, setting)
+    assert after.instances[0].step is Step.MOVING and after.phase is Phase.RUNNING
+    after, _ = rollout.advance(drive.operation, NOW + 60.0, setting)
+    assert after.instances[0].step is Step.LOST
+    others = replace(setting, records=drive.home.records.remove("n0"))  # its agent tells, not of it
+    after, _ = rollout.advance(drive.operation, NOW + 5.0, others)
+    assert "no agent tells of it" in after.reason
+
+
+def test_an_instance_whose_agent_has_come_back_proves_itself_anew() -> None:
+    drive = Drive(Kind.UPGRADE)
+    drive.turn()
+    drive.be("n0", "ready")
+    drive.turn()
+    assert drive.step("n0") is Step.PROVING
+    drive.be("n0", "starting", pid=0)
+    drive.turn()
+    assert drive.step("n0") is Step.MOVING
+    drive.be("n0", "ready")
+    drive.pass_time(RULES.hold_s + 2)
+    assert drive.step("n0") is Step.DONE
+    drive.be("n1", "ready")
+    drive.turn()
+    drive.be("n1", "starting", failures=1)  # it has ended by itself
+    drive.turn()
+    assert drive.operation.phase is Phase.REVERTING
+
+
+def test_drains_end_with_who_stopped_and_a_restart_has_a_new_generation() -> None:
+    drive = Drive(Kind.DRAIN, count=1)
+    drive.turn()
+    assert not drive.home.records["n0"].want.run
+    drive.be("n0", "draining")
+    drive.turn()
+    assert drive.step("n0") is Step.MOVING
+    drive.be("n0", "stopped")
+    assert drive.turn(6).phase is Phase.DONE
+    drive = Drive(Kind.RESTART, count=1)
+    drive.turn()
+    assert drive.home.records["n0"].want.generation == 1
+    drive.be("n0", "ready")
+    drive.pass_time(RULES.hold_s + 3)
+    assert drive.operation.phase is Phase.DONE
+
+
+def test_a_cancelled_operation_ends_what_is_under_way_and_begins_nothing() -> None:
+    drive = Drive(Kind.UPGRADE)
+    drive.turn()
+    drive.operation = rollout.cancel(drive.operation, drive.now, "boss")
+    drive.be("n0", "ready")
+    drive.pass_time(RULES.hold_s + 3)
+    assert drive.operation.phase is Phase.CANCELLED
+    assert [drive.step(f"n{n}") for n in range(3)] == [Step.DONE, Step.UNTOUCHED, Step.UNTOUCHED]
+    assert "boss" in drive.operation.reason
+
+
+def test_nothing_new_is_begun_without_a_quorum() -> None:
+    drive = Drive(Kind.UPGRADE)
+    setting = rollout.Setting(
+        drive.home.records, {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES, quorum=False
+    )
+    after, asks = rollout.advance(drive.operation, NOW, setting)
+    assert asks == []
+    assert after.phase is Phase.CLAIMING
+
+
+def test_a_hall_that_the_file_no_longer_names_loses_its_instances_and_ends_the_operation() -> None:
+    records = homes(record("n0")).records
+    planned = rollout.plan(Kind.RESTART, tuple(records.values()), id="op", by="x", coordinator="a0", now=NOW)
+    running = msgspec.structs.replace(planned, phase=Phase.RUNNING)
+    after, asks = rollout.advance(running, NOW, rollout.Setting(records, {FLEET: "a0"}, RULES))
+    assert asks == []
+    assert after.phase is Phase.FAILED
+    assert "hall:hall-a" in after.instances[0].note
