--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -452,16 +452,16 @@
 
 
 @pytest.fixture
-def seen(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[peer_ingresses.Among]]:
+def seen(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[peer_ingresses.PeerIngresses]]:
     """Keep the talk of each run, to look at what the ingresses said last."""
-    kept: list[peer_ingresses.Among] = []
-    real = peer_ingresses.Among.judge
+    kept: list[peer_ingresses.PeerIngresses] = []
+    real = peer_ingresses.PeerIngresses.judge
 
-    def judge(self: peer_ingresses.Among, result: Result, record: Any) -> None:
+    def judge(self: peer_ingresses.PeerIngresses, result: Result, record: Any) -> None:
         kept.append(self)
         real(self, result, record)
 
-    monkeypatch.setattr(peer_ingresses.Among, "judge", judge)
+    monkeypatch.setattr(peer_ingresses.PeerIngresses, "judge", judge)
     yield kept
 
 
@@ -485,7 +485,7 @@
 
 
 def test_six_ingresses_cut_by_hall_stay_within_every_bound_and_find_each_other_again(
-    seen: list[peer_ingresses.Among],
+    seen: list[peer_ingresses.PeerIngresses],
 ) -> None:
     cut = scenario.NetFault(
         at_s=1.0, for_s=2.5, kind="cut", source=("hall:0",), target=("not-hall:0", "counter")
@@ -501,7 +501,7 @@
 
 
 def test_stopped_killed_and_cut_one_way_ingresses_spend_no_more_than_the_bound(
-    seen: list[peer_ingresses.Among],
+    seen: list[peer_ingresses.PeerIngresses],
 ) -> None:
     faults = (
         scenario.Fault(at_s=1.0, for_s=3.0, kind="ingress-paused", ingresses=(1,)),
@@ -521,7 +521,7 @@
 
 
 def test_with_the_counter_silent_six_that_hear_each_other_tell_what_they_send_on(
-    seen: list[peer_ingresses.Among],
+    seen: list[peer_ingresses.PeerIngresses],
 ) -> None:
     silent = scenario.Fault(at_s=1.0, for_s=4.0, kind="counter-silent")
     result = play("peers-counter-lost", 5.0, silent)
--- a/tests/policy/test_cold_servers.py
+++ b/tests/policy/test_cold_servers.py
@@ -13,7 +13,7 @@
 from tests.support.policy_gateway import Gateway, every
 from wickspring import interface as api
 from wickspring.interface import Readiness, Status
-from wickspring.lab.simulation.ingress_site import Timeline
+from wickspring.lab.simulation.timeline import Timeline
 
 GATEWAYS, SERVERS, REPLACED = 40, 60, 36
 CORES, WORK_MS = 2, 200.0  # so a warm server does ten requests a second
--- a/wickspring/lab/emulation/peer_ingresses.py
+++ b/wickspring/lab/emulation/peer_ingresses.py
@@ -1,7 +1,7 @@
-"""Ingresses that talk to each other, as a run sets them up and looks at them from outside.
+"""Gateways that exchange messages as peers, as a run sets them up and observes them from outside.
 
-What they hold of shared budgets is told by each one's own account of rights spent, held against what arrived
-at ticket servers; whom they avoid is seen by what arrives, and by asking them as an operator would.
+What they spend of shared budgets is read from each one's own log of spent rights and compared with what
+arrived at ticket servers; whom they avoid is seen by what arrives, and by asking them as an operator would.
 """
 
 from __future__ import annotations
@@ -24,10 +24,16 @@
 from wickspring.peer_state.messages import NUMBERS, Reply, StatusRequest, View
 from wickspring.wire import Link, WireError, connect
 
-SAMPLE_S, ASK_S = 0.5, 1.0
-JITTER = 0.3  # of a hold by which what arrives may be drawn together on its way
-COUNTER, DISCOVERY = "counter", "discovery"
-_LIAR = """
+SAMPLE_S = 0.5  # between looks at each gateway's status
+STATUS_TIMEOUT_S = 1.0
+ARRIVAL_JITTER = 0.3  # of a hold by which arrivals may be drawn together on their way
+HEARSAY_END_MS = 6000.0  # after a fault's end until its reports have expired
+MS_PER_S = 1000.0
+COUNTER = "counter"
+DISCOVERY = "discovery"
+DETECTED_FAULTS = ("spoilt", "accept-silent", "failing")  # kinds of a server's fault
+AVOIDABLE_FAULTS = (*DETECTED_FAULTS, "slow", "restart")
+_LIAR_MAIN = """
 from wickspring.peer_state import shares
 from wickspring.peer_state.judgements import FailingServer, FailureReport
 
@@ -42,90 +48,95 @@
 from wickspring.cli import main
 main()
 """
-_replies = msgspec.json.Decoder(Reply)
+_reply_decoder = msgspec.json.Decoder(Reply)
 
 
 def liar_build(folder: Path) -> Path:
-    """Write a build that says of every ticket server that it fails; all else is the present program."""
-    return odd_build(folder / "liar", "liar", _LIAR)
+    """Write a build that reports every ticket server as failing; all else is the present program."""
+    return odd_build(folder / "liar", "liar", _LIAR_MAIN)
 
 
-class Among:
-    """The talk between the ingresses of a run."""
+class PeerIngresses:
+    """The exchanges between the gateways of a run, their network faults and their evaluation."""
 
     def __init__(
         self, scenario: Scenario, seed: int, site: Site, folder: Path, nursery: trio.Nursery
     ) -> None:
-        self.scenario, self.part, self.site, self.folder = scenario, scenario.peers, site, folder
+        self.scenario = scenario
+        self.config = scenario.peers
+        self.site = site
+        self.folder = folder
+        self.nursery = nursery
         self.count = scenario.ingresses.count
         self.relay = Relay(nursery, Random(f"relay {seed}"))
-        self.nursery = nursery
-        self.places = [f"127.0.0.1:{free_port()}" for _ in range(self.count)]
-        self.relayed = bool(scenario.net)
-        self.wrong = self.sampled = 0.0  # servers avoided wrongly, and looked at, in samples
-        self.views: dict[int, View] = {}
+        self.is_relayed = bool(scenario.net)
+        self.addresses = [f"127.0.0.1:{free_port()}" for _ in range(self.count)]
+        self.wrongly_avoided = 0  # servers, in all samples
+        self.sampled = 0  # servers, in all samples
+        self.views: dict[int, View] = {}  # the last status of each gateway
+        self.avoided_since: dict[tuple[int, str], float] = {}  # by gateway and server: ms of the run
         self._links: dict[int, Link] = {}
-        self.avoids: dict[tuple[int, str], float] = {}  # by ingress and server: since when by hearsay, ms
 
-    # Before.
+    # Setting up.
 
     async def reach(self, number: int, target: str, address: str) -> str:
-        """Return where an ingress reaches the counter or discovery."""
-        return await self.relay.path(f"n{number}", target, lambda: address) if self.relayed else address
+        """Return the address at which a gateway reaches the counter or discovery."""
+        return await self.relay.path(f"n{number}", target, lambda: address) if self.is_relayed else address
 
     async def write(self, number: int) -> Path:
-        """Write an ingress's file."""
+        """Write a gateway's peers.toml and return its path."""
         path = self.folder / f"n{number}-peers.toml"
-        if not self.part.enabled:
+        if not self.config.enabled:
             path.write_text("enabled = false\n")
             return path
         routes = {other: await self._route(number, other) for other in range(self.count) if other != number}
         seeds = [routes[other] for other in (0, 1, self.count - 1) if other in routes]
         lines = [
             "enabled = true",
-            f'listen = "{self.places[number]}"',
+            f'listen = "{self.addresses[number]}"',
             f"seeds = {seeds!r}".replace("'", '"'),
-            f"round_s = {self.part.round_s}",
+            f"round_s = {self.config.round_s}",
             f'account = "n{number}-rights"',
-            f"counts = {str(self.part.counts).lower()}",
-            f"judgements = {str(self.part.judgements).lower()}",
+            f"counts = {str(self.config.counts).lower()}",
+            f"judgements = {str(self.config.judgements).lower()}",
             "[budgets]",
         ]
-        for key, value in msgspec.to_builtins(self.part.budgets).items():
+        for key, value in msgspec.to_builtins(self.config.budgets).items():
             lines.append(f"{key} = {str(value).lower() if isinstance(value, bool) else value}")
-        lines += ["[route]", *(f'n{other} = "{place}"' for other, place in routes.items())]
+        lines += ["[route]", *(f'n{other} = "{address}"' for other, address in routes.items())]
         path.write_text("\n".join(lines) + "\n")
         return path
 
     async def _route(self, number: int, other: int) -> str:
-        if not self.relayed:
-            return self.places[other]
-        return await self.relay.path(f"n{number}", f"n{other}", lambda: self.places[other])
+        if not self.is_relayed:
+            return self.addresses[other]
+        return await self.relay.path(f"n{number}", f"n{other}", lambda: self.addresses[other])
 
-    # Meanwhile.
+    # During the run.
 
     async def faults(self) -> None:
-        """Carry out the faults of the network at their times."""
+        """Start the faults of the network; each waits for its time."""
         for fault in self.scenario.net:
-            self.nursery.start_soon(self._fault, fault)
+            self.nursery.start_soon(self._inject, fault)
 
-    async def _fault(self, fault: NetFault) -> None:
+    async def _inject(self, fault: NetFault) -> None:
+        sources = parties(self.scenario, fault.source)
+        targets = parties(self.scenario, fault.target)
         for turn in range(fault.times):
-            at = 1000.0 * (fault.at_s + turn * (fault.for_s + fault.off_s))
-            await trio.sleep(max(0.0, at - self.site.clock.now()) / 1000.0)
-            sources, targets = (parties(self.scenario, some) for some in (fault.source, fault.target))
+            at = MS_PER_S * (fault.at_s + turn * (fault.for_s + fault.off_s))
+            await trio.sleep(max(0.0, at - self.site.clock.now()) / MS_PER_S)
             rule = self.relay.apply(fault, sources, targets)
             await trio.sleep(fault.for_s)
             self.relay.lift(rule)
 
     async def view(self, number: int) -> View | None:
-        """Ask an ingress what it holds and hears, as an operator does."""
+        """Ask a gateway for its status, as an operator does; None where there is no answer."""
         link = self._links.pop(number, None)
-        with trio.move_on_after(ASK_S):
+        with trio.move_on_after(STATUS_TIMEOUT_S):
             try:
                 if link is None:
-                    link = await connect(self.places[number], f"n{number}", NUMBERS)
-                view = (await link.ask(StatusRequest(), _replies)).view
+                    link = await connect(self.addresses[number], f"n{number}", NUMBERS)
+                view = (await link.ask(StatusRequest(), _reply_decoder)).view
                 self._links[number] = link
                 return view
             except (WireError, OSError, trio.BrokenResourceError, msgspec.DecodeError):
@@ -135,8 +146,8 @@
         return None
 
     async def sample(self) -> None:
-        """Look again and again whom each avoids by hearsay."""
-        while self.part.enabled:
+        """Sample periodically whom each gateway avoids by hearsay."""
+        while self.config.enabled:
             async with trio.open_nursery() as nursery:
                 for number in range(self.count):
                     nursery.start_soon(self._look, number)
@@ -149,98 +160,118 @@
         self.views[number] = view
         now = self.site.clock.now()
         for server in view.avoided:
-            self.avoids.setdefault((number, server), now)
+            self.avoided_since.setdefault((number, server), now)
         bad = {f"s-{index}" for index in bad_servers(self.scenario, now)}
-        self.wrong += len([server for server in view.avoided if server not in bad])
+        self.wrongly_avoided += len(view.avoided.keys() - bad)
         self.sampled += self.scenario.servers.count
 
-    # After.
+    # Evaluation.
 
     def judge(self, result: Result, record: Record) -> None:
         """Add the figures of shared state to a result."""
+        plans = self.site.script.plans
+        attempts = self.site.tries
         result.ingresses = self.count
-        result.quota_error_worst = rules.quota_error_worst(record, self.site.script.plans, self.site.tries)
-        outside = rules.beyond_ids(record, self.site.script.plans, self.site.tries)
-        inside = [one for one in record.asked if one.plan.call_id not in outside and one.outcome == "served"]
-        result.served_inside_share = len(inside) / max(1, len(record.asked))
-        result.judged_s, result.judged_worst_s = judged(self.scenario, record, self.avoids)
-        if not self.part.enabled:
+        result.quota_error_worst = rules.quota_error_worst(record, plans, attempts)
+        over_quota = rules.beyond_ids(record, plans, attempts)
+        served_inside = sum(
+            asked.plan.call_id not in over_quota and asked.outcome == "served" for asked in record.asked
+        )
+        result.served_inside_share = served_inside / max(1, len(record.asked))
+        result.judged_s, result.judged_worst_s = judged(self.scenario, record, self.avoided_since)
+        if not self.config.enabled:
             return
-        result.judged_wrong_share = self.wrong / max(1.0, self.sampled)
-        result.budget_overspent_worst, names = self._overspent(record)
-        result.violations += names
-        result.rules_broken += len(names)
-        ups = [view for view in self.views.values() if view.up_s > 0]
-        result.peer_bytes_s = max((view.bytes_out / view.up_s for view in ups), default=-1.0)
-
-    def _overspent(self, record: Record) -> tuple[float, list[str]]:
-        spends = defaultdict[str, list[float]](list)
+        result.judged_wrong_share = self.wrongly_avoided / max(1, self.sampled)
+        overspent = [*self._overspent_by_logs(), *self._overspent_dials(record)]
+        result.budget_overspent_worst = max([0.0, *(share for share, _ in overspent)])
+        violations = [violation for share, violation in overspent if share > 0]
+        result.violations += violations
+        result.rules_broken += len(violations)
+        started = [view for view in self.views.values() if view.up_s > 0]
+        result.peer_bytes_s = max((view.bytes_out / view.up_s for view in started), default=-1.0)
+
+    def _overspent_by_logs(self) -> list[tuple[float, str]]:
+        """Return by how much each budget was overspent by the logs of spent rights, with a message."""
+        bounds = self.config.budgets
+        rights = {
+            "retries": bounds.retries_per_s,
+            "probes": bounds.probes_per_s,
+            "dials": bounds.dials_per_server_s,
+            "cold": bounds.cold_attempts,
+        }
+        overspent = []
+        for name, times in self._spent_rights().items():
+            kind = name.partition(" ")[0]
+            if rights.get(kind, 0):
+                hold_ms = self.scenario.shape.fall_ms if kind == "cold" else MS_PER_S
+                share = peak(times, hold_ms, closed=False) / rights[kind] - 1.0
+                overspent.append((share, f"budget: {name} passed by {share:.2f} in an account"))
+        return overspent
+
+    def _spent_rights(self) -> dict[str, list[float]]:
+        """Return when rights of each budget were spent, by the logs of all gateways."""
+        spent = defaultdict[str, list[float]](list)
         for number in range(self.count):
             path = self.folder / f"n{number}-rights"
             for line in path.read_text().splitlines() if path.exists() else ():
-                when, _, name = line.partition(" ")
-                spends[name].append(float(when))
-        worst, names = 0.0, list[str]()
-        bounds = self.part.budgets
-        for name, times in spends.items():
-            kind = name.partition(" ")[0]
-            rights = {
-                "retries": bounds.retries_per_s,
-                "probes": bounds.probes_per_s,
-                "dials": bounds.dials_per_server_s,
-                "cold": bounds.cold_attempts,
-            }.get(kind, 0)
-            hold = self.scenario.shape.fall_ms if kind == "cold" else 1000.0
-            if rights:
-                share = peak(times, hold, closed=False) / rights - 1.0
-                worst = max(worst, share)
-                if share > 0:
-                    names.append(f"budget: {name} passed by {share:.2f} in an account")
-        if bounds.dials_per_server_s:  # and as ticket servers saw it
-            by_server = defaultdict[str, list[float]](list)
-            for at, server in record.dials:
-                by_server[server].append(at)
-            for server, times in by_server.items():
-                share = peak(times, (1.0 - JITTER) * 1000.0, closed=False) / bounds.dials_per_server_s - 1.0
-                worst = max(worst, share)
-                if share > 0:
-                    names.append(f"budget: dials at {server} passed by {share:.2f} as it saw them")
-        return worst, names
+                at, _, name = line.partition(" ")
+                spent[name].append(float(at))
+        return spent
+
+    def _overspent_dials(self, record: Record) -> list[tuple[float, str]]:
+        """Return by how much the budget of dials was overspent at each server, as the server saw it."""
+        limit = self.config.budgets.dials_per_server_s
+        if not limit:
+            return []
+        dials = defaultdict[str, list[float]](list)
+        for at, server in record.dials:
+            dials[server].append(at)
+        span_ms = (1.0 - ARRIVAL_JITTER) * MS_PER_S
+        overspent = []
+        for server, times in dials.items():
+            share = peak(times, span_ms, closed=False) / limit - 1.0
+            overspent.append((share, f"budget: dials at {server} passed by {share:.2f} as it saw them"))
+        return overspent
 
 
 def bad_servers(scenario: Scenario, at_ms: float) -> set[int]:
-    """Return the servers that are made to fail at a time, and until the words of it are over."""
+    """Return the servers that are made to fail at a time, or of which reports have not expired yet."""
     return {
         server
         for fault in scenario.fault
-        if fault.kind in ("spoilt", "accept-silent", "failing", "slow", "restart")
-        and 1000.0 * fault.at_s <= at_ms <= 1000.0 * (fault.at_s + fault.for_s) + 6000.0
+        if fault.kind in AVOIDABLE_FAULTS
+        and MS_PER_S * fault.at_s <= at_ms <= MS_PER_S * (fault.at_s + fault.for_s) + HEARSAY_END_MS
         for server in fault.servers
     }
 
 
-def judged(scenario: Scenario, record: Record, avoids: dict[tuple[int, str], float]) -> tuple[float, float]:
-    """Return the seconds until an ingress has learnt of a bad server: the median, and of nine in ten.
+def judged(
+    scenario: Scenario, record: Record, avoided_since: dict[tuple[int, str], float]
+) -> tuple[float, float]:
+    """Return the seconds until a gateway has learnt of a bad server: the median, and of nine in ten.
 
     It learns by an attempt of its own that failed, or by hearsay; one that never did, by the fault's end.
     """
-    place = {asked.plan.call_id: asked.place for asked in record.asked}
-    took = list[float]()
+    gateway_of_call = {asked.plan.call_id: asked.place for asked in record.asked}
+    took_s = list[float]()
     for fault in scenario.fault:
-        if fault.kind not in ("spoilt", "accept-silent", "failing"):
+        if fault.kind not in DETECTED_FAULTS:
             continue
-        begin, end = 1000.0 * fault.at_s, 1000.0 * (fault.at_s + fault.for_s)
+        begin = MS_PER_S * fault.at_s
+        end = MS_PER_S * (fault.at_s + fault.for_s)
         for server in (f"s-{number}" for number in fault.servers):
-            learnt = {
-                number: at for (number, name), at in avoids.items() if name == server and begin <= at <= end
+            learnt_at = {
+                number: at
+                for (number, name), at in avoided_since.items()
+                if name == server and begin <= at <= end
             }
             for arrival in record.arrivals:
                 if arrival.server == server and begin <= arrival.whole <= end:
-                    number = place.get(arrival.call_id, -1)
-                    learnt[number] = min(arrival.whole, learnt.get(number, end))
+                    number = gateway_of_call.get(arrival.call_id, -1)
+                    learnt_at[number] = min(arrival.whole, learnt_at.get(number, end))
             for number in range(scenario.ingresses.count):
-                took.append((learnt.get(number, end) - begin) / 1000.0)
-    return middle_and_ninth(took)
+                took_s.append((learnt_at.get(number, end) - begin) / MS_PER_S)
+    return middle_and_ninth(took_s)
 
 
 def middle_and_ninth(took: list[float]) -> tuple[float, float]:
--- a/wickspring/lab/simulation/ingress_site.py
+++ b/wickspring/lab/simulation/ingress_site.py
@@ -15,8 +15,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
-from heapq import heappop, heappush
-from itertools import count
 from random import Random
 
 from wickspring import interface as api
@@ -30,6 +28,7 @@
 from wickspring.lab.experiments.scenario import Fault, Scenario
 from wickspring.lab.reports.record import Arrival, Asked, Record
 from wickspring.lab.reports.result import Result
+from wickspring.lab.simulation.timeline import Timeline
 from wickspring.lab.traffic import schedule as scripts
 
 EPOCH = 1_000_000_000.0  # the gateways' clock at the beginning of a run, ms
@@ -49,37 +48,6 @@
     over: bool = False
 
 
-class Timeline:
-    """Events by time, those of one time in the order of their making."""
-
-    def __init__(self) -> None:
-        self.now = 0.0
-        self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = count()
-
-    def at(self, when: float, action: Callable[[], None]) -> None:
-        """Have something done at a time."""
-        heappush(self._heap, (max(when, self.now), next(self._order), action))
-
-    def every(
-        self, ms: float, first: float, action: Callable[[], None], random: Random | None = None
-    ) -> None:
-        """Do something again and again, first after a part of `ms`; by `random`, after 0.5 to 1.5 of it."""
-
-        def again() -> None:
-            action()
-            self.at(self.now + ms * (0.5 + random.random() if random is not None else 1.0), again)
-
-        self.at(self.now + ms * first, again)
-
-    def run(self, until: float) -> None:
-        """Do all that is due until a time."""
-        while self._heap and self._heap[0][0] <= until:
-            self.now, _, action = heappop(self._heap)
-            action()
-        self.now = until
-
-
 class VirtualServer:
     """Cores that serve pieces of work in the order of coming; its connections' other ends."""
 
--- a/wickspring/lab/simulation/large_fleet.py
+++ b/wickspring/lab/simulation/large_fleet.py
@@ -21,7 +21,7 @@
 from wickspring.lab.experiments.scenario import FleetPart, Scenario
 from wickspring.lab.reports.record import Record as Sights
 from wickspring.lab.reports.result import Result
-from wickspring.lab.simulation.ingress_site import Timeline
+from wickspring.lab.simulation.timeline import Timeline
 from wickspring.membership.anti_entropy import Digest
 
 BASE = 1_000_000.0  # seconds; the agents' clock at the beginning
--- a/wickspring/lab/simulation/large_peers.py
+++ b/wickspring/lab/simulation/large_peers.py
@@ -24,7 +24,7 @@
 from wickspring.lab.experiments.scenario import Scenario, parties
 from wickspring.lab.reports.record import Record
 from wickspring.lab.reports.result import Result
-from wickspring.lab.simulation.ingress_site import Timeline
+from wickspring.lab.simulation.timeline import Timeline
 from wickspring.lab.traffic import schedule as scripts
 from wickspring.peer_state.messages import PeerInfo, PeerMessage
 from wickspring.peer_state.participant import Participant
