--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -7,7 +7,6 @@
 import subprocess
 import sys
 import time
-from collections.abc import Iterator
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -452,7 +451,7 @@
 
 
 @pytest.fixture
-def seen(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[peer_ingresses.PeerIngresses]]:
+def seen(monkeypatch: pytest.MonkeyPatch) -> list[peer_ingresses.PeerIngresses]:
     """Keep the talk of each run, to look at what the ingresses said last."""
     kept: list[peer_ingresses.PeerIngresses] = []
     real = peer_ingresses.PeerIngresses.judge
@@ -462,7 +461,7 @@
         real(self, result, record)
 
     monkeypatch.setattr(peer_ingresses.PeerIngresses, "judge", judge)
-    yield kept
+    return kept
 
 
 def play(name: str, seconds: float, *faults: scenario.Fault | scenario.NetFault, **changes: Any) -> Result:
--- a/wickspring/controlplane/endpoint_service.py
+++ b/wickspring/controlplane/endpoint_service.py
@@ -61,7 +61,7 @@
         if changed is None:
             return
         logs.log_event(
-            "server",
+            "endpoint_changed",
             id=changed.id,
             service=changed.service,
             state=changed.state,
@@ -89,7 +89,11 @@
         """Return the address for heartbeats from a zone: of a node there that is in reach, else this one."""
         if zone != self._settings.zone:
             for ip, status in self._replication.peers.statuses.items():
-                if status.zone == zone and not status.unhealthy and self._replication.peers.is_reachable(ip):
+                if (
+                    status.zone == zone
+                    and not status.is_unhealthy
+                    and self._replication.peers.is_reachable(ip)
+                ):
                     return status.control_address
         return self._settings.bind.control_addr
 
@@ -164,7 +168,7 @@
         lost = sorted(self._unreported_lost & self._registry.lost)
         self._unreported_lost.clear()
         if lost:
-            logs.log_event("servers_silent", ids=",".join(lost))
+            logs.log_event("endpoints_timed_out", ids=",".join(lost))
             self._data_planes.broadcast(EndpointsLost(lost))
 
     @property
--- a/wickspring/controlplane/peer_messages.py
+++ b/wickspring/controlplane/peer_messages.py
@@ -3,13 +3,12 @@
 from __future__ import annotations
 
 from wickspring.common.messages import (
-    NODE_REQUESTS,
     EndpointHeartbeats,
     EndpointsChanged,
+    NodeRequest,
     QuotaShares,
     ReplicatedCounts,
     RequestEndpoints,
-    WireMessage,
 )
 from wickspring.controlplane.endpoint_service import EndpointService
 from wickspring.controlplane.quota_service import QuotaService
@@ -24,12 +23,8 @@
         self._endpoints = endpoints
         self._quota = quota
 
-    def receive(self, node_ip: str, wire_message: WireMessage) -> None:
-        """Handle a message of another node; those with unknown names are ignored.
-
-        Raises one of `DECODE_ERRORS` where it is malformed.
-        """
-        message = NODE_REQUESTS.decode(wire_message)
+    def receive(self, node_ip: str, message: NodeRequest) -> None:
+        """Handle a message of another node; those of the replication protocol are ignored."""
         match message:
             case EndpointsChanged():
                 self._endpoints.receive_endpoints(message.endpoints)
--- a/wickspring/lab/experiments/capacity_steps.py
+++ b/wickspring/lab/experiments/capacity_steps.py
@@ -157,7 +157,7 @@
 def _selector(endpoints: list[Endpoint]) -> EndpointSelector:
     selector = EndpointSelector("a", 1)
     for endpoint in endpoints:
-        selector.heard(0.0, endpoint)
+        selector.update(0.0, endpoint)
     return selector
 
 
@@ -170,13 +170,7 @@
 
 
 def _selector_digest(selector: EndpointSelector) -> int:
-    return endpoints_digest(
-        [
-            candidate.server
-            for endpoint_id, candidate in selector.candidates.items()
-            if not candidate.lost and selector.takes(endpoint_id)
-        ]
-    )
+    return selector.digest()
 
 
 def endpoint_steps(count: int) -> dict[str, float]:
@@ -212,7 +206,7 @@
 def _quota_policy(tenants: int) -> QuotaPolicy:
     policy = QuotaPolicy(QUOTA_SPAN_S, QUOTA_EXCESS, QUOTA_SLACK)
     for number in range(tenants):
-        policy.sent(NOW_MS, f"t{number}ab1c")
+        policy.charge(NOW_MS, f"t{number}ab1c")
     return policy
 
 
--- a/wickspring/lab/simulation/virtual_run.py
+++ b/wickspring/lab/simulation/virtual_run.py
@@ -18,7 +18,7 @@
 
 from wickspring.common import connection as connection_module
 from wickspring.common.connection import PeerConnection
-from wickspring.common.lifecycle import GC_AFTER
+from wickspring.common.lifecycle import GC_THRESHOLDS
 from wickspring.common.messages import Message as TypedMessage
 from wickspring.dataplane import gossip as gossip_module
 from wickspring.dataplane import process as dataplane_process
@@ -30,7 +30,6 @@
 from wickspring.net import host
 
 START_S = 2.0  # for the control plane to elect its first view
-OLDER_GENERATIONS_GC = (20, 20)
 
 Scenario = Callable[[VirtualGateway], Awaitable[dict[str, Any]]]
 
@@ -95,7 +94,7 @@
     previous = gc.get_threshold()
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_AFTER, *OLDER_GENERATIONS_GC)
+    gc.set_threshold(*GC_THRESHOLDS)
     try:
         yield
     finally:
