--- a/wickspring/controlplane/storage.py
+++ b/wickspring/controlplane/storage.py
@@ -74,7 +74,7 @@
             try:
                 return action()
             except (sqlite3.OperationalError, OSError) as error:
-                logs.log_event("open_failed", reason=error)
+                logs.log_event("store_open_failed", reason=error)
                 self._pause(OPEN_RETRY_S)
         return action()
 
--- a/wickspring/lab/simulation/virtual_gateway.py
+++ b/wickspring/lab/simulation/virtual_gateway.py
@@ -109,9 +109,9 @@
             self.data_planes[ip] = data_plane
             self.network.listen(ip, INGRESS, nursery, data_plane.gossip.serve)
             self._start_task(nursery, "requests", data_plane.timers.run)
-            self._start_task(nursery, "ticks", data_plane.control_client.tick)
+            self._start_task(nursery, "ticks", data_plane.control_client.run)
             self._start_task(nursery, "gossip", data_plane.gossip.run)
-            data_plane.upkeep()
+            data_plane.maintain()
 
         self._start_process(ip, INGRESS, start)
 
