--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -210,12 +210,6 @@
     return message
 
 
-def decoded_reply(packed: list[Any]) -> messages.NodeReply:
-    message = messages.NODE_REPLIES.decode(packed)
-    assert message is not None
-    return message
-
-
 def receiver(system: VirtualSystem, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
     """Return what takes such a message today."""
     connection = PeerConnection(link, VirtualClock())
@@ -229,7 +223,7 @@
             return lambda message: chain.receive(0.0, connection.name, decoded(message[1]))
         if kind == "tock" or (kind == "cores" and len(one["message"]) > 1):
             peers = control_plane.replication.peers
-            return lambda message: peers.on_reply(connection, decoded_reply(message))
+            return lambda message: peers.on_reply(connection, typed(messages.NODE_REPLIES, message))
         if one["from"] == CONTROL and kind != "hello":
             session.is_control_plane_node = True
         return lambda message: control_plane.peer_server.receive(session, message)
