--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -27,7 +27,7 @@
 from wickspring.core import succession
 from wickspring.core.reducer import Reducer
 from wickspring.lab.emulation.site import free_port
-from wickspring.net import handover, keepsake
+from wickspring.net import handover, maintenance_store
 from wickspring.net.handover import Predecessor, Successor
 from wickspring.routing.maintenance import Maintenance
 
@@ -376,10 +376,10 @@
 
 def test_the_maintenance_set_is_kept_beside_the_socket(folder: Path) -> None:
     path, held = folder / "a.sock", Maintenance()
-    assert keepsake.load(path) == ([], {})
+    assert maintenance_store.load(path) == ([], {})
     held.listed(listed(1, 2))
     held.exclude(Gateway.entry(1).server)
-    keepsake.save(path, held)
-    assert keepsake.load(path) == ([Gateway.entry(1).server], {})
+    maintenance_store.save(path, held)
+    assert maintenance_store.load(path) == ([Gateway.entry(1).server], {})
     path.with_suffix(".maintenance").write_bytes(b"\xc1")
-    assert keepsake.load(path) == ([], {})
+    assert maintenance_store.load(path) == ([], {})
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -20,7 +20,7 @@
 from wickspring.commands import top
 from wickspring.interface import ListKind, Readiness
 from wickspring.lab.emulation.site import free_port
-from wickspring.net import door, listening
+from wickspring.net import admin_api, listening
 from wickspring.routing.maintenance import Maintenance
 
 
@@ -127,7 +127,7 @@
     listener = listening.listen(("127.0.0.1", 0), defer=False)
     with trio.fail_after(30):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(door.Door(listener, desk, nursery).run)
+            nursery.start_soon(admin_api.AdminApi(listener, desk, nursery).run)
             yield listener.getsockname()
             nursery.cancel_scope.cancel()
 
@@ -212,8 +212,8 @@
         desk = Desk()
         desk.serving = True
         async with opened(desk) as place:
-            held = [await trio.open_tcp_stream(*place) for _ in range(3 * door.PLACES)]
-            for stream in held[: door.PLACES]:
+            held = [await trio.open_tcp_stream(*place) for _ in range(3 * admin_api.MAX_CONNECTIONS)]
+            for stream in held[: admin_api.MAX_CONNECTIONS]:
                 await stream.send_all(b"GET /api/re")
             assert (await call(place, b"GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n"))[0] == 200
 
--- a/wickspring/net/door.py
+++ b/wickspring/net/admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' door: HTTP/1.1, one call to a connection, apart from all that clients may use up."""
+"""The admin API for operators: HTTP/1.1, one call to a connection, apart from all that clients may use up."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 from wickspring.logs import kv
 from wickspring.net.link import Link
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("wickspring.net.door")  # the name in the log lines that operators search
 
-PLACES = 16  # connections at once, set aside for the door
-WHOLE_S = 5.0  # for a call to come whole
+MAX_CONNECTIONS = 16  # connections at once, set aside for operators
+REQUEST_TIMEOUT_S = 5.0  # for a complete call to arrive
 LINGER_S = 1.0  # for the caller to read its answer and close
-MOST_HEAD, MOST_BODY = 8 * 1024, 4 * 1024
+MAX_HEAD_BYTES = 8 * 1024
+MAX_BODY_BYTES = 4 * 1024
 METHODS = {"/api/ready": "GET", "/api/exclude": "PUT", "/api/include": "PUT"}
 
 
 class Operations(Protocol):
-    """What may be asked for at the door."""
+    """What operators may ask for."""
 
     @property
     def serving(self) -> bool:
@@ -77,7 +78,7 @@
     """Reads the one call of a connection from pieces of any size."""
 
     def __init__(self) -> None:
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: h11.Request | None = None
         self.body = bytearray()
 
@@ -95,8 +96,8 @@
                     raise CallRefusedError(400, "host: given twice")
             elif isinstance(event, h11.Data):
                 self.body += event.data
-                if len(self.body) > MOST_BODY:
-                    raise CallRefusedError(413, f"body: over {MOST_BODY} bytes")
+                if len(self.body) > MAX_BODY_BYTES:
+                    raise CallRefusedError(413, f"body: over {MAX_BODY_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 return True
 
@@ -124,7 +125,7 @@
         return data
 
 
-class Door:
+class AdminApi:
     """Listens at one address and answers each call on its own connection."""
 
     def __init__(self, listener: socket.socket, operations: Operations, nursery: trio.Nursery) -> None:
@@ -149,7 +150,7 @@
             else:
                 link = Link(sock, self.nursery)
                 self._open[link] = None
-                while len(self._open) > PLACES:
+                while len(self._open) > MAX_CONNECTIONS:
                     oldest = next(iter(self._open))
                     del self._open[oldest]
                     oldest.close()
@@ -158,9 +159,9 @@
     async def _serve(self, link: Link) -> None:
         reader = CallReader()
         try:
-            with trio.move_on_after(WHOLE_S):
+            with trio.move_on_after(REQUEST_TIMEOUT_S):
                 await self._call(link, reader)
-        except Exception as error:  # one caller's oddity must not close the door
+        except Exception as error:  # one caller's oddity must not end the API
             log.exception("door_call_failed", extra=kv(reason=error))
         finally:
             self._open.pop(link, None)
--- a/wickspring/net/keepsake.py
+++ b/wickspring/net/maintenance_store.py
@@ -11,7 +11,7 @@
 from wickspring.logs import kv
 from wickspring.routing.maintenance import Maintenance
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("wickspring.net.keepsake")  # the name in the log lines that operators search
 
 MOST_FILE = 1 << 20  # bytes; a file that is longer is none of ours
 
--- a/wickspring/net/server.py
+++ b/wickspring/net/server.py
@@ -19,7 +19,7 @@
 from wickspring.core import succession
 from wickspring.core.succession import VERSION, State, Welcome
 from wickspring.logs import kv
-from wickspring.net import door, handover, http1_front, keepsake
+from wickspring.net import admin_api, handover, http1_front, maintenance_store
 from wickspring.net.discovery import Directory, ListError
 from wickspring.net.handover import Predecessor, Successor
 from wickspring.net.link import Link
@@ -130,7 +130,7 @@
         self.predecessor: Predecessor | None = None  # this process's side towards the one that follows it
         self.successor: Successor | None = None  # and towards the one before
 
-    # At the door.
+    # For the admin API.
 
     @property
     def serving(self) -> bool:
@@ -160,7 +160,7 @@
 
     def _keep(self) -> None:
         if self.path is not None:
-            keepsake.save(self.path, self.runtime.maintenance)
+            maintenance_store.save(self.path, self.runtime.maintenance)
 
     def remember(self) -> None:
         """Take out what was out, by the process before this one or by what was left in a file."""
@@ -168,7 +168,7 @@
         if told is not None:
             out, back = told.out, told.back
         elif self.path is not None:
-            out, back = keepsake.load(self.path)
+            out, back = maintenance_store.load(self.path)
         else:
             return
         for change in self.runtime.maintenance.adopt(out, back):
@@ -260,7 +260,9 @@
             path = handover.place(instance.folder, instance.name, instance.listen[1])
             operated = Operated(runtime, path)
             if instance.door is not None:
-                nursery.start_soon(door.Door(listen(instance.door, defer=False), operated, nursery).run)
+                nursery.start_soon(
+                    admin_api.AdminApi(listen(instance.door, defer=False), operated, nursery).run
+                )
             taken: list[socket.socket] = []
             if path is not None:
                 operated.successor = Successor(path, operated)
