--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -24,7 +24,7 @@
 from wickspring.agent import processes, wire
 from wickspring.agent.instance_controller import InstanceController
 from wickspring.agent.node import Node
-from wickspring.agent.store import Process, Store, StoreError
+from wickspring.agent.store import Process, Store, StoreChange, StoreError
 from wickspring.agent.tls import who
 from wickspring.fleet import home, rollout
 from wickspring.fleet.file import load_fleet
@@ -430,9 +430,15 @@
 
 def test_the_store_keeps_all_of_a_change_or_nothing(tmp_path: Path) -> None:
     store = Store(tmp_path / "a.db")
-    store.keep(records=[record("n0")], processes=[Process("n0", "t", 0, 0, "1", 0)], events=[(1.0, "begun")])
+    store.apply(
+        StoreChange(
+            records=[record("n0")], processes=[Process("n0", "t", 0, 0, "1", 0)], events=[(1.0, "begun")]
+        )
+    )
     with pytest.raises(StoreError):
-        store.keep(records=[record("n1")], events=[(2.0, None)])  # type: ignore[list-item]
+        store.apply(
+            StoreChange(records=[record("n1")], events=[(2.0, None)])  # type: ignore[list-item]
+        )
     store.close()
     again = Store(tmp_path / "a.db")
     assert [one.name for one in again.records()] == ["n0"]
--- a/wickspring/agent/instance_controller.py
+++ b/wickspring/agent/instance_controller.py
@@ -19,7 +19,7 @@
 from wickspring.agent import processes
 from wickspring.agent.instance_launch import UnknownBuildError, plan_launch
 from wickspring.agent.processes import InstanceProcess
-from wickspring.agent.store import Process, Store, StoreError
+from wickspring.agent.store import Process, Store, StoreChange, StoreError
 from wickspring.fleet.file import Fleet, FleetInstance
 from wickspring.fleet.model import Record, Seen, Want
 from wickspring.logs import kv
@@ -309,7 +309,7 @@
         try:
             plan = plan_launch(self.fleet, self.instance, want.build, self.notify)
             # Stored before the process exists: an agent killed now finds it by its pid file.
-            self.store.keep(processes=[intent])
+            self.store.apply(StoreChange(processes=[intent]))
             log_file, pid_file = self.folder / f"{name}.log", self._pid_file(token)
             started = processes.launch(plan.command, plan.folder, plan.environment, log_file, pid_file, token)
         except UnknownBuildError as error:
@@ -333,7 +333,7 @@
     def _note_start(self, process: InstanceProcess, intent: Process) -> None:
         try:
             stored = msgspec.structs.replace(intent, pid=process.pid, born=process.start_ticks)
-            self.store.keep(processes=[stored])
+            self.store.apply(StoreChange(processes=[stored]))
         except StoreError as error:
             self.note = str(error)
         self.starts += 1
@@ -345,7 +345,7 @@
     def _forget(self, token: str) -> None:
         self._pid_file(token).unlink(missing_ok=True)
         try:
-            self.store.keep(ended=[token])
+            self.store.apply(StoreChange(ended_tokens=[token]))
         except StoreError as error:
             self.note = str(error)  # a row too many does no harm: no process has its token
 
--- a/wickspring/agent/node.py
+++ b/wickspring/agent/node.py
@@ -17,7 +17,8 @@
 from wickspring import __version__
 from wickspring.agent import control, wire
 from wickspring.agent.instance_controller import InstanceController
-from wickspring.agent.store import Store, StoreError
+from wickspring.agent.notifications import parse_notification
+from wickspring.agent.store import Store, StoreChange, StoreError
 from wickspring.agent.tls import who
 from wickspring.agent.wire import Answer, Peer
 from wickspring.config import ConfigError, parse_address
@@ -133,7 +134,8 @@
         slots |= {key: None for key in before.slots if key not in after.slots}
         if changed or gone or slots or events:
             now = self.now()
-            self.store.keep(records=changed, gone=gone, slots=slots, events=[(now, text) for text in events])
+            history = [(now, text) for text in events]
+            self.store.apply(StoreChange(records=changed, removed_records=gone, slots=slots, events=history))
         self.home = after
         for record in changed:
             if record.name in self.controllers:
@@ -266,7 +268,7 @@
             reason = f": {operation.reason}" if operation.reason else ""
             said.append(f"{operation.id}: {operation.phase.value}{reason}")
         now = self.now()
-        self.store.keep(operations=[operation], events=[(now, text) for text in said])
+        self.store.apply(StoreChange(operations=[operation], events=[(now, text) for text in said]))
         self.operations[operation.id] = operation
         for text in said:
             log.info("operation", extra=kv(text=text))
@@ -362,13 +364,11 @@
             await sock.bind(str(self.notify))
             while True:
                 data = await sock.recv(4096)
-                pairs = dict(line.partition("=")[::2] for line in data.decode("utf-8", "replace").split("\n"))
-                figures = dict(word.partition("=")[::2] for word in pairs.get("STATUS", "").split())
-                said = [figures.get(key, "") for key in ("served", "refused", "failed")]
-                ends = [int(text) if text.isascii() and text.isdigit() else 0 for text in said]
+                notification = parse_notification(data)
                 for controller in self.controllers.values():
-                    ready = pairs.get("READY") == "1"
-                    controller.receive_report(pairs.get("X_TOKEN", ""), ready, sum(ends), ends[2])
+                    controller.receive_report(
+                        notification.token, notification.ready, notification.served, notification.failed
+                    )
 
     async def _serve_tcp(self, stream: trio.SocketStream) -> None:
         peer = Peer("agent", agent=True, role="operate")  # without TLS, on loopback alone
--- a/wickspring/agent/store.py
+++ b/wickspring/agent/store.py
@@ -1,13 +1,14 @@
-"""What an agent keeps: its instances, the operations it coordinates, and a history, in SQLite with WAL.
+"""Persistent state of an agent in SQLite with WAL: its instances, operations it coordinates, and a history.
 
-Every change is one transaction that is on disk (synchronous=FULL) before anybody is told of it. A store that
+Every change is one transaction that is on disk (synchronous=FULL) before anyone is answered. A store that
 cannot keep a change (a full disk) says so, and the change has not happened.
 """
 
 from __future__ import annotations
 
 import sqlite3
-from collections.abc import Iterable
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
 from pathlib import Path
 
 import msgspec
@@ -15,7 +16,7 @@
 from wickspring.fleet.model import Operation, Record, Slot
 
 FORM = 1  # of the tables; a later one is not read by an earlier program
-MOST_HISTORY = 10_000
+MAX_HISTORY = 10_000
 _TABLES = """
 create table if not exists meta (key text primary key, value text not null) without rowid;
 create table if not exists record (name text primary key, body blob not null) without rowid;
@@ -52,6 +53,19 @@
     text: str
 
 
+@dataclass(frozen=True, slots=True)
+class StoreChange:
+    """What is stored together in one transaction."""
+
+    records: Sequence[Record] = ()
+    removed_records: Sequence[str] = ()  # names
+    slots: Mapping[str, Slot | None] = field(default_factory=dict)  # by key; None where one is removed
+    operations: Sequence[Operation] = ()
+    processes: Sequence[Process] = ()
+    ended_tokens: Sequence[str] = ()  # of processes that are forgotten
+    events: Sequence[tuple[float, str]] = ()  # Unix seconds and text
+
+
 class Store:
     """One agent's database."""
 
@@ -110,49 +124,59 @@
 
     # Changing.
 
-    def keep(
-        self,
-        *,
-        records: Iterable[Record] = (),
-        gone: Iterable[str] = (),
-        slots: dict[str, Slot | None] | None = None,
-        operations: Iterable[Operation] = (),
-        processes: Iterable[Process] = (),
-        ended: Iterable[str] = (),
-        events: Iterable[tuple[float, str]] = (),
-    ) -> None:
-        """Keep all of these in one transaction, or none."""
+    def apply(self, change: StoreChange) -> None:
+        """Store a change in one transaction; StoreError where nothing of it is stored."""
         db = self._db
         try:
             db.execute("begin immediate")
-            for record in records:
-                db.execute("insert or replace into record values (?, ?)", (record.name, _json(record)))
-            for name in gone:
-                db.execute("delete from record where name=?", (name,))
-            for key, slot in (slots or {}).items():
-                if slot is None:
-                    db.execute("delete from slot where key=?", (key,))
-                else:
-                    db.execute("insert or replace into slot values (?, ?)", (key, _json(slot)))
-            for operation in operations:
-                row = (operation.id, operation.at, _json(operation))
-                db.execute("insert or replace into operation values (?, ?, ?)", row)
-            for one in processes:
-                row2 = (one.token, one.name, one.pid, one.born, one.build, one.generation)
-                db.execute("insert or replace into process values (?, ?, ?, ?, ?, ?)", row2)
-            for token in ended:
-                db.execute("delete from process where token=?", (token,))
-            for event in events:
-                db.execute("insert into history (at, text) values (?, ?)", event)
-            db.execute(
-                "delete from history where number <= (select max(number) from history) - ?", (MOST_HISTORY,)
-            )
+            self._write_records(change)
+            self._write_operations(change)
+            self._write_processes(change)
+            self._write_history(change)
             db.execute("commit")
         except sqlite3.Error as error:
             if db.in_transaction:
                 db.execute("rollback")
             raise StoreError(f"{self.path}: cannot keep the change: {error}") from error
 
+    def _write_records(self, change: StoreChange) -> None:
+        for record in change.records:
+            self._db.execute("insert or replace into record values (?, ?)", (record.name, _json(record)))
+        for name in change.removed_records:
+            self._db.execute("delete from record where name=?", (name,))
+        for key, slot in change.slots.items():
+            if slot is None:
+                self._db.execute("delete from slot where key=?", (key,))
+            else:
+                self._db.execute("insert or replace into slot values (?, ?)", (key, _json(slot)))
+
+    def _write_operations(self, change: StoreChange) -> None:
+        for operation in change.operations:
+            row = (operation.id, operation.at, _json(operation))
+            self._db.execute("insert or replace into operation values (?, ?, ?)", row)
+
+    def _write_processes(self, change: StoreChange) -> None:
+        for process in change.processes:
+            row = (
+                process.token,
+                process.name,
+                process.pid,
+                process.born,
+                process.build,
+                process.generation,
+            )
+            self._db.execute("insert or replace into process values (?, ?, ?, ?, ?, ?)", row)
+        for token in change.ended_tokens:
+            self._db.execute("delete from process where token=?", (token,))
+
+    def _write_history(self, change: StoreChange) -> None:
+        """Append the events, and delete the oldest beyond `MAX_HISTORY`."""
+        for event in change.events:
+            self._db.execute("insert into history (at, text) values (?, ?)", event)
+        self._db.execute(
+            "delete from history where number <= (select max(number) from history) - ?", (MAX_HISTORY,)
+        )
+
 
 def _json(value: msgspec.Struct) -> bytes:
     return msgspec.json.encode(value)
