--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -29,7 +29,8 @@
 from wickspring.controlplane.replication import snapshot
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.view import Member, View
-from wickspring.controlplane.storage import FILE, ReplicaStore
+from wickspring.controlplane.storage import ReplicaStore
+from wickspring.controlplane.storage_file import FILE
 from wickspring.fleet.file import load_fleet
 from wickspring.lab.simulation.clock import VirtualClock
 
@@ -135,7 +136,7 @@
     for _ in range(2):  # as it was found, and as it was moved on
         book = ReplicaStore(str(tmp_path))
         found = book.load()
-        assert found is not None and not book.set_aside
+        assert found is not None and not book.quarantined
         durable, replica = found
         told = {"durable": durable, "replica": replica.pack(), "servers": book.load_servers()}
         assert plain(told) == recorded(f"core_schema_{schema}.json")
@@ -209,6 +210,12 @@
     return message
 
 
+def decoded_reply(packed: list[Any]) -> messages.NodeReply:
+    message = messages.NODE_REPLIES.decode(packed)
+    assert message is not None
+    return message
+
+
 def receiver(system: VirtualSystem, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
     """Return what takes such a message today."""
     connection = PeerConnection(link, VirtualClock())
@@ -221,7 +228,8 @@
             chain = ReplicationChain(members[0], View(1, members, members), 1)
             return lambda message: chain.receive(0.0, connection.name, decoded(message[1]))
         if kind == "tock" or (kind == "cores" and len(one["message"]) > 1):
-            return lambda message: control_plane.replication.peers.on_answer(connection, message)
+            peers = control_plane.replication.peers
+            return lambda message: peers.on_reply(connection, decoded_reply(message))
         if one["from"] == CONTROL and kind != "hello":
             session.is_control_plane_node = True
         return lambda message: control_plane.peer_server.receive(session, message)
--- a/wickspring/controlplane/peer_server.py
+++ b/wickspring/controlplane/peer_server.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from wickspring.common.connection import PeerConnection
-from wickspring.common.messages import DATA_PLANE_REQUESTS, Hello, WireMessage
+from wickspring.common.messages import DATA_PLANE_REQUESTS, NODE_REQUESTS, Hello, WireMessage
 from wickspring.controlplane.data_plane_messages import DataPlaneMessageHandler
 from wickspring.controlplane.data_plane_sessions import PeerSession
 from wickspring.controlplane.replication.node import ReplicationNode
@@ -32,7 +32,7 @@
         where the message is malformed.
         """
         if session.is_control_plane_node:
-            self._replication.on_message(session.connection, wire_message)
+            self._receive_from_node(session, wire_message)
             return
         message = DATA_PLANE_REQUESTS.decode(wire_message)
         if isinstance(message, Hello):
@@ -40,6 +40,11 @@
         elif message is not None:
             self._data_plane_messages.receive(session, message)
 
+    def _receive_from_node(self, session: PeerSession, wire_message: WireMessage) -> None:
+        message = NODE_REQUESTS.decode(wire_message)
+        if message is not None:
+            self._replication.on_message(session.connection, message)
+
     def _on_hello(self, session: PeerSession, hello: Hello) -> None:
         session.connection.name = hello.ip
         if hello.is_node:
--- a/wickspring/controlplane/status.py
+++ b/wickspring/controlplane/status.py
@@ -9,11 +9,11 @@
 import msgspec
 
 from wickspring.common.endpoints import Endpoint
+from wickspring.common.messages import NodeStatus
 from wickspring.controlplane.components import Components
 from wickspring.controlplane.data_plane_sessions import DataPlaneSessions
 from wickspring.controlplane.quota_counter import QuotaCounter
 from wickspring.controlplane.replication.node import ReplicationNode
-from wickspring.controlplane.replication.peers import NodeStatus
 
 _ENDPOINT_STATES = ("ready", "draining", "gone")
 _DIGITS = 1
@@ -115,7 +115,7 @@
     replication = components.replication
     return ControlPlaneStatus(
         node=components.settings.node_name,
-        replication=_replication_status(replication, components.contact.observe().name.lower()),
+        replication=_replication_status(replication, components.contact.observe().label),
         peer_nodes={ip: _peer_status(replication, ip) for ip in replication.peers.addresses},
         data_planes=sorted(data_planes.live_names()),
         endpoints=_endpoint_statuses(components),
@@ -151,15 +151,15 @@
         behind=behind,
         disk=reported.disk_id,
         epoch=reported.epoch,
-        safe_epoch=reported.committed_epoch,
-        version=reported.committed_version,
+        safe_epoch=reported.config_epoch,
+        version=reported.config_version,
         leaving=reported.departure_count,
-        leaving_sum=reported.departures_checksum,
-        identity=reported.identity,
-        unhealthy=reported.unhealthy,
+        leaving_sum=reported.departure_checksum,
+        identity=reported.config_identity,
+        unhealthy=reported.is_unhealthy,
         zone=reported.zone,
         control=reported.control_address,
-        reachable=reported.reachable_peers,
+        reachable=reported.reachable_ips,
     )
 
 
--- a/wickspring/dataplane/control_client/config_sync.py
+++ b/wickspring/dataplane/control_client/config_sync.py
@@ -68,7 +68,7 @@
             return
         self.packed = copy.packed
         self.adoption.adopted(copy)
-        logs.log_event("config_adopted", version=copy.version, status=copy.status.name.lower())
+        logs.log_event("config_adopted", version=copy.version, status=copy.status.label)
         self._listener.on_routing_table(self.routing_table)
         self._listener.on_informed()
 
