--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -156,7 +156,7 @@
     trio.run(run)
 
 
-def test_a_lighthouse_takes_whatever_comes_over_a_cable(tmp_path: Path) -> None:
+def test_a_control_plane_takes_whatever_comes_over_a_connection(tmp_path: Path) -> None:
     """Of pilots and of the core; nothing but what ends the cable is raised, and it counts on."""
     random = Random(5)
     server = Endpoint("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
@@ -216,7 +216,7 @@
     in_light(tmp_path, play)
 
 
-def test_a_pilot_takes_whatever_comes_over_cables_and_datagrams() -> None:
+def test_a_data_plane_takes_whatever_comes_over_connections_and_datagrams() -> None:
     random = Random(6)
     server = Endpoint("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
     digest = Digest("127.0.9.9", {"127.0.9.9": EntryVersion(1.0, 2, 3)}, "", "")
@@ -273,7 +273,7 @@
     trio.run(play)
 
 
-def test_a_pilot_calls_every_member_of_a_view_whoever_told_of_it() -> None:
+def test_a_data_plane_calls_every_member_of_a_view_whoever_told_of_it() -> None:
     """After a fault that hit all, who tells first may not have reached the others yet."""
     settings = SETTINGS.replace("ip=10.1.0.30", "ip=127.0.9.2").replace("7340,7355", "47340,47355")
 
--- a/tests/controlplane/test_cold_start.py
+++ b/tests/controlplane/test_cold_start.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_the_pass_goes_again_whichever_cable_comes_up_last(seed: int) -> None:
+def test_the_pass_goes_again_whichever_connection_comes_up_last(seed: int) -> None:
     """No tick and no resend is needed once each machine reaches the next, and is reached by it."""
     chains, up = started(), set()
     order = [("b", "a"), ("c", "b"), ("a", "b"), ("b", "c")]  # up the line first: words back are not lost
--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -80,7 +80,7 @@
     assert "i1" in {load_tracker.advise(1.0, "a", lot)[0][0] for _ in range(50)}
 
 
-def test_a_pilot_leaves_out_what_it_knows_better() -> None:
+def test_a_data_plane_leaves_out_what_it_knows_better() -> None:
     selector = EndpointSelector("a", 1, has_idle_connection=lambda id_: id_ != "i1")
     for one in servers(4):
         selector.update(0.0, one)
@@ -118,7 +118,7 @@
         self.said.append(message)
 
 
-def test_a_lighthouse_cut_off_from_the_others_names_no_servers(tmp_path: Path) -> None:
+def test_a_control_plane_cut_off_from_the_others_names_no_servers(tmp_path: Path) -> None:
     settings = SETTINGS.replace("ip=10.1.0.30", "ip=10.1.0.33") + f"data_dir={tmp_path}\n"
 
     async def play() -> None:
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("restarted", [False, True])
-def test_a_pilot_beside_one_cut_off_waits_for_one_in_contact(
+def test_a_data_plane_beside_one_cut_off_waits_for_one_in_contact(
     monkeypatch: pytest.MonkeyPatch, restarted: bool
 ) -> None:
     """With nobody in contact to hear of, it goes by the last known after a while, and never goes back."""
@@ -265,7 +265,7 @@
     assert plays_first_news(monkeypatch, restarted) == [2]
 
 
-def test_a_pilot_passes_what_it_knows_on_to_one_that_no_lighthouse_reaches(
+def test_a_data_plane_passes_what_it_knows_on_to_one_that_no_control_plane_reaches(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def apart(system: VirtualSystem) -> None:
@@ -316,7 +316,7 @@
 
 
 @pytest.mark.parametrize("defect", [False, True])
-def test_a_started_lighthouse_hands_out_nothing_of_its_disk_as_safe(
+def test_a_started_control_plane_hands_out_nothing_of_its_disk_as_safe(
     monkeypatch: pytest.MonkeyPatch, defect: bool
 ) -> None:
     async def restarted(system: VirtualSystem) -> None:
@@ -526,7 +526,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_pilot_never_goes_back_whatever_it_is_told(seed: int) -> None:
+def test_a_data_plane_never_goes_back_whatever_it_is_told(seed: int) -> None:
     """Random words of lighthouses and pilots in contact and not; safe texts are one a number."""
     random, now, mine = Random(seed), 0.0, ConfigAdoption(0.0)
     safe = {version: random.choice("xy") for version in range(1, 40)}
@@ -622,7 +622,7 @@
 
 
 @pytest.mark.parametrize("free_after_s", [0.0, 1.0, 99.0])
-def test_a_lighthouse_ends_once_it_may_or_its_grace_is_nearly_over(
+def test_a_control_plane_ends_once_it_may_or_its_grace_is_nearly_over(
     monkeypatch: pytest.MonkeyPatch, free_after_s: float
 ) -> None:
     async def leave(control_plane: ControlPlane) -> None:
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_sliding_span_passes_the_ceiling_with_keepers_lost(seed: int) -> None:
+def test_no_sliding_span_passes_the_ceiling_with_owners_lost(seed: int) -> None:
     """Pilots add, or rule alone while the keeper is away; keepers begin anew from the pilots' word."""
     random = Random(seed)
     tenant = Tenant("t", 0, random.choice((7.0, 33.0, 63.0)), random.choice((0.0, 33.0, 63.0)))
@@ -76,7 +76,7 @@
     assert len(quiet) > 0.4 * tenant.rate * 20.0  # and what is owed goes
 
 
-def test_a_keeper_gives_what_the_rate_brings_and_the_burst_once() -> None:
+def test_an_owner_gives_what_the_rate_brings_and_the_burst_once() -> None:
     event_counts, granted = QuotaCounter(SPAN_S, EXCESS, SLACK), 0
     for step in range(10_000):  # ten times the rate, for ten seconds
         total, limit, _ = event_counts.acquire(float(step), "t", "p", 50.0, 50.0)
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("fleet", [1, 8, 40])
-def test_further_tries_of_all_pilots_stay_within_the_shared_budget(fleet: int) -> None:
+def test_further_tries_of_all_data_planes_stay_within_the_shared_budget(fleet: int) -> None:
     random, ratio, slack, window = Random(fleet), 0.2, 56.0, 10.0
     budgets = [RetryBudget(ratio, window, slack) for _ in range(fleet)]
     now, further, firsts = 0.0, [], []
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("told", "kept"), [(True, True), (False, False)])
-def test_what_pilots_cut_off_may_send_on_is_kept_back(told: bool, kept: bool) -> None:
+def test_what_data_planes_cut_off_may_send_on_is_kept_back(told: bool, kept: bool) -> None:
     """Half of the pilots of a hot tenant are cut off; without what is kept back the ceiling is passed."""
     random, tenant = Random(3), Tenant("t", 0, 63.0, 63.0)
     data_planes, owner = (
@@ -210,7 +210,7 @@
 
 
 @pytest.mark.parametrize("told", [True, False])
-def test_what_ended_together_with_its_keeper_is_not_forgotten(told: bool) -> None:
+def test_what_ended_together_with_its_owner_is_not_forgotten(told: bool) -> None:
     owner, other, units = QuotaCounter(SPAN_S, EXCESS, SLACK), QuotaCounter(SPAN_S, EXCESS, SLACK), 0
     for step in range(2000):
         now = float(step)
