--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -8,14 +8,18 @@
 import pytest
 
 from tests.support.fleet import record
-from wickspring.agent.store import Process, Store, StoreError
+from wickspring.agent.store import Process, Store, StoreChange, StoreError
 
 
 def test_the_store_keeps_all_of_a_change_or_nothing(tmp_path: Path) -> None:
     store = Store(tmp_path / "a.db")
-    store.keep(records=[record("n0")], processes=[Process("n0", "t", 0, 0, "1", 0)], events=[(1.0, "begun")])
+    store.apply(
+        StoreChange(
+            records=[record("n0")], processes=[Process("n0", "t", 0, 0, "1", 0)], events=[(1.0, "begun")]
+        )
+    )
     with pytest.raises(StoreError):
-        store.keep(records=[record("n1")], events=[(2.0, None)])  # type: ignore[list-item]
+        store.apply(StoreChange(records=[record("n1")], events=[(2.0, None)]))  # type: ignore[list-item]
     store.close()
     again = Store(tmp_path / "a.db")
     assert [one.name for one in again.records()] == ["n0"]
