--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -219,17 +219,17 @@
 def receiver(system: VirtualSystem, one: dict[str, Any], link: Any) -> Callable[[list[Any]], object]:
     """Return what takes such a message today."""
     connection = PeerConnection(link, VirtualClock())
-    connection.name, kind = one["sender"], one["kind"]
+    connection.peer_address, kind = one["sender"], one["kind"]
     session = PeerSession(connection)
     control_plane, data_plane = system.control_planes[CONTROL_PLANES[0]], system.data_planes[DATA_PLANES[0]]
     if one["to"] == CONTROL:
         if kind == "chain":
             members = tuple(Member(f"10.1.0.{n}", "first") for n in (1, 2, 3))
             chain = ReplicationChain(members[0], View(1, members, members), 1)
-            return lambda message: chain.receive(0.0, connection.name, decoded(message[1]))
+            return lambda message: chain.receive(0.0, connection.peer_address, decoded(message[1]))
         if kind == "tock" or (kind == "cores" and len(one["message"]) > 1):
             peers = control_plane.replication.peers
-            return lambda message: peers.on_reply(connection, decoded_reply(message))
+            return lambda message: peers.on_message(connection, decoded_reply(message))
         if one["from"] == CONTROL and kind != "hello":
             session.is_control_plane_node = True
         return lambda message: control_plane.peer_server.receive(session, message)
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -17,7 +17,7 @@
 from wickspring.common.digest import digest_of
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
-from wickspring.common.messages import CONTROL_PLANE_MESSAGES, DATAGRAMS, ClusterView, QuotaTotal
+from wickspring.common.messages import CONTROL_PLANE_MESSAGES, DATAGRAMS, ClusterView, Message, QuotaTotal
 from wickspring.common.settings_file import parse_address
 from wickspring.controlplane.api.calls import ApiRequest
 from wickspring.controlplane.api.heartbeat import Heartbeat
@@ -79,11 +79,12 @@
 class Heard:
     """The end of a cable that keeps what is said on it."""
 
-    def __init__(self, **about: object) -> None:
-        self.name = self.peer_address = "p"
-        self.about, self.said, self.live = about, list[tuple[object, ...]](), True
+    def __init__(self) -> None:
+        self.peer_address = "p"
+        self.said: list[Message] = []
+        self.live = True
 
-    def send(self, *message: object) -> None:
+    def send(self, message: Message) -> None:
         self.said.append(message)
 
     def close(self) -> None:
@@ -209,7 +210,7 @@
         control_plane.peer_server.receive(
             session, ["add", 9, "n", False, control_plane.replication.lease.epoch]
         )
-        (answer,) = heard.said[-1]
+        answer = heard.said[-1]
         assert isinstance(answer, QuotaTotal) and answer.request_number == 9
         control_plane.status()
 
--- a/tests/common/test_messages.py
+++ b/tests/common/test_messages.py
@@ -4,6 +4,7 @@
 
 import math
 from random import Random
+from types import SimpleNamespace
 from typing import Any, cast
 
 import msgpack
@@ -20,6 +21,8 @@
 from wickspring.common.errors import GatewayError
 from wickspring.common.messages.base import IpAddress
 from wickspring.common.settings_file import parse_ip
+from wickspring.controlplane.data_plane_sessions import PeerSession
+from wickspring.controlplane.peer_server import PeerServer
 from wickspring.net.clock import Clock
 from wickspring.net.link import Link
 
@@ -84,17 +87,30 @@
 
 
 def test_an_accepted_connection_is_decoded_by_what_its_hello_says() -> None:
-    decoder = messages.ControlPlaneRequestDecoder()
-    assert decoder.decode(["tick"]) == messages.DataPlaneHeartbeat()
-    assert decoder.decode(["alive", []]) is None
+    received: list[messages.Message] = []
+
+    def record(_: object, message: messages.Message) -> None:
+        received.append(message)
+
+    replication = SimpleNamespace(on_message=record, peers=SimpleNamespace(on_incoming_connection=str))
+    data_plane_messages = SimpleNamespace(receive=record, connected=record)
+    server = PeerServer(cast(Any, replication), cast(Any, data_plane_messages))
+    session = PeerSession(cast(Any, SimpleNamespace(peer_address="")))
     hello = messages.Hello("pilot", "10.1.0.1", DATA_PLANE_ATTRIBUTES)
-    assert decoder.decode(msgpack.unpackb(hello.encode())) == hello
-    assert decoder.decode(["tick"]) == messages.DataPlaneHeartbeat()
-    decoder.decode(["hello", "core", "10.1.0.1", {}])
-    assert decoder.decode(["tick", 5.0]) == messages.NodeHeartbeat(5.0)
-    assert decoder.decode(["add", 1, "n", False, 1]) is None
-    assert decoder.decode(["alive", [["i1", 4]]]) == messages.EndpointHeartbeats([("i1", 4)])
-    assert messages.ControlPlaneRequestDecoder().decode(["tick"]) == messages.DataPlaneHeartbeat()
+    for wire_message, expected in (
+        (["tick"], messages.DataPlaneHeartbeat()),
+        (["alive", []], None),
+        (msgpack.unpackb(hello.encode()), hello),
+        (["tick"], messages.DataPlaneHeartbeat()),
+        (["hello", "core", "10.1.0.1", {}], None),
+        (["tick", 5.0], messages.NodeHeartbeat(5.0)),
+        (["add", 1, "n", False, 1], None),
+        (["alive", [["i1", 4]]], messages.EndpointHeartbeats([("i1", 4)])),
+    ):
+        server.receive(session, wire_message)
+        assert received == ([] if expected is None else [expected])
+        received.clear()
+    assert session.is_control_plane_node and session.name == "10.1.0.1"
 
 
 def test_fields_that_a_later_version_adds_are_passed_over_where_they_are_today() -> None:
--- a/tests/controlplane/test_cold_start.py
+++ b/tests/controlplane/test_cold_start.py
@@ -10,6 +10,7 @@
 import trio.testing
 
 from wickspring.common import connection
+from wickspring.common.messages import NODE_REPLIES, NodeReply
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.messages import Prepare
 from wickspring.controlplane.replication.paxos import Ballot
@@ -70,6 +71,19 @@
     assert not any(one.effects.messages for one in (spare, chains["c"], chains["a"]))
 
 
+class SilentHandler:
+    """Does nothing with a connection."""
+
+    def on_connect(self, connection: connection.PeerConnection) -> None:
+        pass
+
+    def on_message(self, connection: connection.PeerConnection, message: NodeReply) -> None:
+        pass
+
+    def on_disconnect(self, client: connection.ReconnectingClient) -> None:
+        pass
+
+
 @pytest.mark.parametrize("hurried", [True, False])
 def test_who_has_called_is_called_back_at_once(monkeypatch: pytest.MonkeyPatch, hurried: bool) -> None:
     dialled: list[float] = []
@@ -85,11 +99,11 @@
         monkeypatch.setattr(connection, "connect", nobody)
         async with trio.open_nursery() as nursery:
             caller = connection.ReconnectingClient(
-                ("10.1.0.1", 1), Clock(), nursery, Random(1), lambda _: None, lambda *_: None
+                ("10.1.0.1", 1), SilentHandler(), NODE_REPLIES, Clock(), nursery, Random(1)
             )
             nursery.start_soon(caller.run)
             if hurried:
-                caller.hurry()
+                caller.reconnect_now()
             await twice.wait()
             caller.close()
 
--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -112,7 +112,8 @@
     """The end of a cable that keeps what is said on it."""
 
     def __init__(self) -> None:
-        self.name, self.about, self.said = "p", dict[str, object](), list[Message]()
+        self.peer_address = "p"
+        self.said: list[Message] = []
 
     def send(self, message: Message) -> None:
         self.said.append(message)
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -304,7 +304,8 @@
     """A pilot's end of a cable, with what came to it and when."""
 
     def __init__(self) -> None:
-        self.name, self.about, self.live = "", dict[str, Any](), True
+        self.peer_address = ""
+        self.live = True
         self.routing_tables: list[tuple[float, ConfigStatus]] = []
 
     def send(self, message: Message) -> None:
--- a/wickspring/common/connection.py
+++ b/wickspring/common/connection.py
@@ -10,15 +10,14 @@
 import socket
 from collections.abc import Awaitable, Callable
 from random import Random
-from typing import Any, TypeVar, overload
+from typing import Protocol, TypeVar
 
 import msgpack
 import trio
 
 from wickspring.common import logs
 from wickspring.common.errors import GatewayError
-from wickspring.common.messages.base import Message as TypedMessage
-from wickspring.common.messages.base import MessageDecoder, WireMessage
+from wickspring.common.messages.base import Message, MessageDecoder, WireMessage
 from wickspring.net.clock import Clock
 from wickspring.net.link import Link, connect
 
@@ -32,8 +31,8 @@
 ACCEPT_RETRY_S = 0.02  # after an error such as running out of descriptors
 NEVER_MS = -1e12
 
-Message = WireMessage  # untyped; for callers that have not moved to `common.messages` yet
-MessageT = TypeVar("MessageT", bound=TypedMessage)
+MessageT = TypeVar("MessageT", bound=Message)
+MessageT_contra = TypeVar("MessageT_contra", bound=Message, contravariant=True)
 
 # What decoding or handling a foreign or damaged message may raise. Nothing else is caught for it.
 DECODE_ERRORS = (
@@ -56,51 +55,39 @@
         self.clock = clock
         self.last_received_at_ms = clock.now()
         self.peer_address = peer_address  # IP of the process at the other end, once it is known
-        self.about: dict[str, Any] = {}  # for callers that do not keep their own state of a connection yet
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_MESSAGE_BYTES, strict_map_key=False)
 
-    @property
-    def name(self) -> str:
-        """Return `peer_address`, by its earlier name."""
-        return self.peer_address
-
-    @name.setter
-    def name(self, address: str) -> None:
-        self.peer_address = address
-
-    @property
-    def heard_at(self) -> float:
-        """Return `last_received_at_ms`, by its earlier name."""
-        return self.last_received_at_ms
-
     @property
     def live(self) -> bool:
         """Tell whether the connection is open and something has arrived within `SILENCE_TIMEOUT_MS`."""
         silence_ms = self.clock.now() - self.last_received_at_ms
         return not self.link.broken and silence_ms < SILENCE_TIMEOUT_MS
 
-    def send(self, *message: object) -> None:
-        """Send a typed message, or the parts of an untyped one; on a broken connection it is dropped."""
-        first = message[0]
-        self.link.send(first.encode() if isinstance(first, TypedMessage) else msgpack.packb(message))
-
-    @overload
-    async def read(self, on_message: Callable[[PeerConnection, Message], None]) -> None: ...
+    def send(self, message: Message) -> None:
+        """Send a message; on a broken connection it is dropped."""
+        self.link.send(message.encode())
 
-    @overload
     async def read(
         self, on_message: Callable[[PeerConnection, MessageT], None], decoder: MessageDecoder[MessageT]
-    ) -> None: ...
-
-    async def read(
-        self,
-        on_message: Callable[[PeerConnection, Any], None],
-        decoder: MessageDecoder[Any] | None = None,
     ) -> None:
-        """Pass each message to `on_message` until the connection ends.
+        """Decode each message and pass it to `on_message`, until the connection ends.
 
-        Messages whose name the decoder does not know are ignored. What is not a message, or raises one of
-        `DECODE_ERRORS` when it is decoded or handled, ends the reading; the latter is logged.
+        Messages whose name the decoder does not know are ignored. One that raises any of `DECODE_ERRORS`
+        when it is decoded or handled ends the reading.
+        """
+
+        def decode(wire_message: WireMessage) -> None:
+            message = decoder.decode(wire_message)
+            if message is not None:
+                on_message(self, message)
+
+        await self.read_wire_messages(decode)
+
+    async def read_wire_messages(self, on_wire_message: Callable[[WireMessage], None]) -> None:
+        """Pass each message, not decoded yet, to `on_wire_message` until the connection ends.
+
+        What is not a message, or raises one of `DECODE_ERRORS` when it is handled, ends the reading; the
+        latter is logged.
         """
         while True:
             data = await self.link.receive()
@@ -112,9 +99,7 @@
                 for wire_message in self._unpacker:
                     if not _is_message(wire_message):
                         return
-                    message = wire_message if decoder is None else decoder.decode(wire_message)
-                    if message is not None:
-                        on_message(self, message)
+                    on_wire_message(wire_message)
             except DECODE_ERRORS as error:
                 self._log_bad_message(error)
                 return
@@ -132,31 +117,42 @@
     return isinstance(value, list) and bool(value) and isinstance(value[0], str)
 
 
+class ConnectionHandler(Protocol[MessageT_contra]):
+    """Handles what happens to the connections of a `ReconnectingClient`."""
+
+    def on_connect(self, connection: PeerConnection, /) -> None:
+        """Handle that a connection has been opened; what is sent here goes first."""
+
+    def on_message(self, connection: PeerConnection, message: MessageT_contra, /) -> None:
+        """Handle a message; `PeerConnection.read` says what it may raise."""
+
+    def on_disconnect(self, client: ReconnectingClient, /) -> None:
+        """Handle that the connection has ended; `client.connection` is None by now."""
+
+
 class ReconnectingClient:
     """Keeps a connection to one address, and connects again when it ends."""
 
     def __init__(
         self,
         address: tuple[str, int],
+        handler: ConnectionHandler[MessageT],
+        decoder: MessageDecoder[MessageT],
         clock: Clock,
         nursery: trio.Nursery,
         random: Random,
-        greet: Callable[[PeerConnection], None],
-        take: Callable[[PeerConnection, Any], None],
-        lost: Callable[[ReconnectingClient], None] = lambda _: None,
-        decoder: MessageDecoder[Any] | None = None,
     ) -> None:
         self.address = address
-        self.clock = clock
-        self.nursery = nursery
-        self.random = random
         self.connection: PeerConnection | None = None
-        self.tried_at = NEVER_MS
+        self.last_attempt_at_ms = NEVER_MS
         self.closed = False
-        self._greet = greet
-        self._take = take
-        self._lost = lost
-        self._decoder = decoder
+        self._clock = clock
+        self._nursery = nursery
+        self._random = random
+        self._on_connect = handler.on_connect
+        self._on_disconnect = handler.on_disconnect
+        self._read: Callable[[PeerConnection], Awaitable[None]]
+        self._read = lambda connection: connection.read(handler.on_message, decoder)
         self._cancel_scope = trio.CancelScope()
         self._reconnect_now = trio.Event()
 
@@ -165,12 +161,12 @@
         """Tell whether a connection is open and something has arrived on it recently."""
         return self.connection is not None and self.connection.live
 
-    def send(self, *message: object) -> bool:
+    def send(self, message: Message) -> bool:
         """Send a message; False where there is no connection to send it on."""
         connection = self.connection
         if connection is None or connection.link.broken:
             return False
-        connection.send(*message)
+        connection.send(message)
         return True
 
     def close(self) -> None:
@@ -183,43 +179,36 @@
         if self.connection is None:
             self._reconnect_now.set()
 
-    def hurry(self) -> None:
-        """Do as `reconnect_now`, by its earlier name."""
-        self.reconnect_now()
-
     async def run(self) -> None:
         """Connect, and connect again, until closed."""
         with self._cancel_scope:
             while not self.closed:
                 sock = await connect(self.address, CONNECT_TIMEOUT_MS)
-                self.tried_at = self.clock.now()
+                self.last_attempt_at_ms = self._clock.now()
                 if sock is not None:
                     await self._use(sock)
                 await self._wait_before_reconnecting()
 
     async def _wait_before_reconnecting(self) -> None:
-        delay_ms = self.random.uniform(*RECONNECT_DELAY_MS)
+        delay_ms = self._random.uniform(*RECONNECT_DELAY_MS)
         with trio.move_on_after(delay_ms / 1000.0):
             await self._reconnect_now.wait()
         self._reconnect_now = trio.Event()
 
     async def _use(self, sock: socket.socket) -> None:
         """Read from a new connection until it ends or nothing arrives any more."""
-        connection = PeerConnection(Link(sock, self.nursery), self.clock)
+        connection = PeerConnection(Link(sock, self._nursery), self._clock, peer_address=self.address[0])
         self.connection = connection
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_close_when_silent, connection)
-                self._greet(connection)
-                if self._decoder is None:
-                    await connection.read(self._take)
-                else:
-                    await connection.read(self._take, self._decoder)
+                self._on_connect(connection)
+                await self._read(connection)
                 nursery.cancel_scope.cancel()
         finally:
             connection.close()
             self.connection = None
-            self._lost(self)
+            self._on_disconnect(self)
 
 
 async def _close_when_silent(connection: PeerConnection) -> None:
--- a/wickspring/common/messages/__init__.py
+++ b/wickspring/common/messages/__init__.py
@@ -17,8 +17,8 @@
 data plane -> data plane (UDP)       `Datagram`             `DATAGRAMS`
 ===================================  =====================  ============================
 
-A control-plane node accepts connections of both data planes and nodes: `ControlPlaneRequestDecoder` goes by
-what the sender says in its `Hello`.
+A control-plane node accepts connections of both data planes and nodes, and chooses the decoder by what the
+sender says in its `Hello` (`controlplane.peer_server`).
 
 A decoder checks the number and the types of the fields. It raises `msgspec.ValidationError` (one of
 `connection.DECODE_ERRORS`) for a message that does not fit its class, and returns None for a name that is not
@@ -120,10 +120,6 @@
     EndpointsDeparting,
     EndpointSnapshot,
 )
-from wickspring.common.messages.to_control_plane import (
-    ControlPlaneRequest,
-    ControlPlaneRequestDecoder,
-)
 
 __all__ = [
     "CONTROL_PLANE_MESSAGES",
@@ -141,8 +137,6 @@
     "ConfigOffer",
     "ControlPlaneHeartbeatReply",
     "ControlPlaneMessage",
-    "ControlPlaneRequest",
-    "ControlPlaneRequestDecoder",
     "DataPlaneHeartbeat",
     "DataPlanePeers",
     "DataPlaneRequest",
--- a/wickspring/controlplane/data_plane_sessions.py
+++ b/wickspring/controlplane/data_plane_sessions.py
@@ -44,7 +44,7 @@
     @property
     def name(self) -> str:
         """Return the address of the peer; empty until it has introduced itself."""
-        return self.connection.name
+        return self.connection.peer_address
 
     def send(self, message: Message) -> None:
         """Send one message; it is lost where the connection is broken."""
--- a/wickspring/controlplane/peer_server.py
+++ b/wickspring/controlplane/peer_server.py
@@ -20,7 +20,7 @@
         """Serve one connection until it ends."""
         session = PeerSession(connection)
         try:
-            await connection.read(lambda _, message: self.receive(session, message))
+            await connection.read_wire_messages(lambda message: self.receive(session, message))
         finally:
             self._data_plane_messages.disconnected(session)
             connection.close()
@@ -46,7 +46,7 @@
             self._replication.on_message(session.connection, message)
 
     def _on_hello(self, session: PeerSession, hello: Hello) -> None:
-        session.connection.name = hello.ip
+        session.connection.peer_address = hello.ip
         if hello.is_node:
             session.is_control_plane_node = True
             self._replication.peers.on_incoming_connection(session.name)
--- a/wickspring/controlplane/replication/peers.py
+++ b/wickspring/controlplane/replication/peers.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from functools import partial
 from random import Random
 from typing import Protocol, assert_never
 
@@ -95,13 +94,7 @@
             if address == self._ip or address in self._clients:
                 continue
             client = ReconnectingClient(
-                (address, self._port),
-                self._clock,
-                self._nursery,
-                self._random,
-                partial(self._on_connected, address),
-                self.on_reply,
-                decoder=NODE_REPLIES,
+                (address, self._port), self, NODE_REPLIES, self._clock, self._nursery, self._random
             )
             self._clients[address] = client
             self._nursery.start_soon(client.run)
@@ -154,12 +147,13 @@
         """Tell whether a node has answered a heartbeat that was sent after `since` (ms)."""
         return self.asked_at.get(address, since) > since
 
-    def _on_connected(self, address: str, connection: PeerConnection) -> None:
+    def on_connect(self, connection: PeerConnection) -> None:
+        """Introduce this node on a connection that it has opened, and send the first heartbeat."""
         connection.send(Hello(ROLE_NODE, self._ip, HelloAttributes()))
         connection.send(NodeHeartbeat(self._clock.now()))
-        self._listener.on_peer_connected(address)
+        self._listener.on_peer_connected(connection.peer_address)
 
-    def on_reply(self, connection: PeerConnection, message: NodeReply) -> None:
+    def on_message(self, connection: PeerConnection, message: NodeReply) -> None:
         """Handle a reply on a connection that this node opened."""
         match message:
             case NodeHeartbeatReply():
@@ -169,6 +163,9 @@
             case _:
                 assert_never(message)
 
+    def on_disconnect(self, client: ReconnectingClient) -> None:
+        """Do nothing: the client reconnects, and `is_reachable` goes by what arrives."""
+
     def _on_heartbeat_reply(self, connection: PeerConnection, reply: NodeHeartbeatReply) -> None:
         self.statuses[reply.ip] = reply.status
         self.asked_at[reply.ip] = reply.asked_at_ms
--- a/wickspring/dataplane/control_client/connections.py
+++ b/wickspring/dataplane/control_client/connections.py
@@ -11,19 +11,18 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 from random import Random
-from typing import Protocol
+from weakref import WeakKeyDictionary
 
 import trio
 
 from wickspring.common.config_status import QuorumContact
-from wickspring.common.connection import PeerConnection, ReconnectingClient
+from wickspring.common.connection import ConnectionHandler, PeerConnection, ReconnectingClient
 from wickspring.common.messages import CONTROL_PLANE_MESSAGES, ControlPlaneMessage
 from wickspring.common.seeds import SeedList
 from wickspring.common.settings import NodeSettings
 from wickspring.net.clock import Clock
 
 FORGET_NODE_MS = 60_000.0  # out of reach, after which a node is forgotten that is neither seed nor member
-_STATUS_KEY = "status"  # under which a connection bears what its node has reported
 
 ConfigIdentity = tuple[int, bytes]  # version of a configuration, digest of its document
 
@@ -38,28 +37,19 @@
     sent_config: ConfigIdentity | None = None  # this data plane's configuration, as last sent
 
 
+# What has been reported on each connection, for as long as the connection is in use.
+_statuses: WeakKeyDictionary[PeerConnection, NodeStatus] = WeakKeyDictionary()
+
+
 def status_of(connection: PeerConnection) -> NodeStatus:
     """Return what the node at the other end has reported so far."""
-    status = connection.about.get(_STATUS_KEY)
-    if not isinstance(status, NodeStatus):
+    status = _statuses.get(connection)
+    if status is None:
         status = NodeStatus()
-        connection.about[_STATUS_KEY] = status
+        _statuses[connection] = status
     return status
 
 
-class ConnectionHandler(Protocol):
-    """Where the events of connections go."""
-
-    def on_connect(self, connection: PeerConnection) -> None:
-        """Introduce this data plane on a new connection."""
-
-    def on_message(self, connection: PeerConnection, message: ControlPlaneMessage) -> None:
-        """Take in a message."""
-
-    def on_disconnect(self, client: ReconnectingClient) -> None:
-        """Forget what was asked on a connection that has ended."""
-
-
 class ControlPlaneConnections:
     """All connections of one data plane to the control plane, and the members that own counts."""
 
@@ -69,7 +59,7 @@
         clock: Clock,
         nursery: trio.Nursery,
         random: Random,
-        handler: ConnectionHandler,
+        handler: ConnectionHandler[ControlPlaneMessage],
     ) -> None:
         self.clients: dict[str, ReconnectingClient] = {}  # by IP
         self.members: list[str] = []  # IPs of the replicas, by the view of the highest epoch
@@ -92,16 +82,13 @@
                 self.clients[ip] = self._start_client(ip)
 
     def _start_client(self, ip: str) -> ReconnectingClient:
-        handler = self._handler
         client = ReconnectingClient(
             (ip, self._settings.talk_port),
+            self._handler,
+            CONTROL_PLANE_MESSAGES,
             self._clock,
             self._nursery,
             self._random,
-            handler.on_connect,
-            handler.on_message,
-            handler.on_disconnect,
-            CONTROL_PLANE_MESSAGES,
         )
         self._nursery.start_soon(client.run)
         return client
@@ -115,8 +102,8 @@
         keep = {*self._settings.seed_ips(), *self.members}
         for ip, client in list(self.clients.items()):
             if client.live:
-                client.tried_at = now
-            elif ip not in keep and now - client.tried_at > FORGET_NODE_MS:
+                client.last_attempt_at_ms = now
+            elif ip not in keep and now - client.last_attempt_at_ms > FORGET_NODE_MS:
                 client.close()
                 del self.clients[ip]
 
--- a/wickspring/lab/simulation/meter.py
+++ b/wickspring/lab/simulation/meter.py
@@ -13,14 +13,12 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from contextvars import ContextVar
-from typing import Any
 
 import trio
 
-from wickspring.common.connection import PeerConnection
-from wickspring.common.messages import Message as TypedMessage
+from wickspring.common.messages import WireMessage
 
-MessageHandler = Callable[[PeerConnection, Any], None]
+WireMessageHandler = Callable[[WireMessage], None]
 
 # Roles and parts are names of figures in docs/capacity/*.json, with which later runs are compared: they stay.
 CORE = "core"  # a control-plane node
@@ -102,14 +100,14 @@
         self.bytes[key] += size
         self.messages[key] += 1
 
-    def metered_handler(self, role: str, handler: MessageHandler) -> MessageHandler:
+    def metered_handler(self, role: str, handler: WireMessageHandler) -> WireMessageHandler:
         """Return a message handler whose time is charged to the part of each message."""
 
-        def handle(connection: PeerConnection, message: Any) -> None:
-            name = message.wire_name if isinstance(message, TypedMessage) else str(message[0])
+        def handle(wire_message: WireMessage) -> None:
+            name = str(wire_message[0])
             previous = self._switch((role, PART_OF_MESSAGE.get(name, name)))
             try:
-                handler(connection, message)
+                handler(wire_message)
             finally:
                 self._switch(previous)
 
--- a/wickspring/lab/simulation/virtual_run.py
+++ b/wickspring/lab/simulation/virtual_run.py
@@ -11,7 +11,6 @@
 from typing import Any
 from unittest.mock import patch
 
-import msgpack
 import trio
 import trio.testing
 from trio._core import _run as trio_scheduler
@@ -19,12 +18,12 @@
 from wickspring.common import connection as connection_module
 from wickspring.common.connection import PeerConnection
 from wickspring.common.lifecycle import GC_THRESHOLDS
-from wickspring.common.messages import Message as TypedMessage
+from wickspring.common.messages import Message
 from wickspring.dataplane import gossip as gossip_module
 from wickspring.dataplane import process as dataplane_process
 from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.lab.simulation.memory_network import DatagramEndpoint, MemoryNetwork
-from wickspring.lab.simulation.meter import MessageHandler, Meter
+from wickspring.lab.simulation.meter import Meter, WireMessageHandler
 from wickspring.lab.simulation.stub_endpoints import StubUpstream
 from wickspring.lab.simulation.virtual_gateway import VirtualGateway
 from wickspring.net import host
@@ -44,21 +43,18 @@
 def _patched_programs(network: MemoryNetwork) -> Iterator[None]:
     """Put the network in memory, the meter and virtual time into the programs' modules."""
     meter = network.meter
-    original_read = PeerConnection.read
+    original_read = PeerConnection.read_wire_messages
 
-    def send(self: PeerConnection, *message: Any) -> None:
-        first = message[0]
-        typed = isinstance(first, TypedMessage)
-        data = first.encode() if typed else msgpack.packb(message)
+    def send(self: PeerConnection, message: Message) -> None:
+        data = message.encode()
         link: Any = self.link
         if not link.broken:
-            name = first.wire_name if typed else first
-            meter.count_message(f"{link.local}>{link.remote}", name, len(data))
+            meter.count_message(f"{link.local}>{link.remote}", message.wire_name, len(data))
         link.send(data)
 
-    async def read(self: PeerConnection, take: MessageHandler, *decoder: Any) -> None:
+    async def read_wire_messages(self: PeerConnection, on_wire_message: WireMessageHandler) -> None:
         link: Any = self.link
-        await original_read(self, meter.metered_handler(link.local, take), *decoder)
+        await original_read(self, meter.metered_handler(link.local, on_wire_message))
 
     replacements = (
         (host, "Clock", VirtualClock),
@@ -70,7 +66,7 @@
         (dataplane_process, "Upstream", StubUpstream),
         (trio.to_thread, "run_sync", _run_inline),
         (PeerConnection, "send", send),
-        (PeerConnection, "read", read),
+        (PeerConnection, "read_wire_messages", read_wire_messages),
     )
     with ExitStack() as stack:
         for target, name, value in replacements:
