--- a/tests/common/test_decoding.py
+++ b/tests/common/test_decoding.py
@@ -96,7 +96,9 @@
     assert flat is not None and flat.name == "r1" and flat.services == (("s", 9.0), ("t", 1.0))
     assert routing_table.route("h.example", "/b/") is None and routing_table.route("other", "/a/") is None
     assert (
-        routing_table.keys["k2"].rate == 63.0 and routing_table.guarded and routing_table.bounds.idle_s == 9.0
+        routing_table.tenants_by_key["k2"].rate == 63.0
+        and routing_table.requires_key
+        and routing_table.client_limits.idle_timeout_s == 9.0
     )
 
 
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -126,7 +126,7 @@
             assert said.status in (
                 200,
                 ERROR_RESPONSES[ErrorKind.BAD_REQUEST].status,
-                ERROR_RESPONSES[ErrorKind.NOT_SAFE_YET].status,
+                ERROR_RESPONSES[ErrorKind.NOT_COMMITTED].status,
             )
             taken += said.status == 200
         assert 0 < taken < 1000
--- a/tests/common/test_messages.py
+++ b/tests/common/test_messages.py
@@ -177,7 +177,7 @@
     assert record.warmup_remaining_ms == 500
     assert msgspec.msgpack.encode(record) == msgpack.packb(endpoint.pack(1000.0))
     read = Endpoint.from_record(record, 3000.0)
-    assert read.cold_until == 3500.0
+    assert read.warming_until_ms == 3500.0
     assert math.isclose(read.to_record(3000.0).warmup_remaining_ms, 500)
     wrong = msgspec.structs.replace(record, address="10.1.0.9:0")
     with pytest.raises(GatewayError):
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -206,7 +206,7 @@
         )
         assert took >= ISOLATION_MS / 1000.0 and trio.current_time() - begun < 6.0
         assert data_plane.control_client.config_status is (
-            ConfigStatus.HELD if restarted else ConfigStatus.SAFE
+            ConfigStatus.STORED if restarted else ConfigStatus.COMMITTED
         )
         assert not data_plane.control_client.in_contact
         system.heal()
@@ -344,7 +344,7 @@
             control_plane.peer_server.receive(session, ["tick", 0, b""])
         (at, standing), *more = heard.routing_tables
         assert not more
-        seen = at - begun < ISOLATION_MS / 1000.0 or standing is not ConfigStatus.HELD
+        seen = at - begun < ISOLATION_MS / 1000.0 or standing is not ConfigStatus.STORED
         assert seen == defect
 
     run_virtual_system(monkeypatch, restarted)
@@ -381,7 +381,7 @@
         assert (await replace_config(control_plane, 3)).status == usual
         contact[0] = False
         if defect:
-            monkeypatch.setattr(QuorumContactMonitor, "observe", lambda *_: QuorumContact.SETTLED)
+            monkeypatch.setattr(QuorumContactMonitor, "observe", lambda *_: QuorumContact.STABLE)
         begun = trio.current_time()
         said = await replace_config(control_plane, 3)
         assert said.status == (usual if defect else 503)
@@ -482,7 +482,7 @@
         assert any(isinstance(message, EndpointSnapshot) for message in heard)
         assert not any(isinstance(message, EndpointsLost | QuotaTotal) for message in heard)
         system.heal()
-        await system.wait_until(lambda: victim.components.contact.observe() is QuorumContact.SETTLED)
+        await system.wait_until(lambda: victim.components.contact.observe() is QuorumContact.STABLE)
         assert not data_plane.endpoints.candidates["well"].unresponsive and not data_plane.endpoints.accepts(
             "ended"
         )
@@ -535,11 +535,11 @@
     for _ in range(400):
         now += random.expovariate(1 / 120.0)
         newest = min(39, newest + (random.random() < 0.06))
-        standing = random.choice(list(ConfigStatus)) if now > 1000.0 * (seed % 4) else ConfigStatus.HELD
+        standing = random.choice(list(ConfigStatus)) if now > 1000.0 * (seed % 4) else ConfigStatus.STORED
         version = newest if standing is ConfigStatus.CURRENT else random.randint(1, newest)
-        if standing is ConfigStatus.HELD:
+        if standing is ConfigStatus.STORED:
             version += random.randint(0, 1)  # a head's own, confirmed to nobody
-        mark = random.choice("xy") if standing is ConfigStatus.HELD else safe.get(version, "x")
+        mark = random.choice("xy") if standing is ConfigStatus.STORED else safe.get(version, "x")
         copy = copy_of(version, mark, standing)
         before = mine.version, mine.status
         advice = mine.offer(now, copy, random.random() < 0.5)
@@ -547,19 +547,19 @@
         due = mine.fallback(now)
         assert advice is not AdoptionAction.FENCE  # one safe text a number: the fence never falls
         if advice in (AdoptionAction.ADOPT, AdoptionAction.REPLACE_UNCOMMITTED):
-            assert standing >= ConfigStatus.SAFE
+            assert standing >= ConfigStatus.COMMITTED
             assert before[0] or standing is ConfigStatus.CURRENT
-            assert advice is AdoptionAction.ADOPT or before == (version, ConfigStatus.HELD)
+            assert advice is AdoptionAction.ADOPT or before == (version, ConfigStatus.STORED)
             mine.adopted(copy)
         elif due is not None:
             assert not before[0] and now - contact_at >= config_adoption.FALLBACK_AFTER_MS
             mine.adopted(due)
         numbers.append(mine.version)
-        if mine.status is ConfigStatus.SAFE:
+        if mine.status is ConfigStatus.COMMITTED:
             assert mine.digest == digest_of(config_text(mine.version, safe[mine.version]))
     assert numbers == sorted(numbers)
     mine.offer(now, copy_of(newest, safe[newest], ConfigStatus.CURRENT))
-    assert mine.version <= newest or mine.status is ConfigStatus.HELD
+    assert mine.version <= newest or mine.status is ConfigStatus.STORED
 
 
 def test_the_fence_takes_the_text_of_one_in_contact_and_says_so(
@@ -576,7 +576,7 @@
         good = data_plane.control_client.config.packed
         other = zlib.compress(config_text(1, "other"))
         connection = next(iter(control_plane.data_planes)).connection
-        for standing, by_control_plane in ((ConfigStatus.SAFE, True), (ConfigStatus.CURRENT, False)):
+        for standing, by_control_plane in ((ConfigStatus.COMMITTED, True), (ConfigStatus.CURRENT, False)):
             offer = ConfigOffer(1, other, digest_of(config_text(1, "other")), standing)
             data_plane.control_client.config.offer(offer, by_control_plane)
             assert data_plane.control_client.config.packed == good
@@ -607,12 +607,12 @@
         CONTACT_TIMEOUT_MS + 1.0
     )
     assert not monitor.isolated(CONTACT_TIMEOUT_MS + 1.0) and monitor.isolated(ISOLATION_MS + 1.0)
-    assert monitor.observe(2000.0, True) is QuorumContact.FRESH and not monitor.timed_out(9000.0)
+    assert monitor.observe(2000.0, True) is QuorumContact.RECENT and not monitor.timed_out(9000.0)
     for now in range(2500, 4250, 250):
         monitor.observe(float(now), now % 1000 != 0)  # gaps of a moment do not count
-    assert monitor.observe(4300.0, True) is QuorumContact.SETTLED
+    assert monitor.observe(4300.0, True) is QuorumContact.STABLE
     assert (
-        monitor.observe(5400.0, True) is QuorumContact.FRESH
+        monitor.observe(5400.0, True) is QuorumContact.RECENT
     )  # a second in which nobody looked: it was stopped
 
 
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -176,7 +176,7 @@
             out.append("x")
         if attempts.final_error is ErrorKind.NO_SERVER:
             assert not may_have_run and not out
-    assert attempts.sent <= attempts.route.tries
+    assert attempts.sent <= attempts.route.max_attempts
 
 
 @pytest.mark.parametrize(("told", "kept"), [(True, True), (False, False)])
--- a/wickspring/common/config_status.py
+++ b/wickspring/common/config_status.py
@@ -15,9 +15,6 @@
     COMMITTED = 1  # it has been committed; there may be newer ones
     CURRENT = 2  # committed, and sent by a process in contact with a majority of the control plane
 
-    HELD = STORED  # earlier names, until their users have moved
-    SAFE = COMMITTED
-
     @property
     def label(self) -> str:
         """Return the name in logs, which operators know (`docs/operators/gateway.md`)."""
@@ -31,9 +28,6 @@
     RECENT = 1  # a majority answers, but not for long enough to have reported every endpoint
     STABLE = 2  # a majority has answered for longer than endpoints need to send a heartbeat
 
-    FRESH = RECENT  # earlier names, until their users have moved
-    SETTLED = STABLE
-
     @property
     def label(self) -> str:
         """Return the name in the JSON of a node's status, which is fixed."""
--- a/wickspring/common/endpoints.py
+++ b/wickspring/common/endpoints.py
@@ -37,8 +37,8 @@
     zone: str
     slots: int  # requests that it works on at once
     state: int = READY  # `EndpointState`; a later version may send a higher one
-    seq: int = 0  # of the heartbeat that this was reported by
-    cold_until: float = 0.0  # ms, by this process's clock: it is warming up until then
+    sequence: int = 0  # of the heartbeat that this was reported by
+    warming_until_ms: float = 0.0  # by this process's clock
     generation: str = ""  # its build
 
     def pack(self, now: float) -> list[Any]:
@@ -48,7 +48,7 @@
             now: the time, in milliseconds. Clocks of machines differ, so what remains of the warm-up is
                 written in place of its end.
         """
-        remaining_ms = max(0.0, self.cold_until - now)
+        remaining_ms = max(0.0, self.warming_until_ms - now)
         return [
             self.id,
             self.service,
@@ -56,7 +56,7 @@
             self.zone,
             self.slots,
             self.state,
-            self.seq,
+            self.sequence,
             round(remaining_ms),
             self.generation,
         ]
@@ -69,9 +69,9 @@
             GatewayError: the address is not one that a request could be sent to.
             ValueError, TypeError: the fields are not those of an endpoint.
         """
-        endpoint_id, service, address, zone, slots, state, seq, remaining_ms, generation = fields
+        endpoint_id, service, address, zone, slots, state, sequence, remaining_ms, generation = fields
         parse_address(str(address))
-        warm_at = now + float(remaining_ms) if remaining_ms else 0.0
+        warming_until_ms = now + float(remaining_ms) if remaining_ms else 0.0
         return Endpoint(
             str(endpoint_id),
             str(service),
@@ -79,8 +79,8 @@
             str(zone),
             int(slots),
             int(state),
-            int(seq),
-            warm_at,
+            int(sequence),
+            warming_until_ms,
             str(generation),
         )
 
--- a/wickspring/common/errors.py
+++ b/wickspring/common/errors.py
@@ -27,9 +27,6 @@
     NO_CONFIG = "no_config"
     BAD_SETTINGS = "bad_settings"
 
-    AT_WORK = IN_PROGRESS  # earlier names, until their users have moved
-    NOT_SAFE_YET = NOT_COMMITTED
-
 
 @dataclass(slots=True, frozen=True)
 class ErrorResponse:
@@ -38,11 +35,6 @@
     status: int
     has_retry_after: bool = False  # the header `retry-after` says when to try again
 
-    @property
-    def comes_back(self) -> bool:
-        """Return `has_retry_after`, by its earlier name."""
-        return self.has_retry_after
-
 
 ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
     ErrorKind.NO_ROUTE: ErrorResponse(404),
--- a/wickspring/common/routing_table.py
+++ b/wickspring/common/routing_table.py
@@ -28,11 +28,6 @@
     max_attempts: int
     services: tuple[tuple[str, float], ...]  # name, weight
 
-    @property
-    def tries(self) -> int:
-        """Return `max_attempts`, by its earlier name."""
-        return self.max_attempts
-
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
@@ -52,11 +47,6 @@
     health_path: str
     max_connections: int  # to one endpoint, from all data planes together; 0: not limited
 
-    @property
-    def most_conns(self) -> int:
-        """Return `max_connections`, by its earlier name."""
-        return self.max_connections
-
 
 @dataclass(slots=True, frozen=True)
 class ClientLimits:
@@ -67,26 +57,6 @@
     header_timeout_s: float = 3.0
     idle_timeout_s: float = 15.0
 
-    @property
-    def head(self) -> int:
-        """Return `max_head_bytes`, by its earlier name."""
-        return self.max_head_bytes
-
-    @property
-    def body(self) -> int:
-        """Return `max_body_bytes`, by its earlier name."""
-        return self.max_body_bytes
-
-    @property
-    def header_s(self) -> float:
-        """Return `header_timeout_s`, by its earlier name."""
-        return self.header_timeout_s
-
-    @property
-    def idle_s(self) -> float:
-        """Return `idle_timeout_s`, by its earlier name."""
-        return self.idle_timeout_s
-
 
 @dataclass(slots=True)
 class RoutingTable:
@@ -113,21 +83,6 @@
         path = target.partition("?")[0]
         return next((route for route in routes or () if path.startswith(route.prefix)), None)
 
-    @property
-    def keys(self) -> dict[str, Tenant]:
-        """Return `tenants_by_key`, by its earlier name."""
-        return self.tenants_by_key
-
-    @property
-    def guarded(self) -> bool:
-        """Return `requires_key`, by its earlier name."""
-        return self.requires_key
-
-    @property
-    def bounds(self) -> ClientLimits:
-        """Return `client_limits`, by its earlier name."""
-        return self.client_limits
-
 
 def parse_version(text: str) -> int:
     """Return 12 for `r12`.
--- a/wickspring/controlplane/api/calls.py
+++ b/wickspring/controlplane/api/calls.py
@@ -21,7 +21,7 @@
 from wickspring.net.clock import Clock
 
 RETRY_AFTER_S = 0.25  # told to callers whose update could not be committed in time
-NO_QUORUM = ErrorDetail(ErrorKind.NOT_SAFE_YET, "no majority of the core answers")
+NO_QUORUM = ErrorDetail(ErrorKind.NOT_COMMITTED, "no majority of the core answers")
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
 def error_response(error: ErrorDetail) -> ApiResponse:
     """Return the response for an error, with a time to come back where its kind is worth a retry."""
     body = msgspec.json.encode({"kind": error.kind.value, "reason": error.reason})
-    retry_after = f"{RETRY_AFTER_S}" if ERROR_RESPONSES[error.kind].comes_back else ""
+    retry_after = f"{RETRY_AFTER_S}" if ERROR_RESPONSES[error.kind].has_retry_after else ""
     return ApiResponse(error.status, body, retry_after)
 
 
--- a/wickspring/controlplane/api/deregister.py
+++ b/wickspring/controlplane/api/deregister.py
@@ -22,4 +22,4 @@
         """Acknowledge the end of a server once it is committed; its id never comes back."""
         if await self._control_plane.endpoints.commit_departure(request.parts["id"], GONE):
             return ApiResponse(200)
-        return error_response(ErrorDetail(ErrorKind.NOT_SAFE_YET, "deregister"))
+        return error_response(ErrorDetail(ErrorKind.NOT_COMMITTED, "deregister"))
--- a/wickspring/controlplane/api/heartbeat.py
+++ b/wickspring/controlplane/api/heartbeat.py
@@ -90,6 +90,6 @@
             return error_response(NO_QUORUM)
         endpoints.receive_heartbeat(endpoint)
         if endpoint.state == DRAINING and not await endpoints.commit_departure(endpoint.id, DRAINING):
-            return error_response(ErrorDetail(ErrorKind.NOT_SAFE_YET, "draining"))
+            return error_response(ErrorDetail(ErrorKind.NOT_COMMITTED, "draining"))
         target = endpoints.heartbeat_target(endpoint.zone)
         return ApiResponse(200, msgspec.json.encode({"beat_target": target} if target else {}))
--- a/wickspring/controlplane/api/update_errors.py
+++ b/wickspring/controlplane/api/update_errors.py
@@ -21,4 +21,4 @@
         return error_response(ErrorDetail(ErrorKind.VERSION_TAKEN, f"r{version} is another text's"))
     if version:
         logs.log_event("config_not_committed", version=version)
-    return error_response(ErrorDetail(ErrorKind.NOT_SAFE_YET, subject))
+    return error_response(ErrorDetail(ErrorKind.NOT_COMMITTED, subject))
--- a/wickspring/controlplane/config_distribution.py
+++ b/wickspring/controlplane/config_distribution.py
@@ -73,12 +73,12 @@
         reported = session.reported_config
         if self.committed.version:
             config = self.committed
-            status = ConfigStatus.SAFE if contact is QuorumContact.NONE else ConfigStatus.CURRENT
+            status = ConfigStatus.COMMITTED if contact is QuorumContact.NONE else ConfigStatus.CURRENT
         elif reported.version or stored is None:
             return
         else:
             config = self._packed_from_disk(stored)
-            status = ConfigStatus.HELD
+            status = ConfigStatus.STORED
         differs = config.version == reported.version and config.digest != reported.digest
         needed = config.version > reported.version or (differs and status is ConfigStatus.CURRENT)
         # The data plane may wait with what it was sent: the same offer goes out once on a connection.
--- a/wickspring/controlplane/endpoint_registry.py
+++ b/wickspring/controlplane/endpoint_registry.py
@@ -29,7 +29,7 @@
     def record_heartbeat(self, now: float, received: Endpoint) -> Endpoint | None:
         """Record a heartbeat, sent here or to another node; return the endpoint where data planes need it."""
         known = self.endpoints.get(received.id)
-        if known is not None and received.seq < known.seq:
+        if known is not None and received.sequence < known.sequence:
             return None  # overtaken by a later one
         endpoint = self._with_final_state(received, known)
         if endpoint.state != GONE:
@@ -55,7 +55,7 @@
         recovered = []
         for endpoint_id, sequence in sequences:
             known = self.endpoints.get(endpoint_id)
-            if known is None or sequence < known.seq:
+            if known is None or sequence < known.sequence:
                 continue
             self.last_heartbeat_at[endpoint_id] = now
             if endpoint_id in self.lost:
@@ -112,7 +112,7 @@
 
 def _has_changed(now: float, known: Endpoint, endpoint: Endpoint) -> bool:
     """Tell whether a heartbeat changes an endpoint for data planes."""
-    warm_up_moved = abs(endpoint.cold_until - known.cold_until) > WARM_UP_CHANGE_MS
-    if warm_up_moved and endpoint.cold_until > now:
+    warm_up_moved = abs(endpoint.warming_until_ms - known.warming_until_ms) > WARM_UP_CHANGE_MS
+    if warm_up_moved and endpoint.warming_until_ms > now:
         return True
-    return replace(endpoint, seq=known.seq, cold_until=known.cold_until) != known
+    return replace(endpoint, sequence=known.sequence, warming_until_ms=known.warming_until_ms) != known
--- a/wickspring/controlplane/endpoint_service.py
+++ b/wickspring/controlplane/endpoint_service.py
@@ -57,7 +57,7 @@
     def receive_heartbeat(self, endpoint: Endpoint) -> None:
         """Record a heartbeat that came to this node, and pass on what it changes."""
         changed = self._registry.record_heartbeat(self._clock.now(), endpoint)
-        self._received_sequences[endpoint.id] = endpoint.seq
+        self._received_sequences[endpoint.id] = endpoint.sequence
         if changed is None:
             return
         logs.log_event(
@@ -142,7 +142,7 @@
     def send_snapshot(self, session: PeerSession) -> None:
         """Send a data plane all that is known of endpoints."""
         now = self._clock.now()
-        is_complete = self._contact.observe() is QuorumContact.SETTLED
+        is_complete = self._contact.observe() is QuorumContact.STABLE
         records = [endpoint.to_record(now) for endpoint in self._registry.present()]
         session.send(EndpointSnapshot(records, self._registry.departures, is_complete))
 
@@ -161,7 +161,7 @@
         self._unreported_lost |= set(self._registry.expire(now))
         for endpoint_id in known_before - set(self._registry.endpoints):
             self._load_tracker.forget_endpoint(endpoint_id)
-        if contact is QuorumContact.SETTLED:
+        if contact is QuorumContact.STABLE:
             self._report_lost()
 
     def _report_lost(self) -> None:
--- a/wickspring/controlplane/load_tracker.py
+++ b/wickspring/controlplane/load_tracker.py
@@ -80,7 +80,7 @@
         cost = self.latency_ratio.get(endpoint.id, 1.0) * (1.0 + occupancy)
         if endpoint.zone != zone:
             cost *= OTHER_ZONE_FACTOR
-        if endpoint.cold_until > now:
+        if endpoint.warming_until_ms > now:
             cost *= WARMING_UP_FACTOR
         if self.ejected_until.get(endpoint.id, 0.0) > now:
             cost *= EJECTED_FACTOR
--- a/wickspring/controlplane/maintenance.py
+++ b/wickspring/controlplane/maintenance.py
@@ -70,7 +70,7 @@
 
     async def _run_once(self, now: float) -> None:
         contact = self._components.contact.observe()
-        if contact is QuorumContact.SETTLED:
+        if contact is QuorumContact.STABLE:
             self._tolerance_log.update(now, self._components.replication.tolerance_shortfalls())
         self._announce_nodes()
         self._replicate_liveness(now)
--- a/wickspring/controlplane/quorum_contact.py
+++ b/wickspring/controlplane/quorum_contact.py
@@ -42,7 +42,7 @@
             self.contact_since = now
         self.last_contact_at = now
         settled = now - self.contact_since >= self.settle_ms
-        self.level = QuorumContact.SETTLED if settled else QuorumContact.FRESH
+        self.level = QuorumContact.STABLE if settled else QuorumContact.RECENT
         return self.level
 
     def timed_out(self, now: float) -> bool:
--- a/wickspring/dataplane/control_client/config_sync.py
+++ b/wickspring/dataplane/control_client/config_sync.py
@@ -75,7 +75,7 @@
     def status(self, in_contact: bool) -> ConfigStatus:
         """Return what this data plane may say of its configuration to others."""
         status = self.adoption.status
-        return ConfigStatus.CURRENT if status is ConfigStatus.SAFE and in_contact else status
+        return ConfigStatus.CURRENT if status is ConfigStatus.COMMITTED and in_contact else status
 
 
 def _read(copy: ConfigCopy) -> RoutingTable:
--- a/wickspring/dataplane/control_client/endpoint_sync.py
+++ b/wickspring/dataplane/control_client/endpoint_sync.py
@@ -57,7 +57,7 @@
         now = self._clock.now()
         fresh = snapshot.is_recent
         self._endpoints.mark_departures(snapshot.departures)
-        if fresh or self._connections.best_contact() < QuorumContact.SETTLED:  # else another knows better
+        if fresh or self._connections.best_contact() < QuorumContact.STABLE:  # else another knows better
             for record in snapshot.endpoints:
                 self._endpoints.update(now, Endpoint.from_record(record, now), fresh)
         self.complete_from.add(sender)
--- a/wickspring/dataplane/policy/attempts.py
+++ b/wickspring/dataplane/policy/attempts.py
@@ -54,7 +54,7 @@
 
     def may_send(self, now: float) -> bool:
         """Return whether a further attempt is allowed by everything but the retry budget."""
-        exhausted = self.sent >= self.route.tries or self.deadline - now < MIN_ATTEMPT_MS
+        exhausted = self.sent >= self.route.max_attempts or self.deadline - now < MIN_ATTEMPT_MS
         if self.ended or self.body_streamed or exhausted:
             return False
         return self.route.pure or (self.not_executed and self.in_flight == 0)
--- a/wickspring/dataplane/policy/config_adoption.py
+++ b/wickspring/dataplane/policy/config_adoption.py
@@ -46,7 +46,7 @@
     def __init__(self, now: float) -> None:
         self.version = 0
         self.digest = b""
-        self.status = ConfigStatus.HELD
+        self.status = ConfigStatus.STORED
         self.pending: ConfigCopy | None = None
         self._last_contact_at = now
 
@@ -58,7 +58,7 @@
             return AdoptionAction.IGNORE
         if copy.version == self.version:
             return self._same_version(copy, by_control_plane)
-        if copy.status is ConfigStatus.CURRENT or (self.version and copy.status is ConfigStatus.SAFE):
+        if copy.status is ConfigStatus.CURRENT or (self.version and copy.status is ConfigStatus.COMMITTED):
             return AdoptionAction.ADOPT
         if self.version:
             return AdoptionAction.IGNORE
@@ -69,9 +69,9 @@
 
     def _same_version(self, copy: ConfigCopy, by_control_plane: bool) -> AdoptionAction:
         if copy.digest == self.digest:
-            self.status = max(self.status, min(copy.status, ConfigStatus.SAFE))
+            self.status = max(self.status, min(copy.status, ConfigStatus.COMMITTED))
             return AdoptionAction.IGNORE
-        if self.status is ConfigStatus.HELD and copy.status >= ConfigStatus.SAFE:
+        if self.status is ConfigStatus.STORED and copy.status >= ConfigStatus.COMMITTED:
             return AdoptionAction.REPLACE_UNCOMMITTED
         if by_control_plane and copy.status is ConfigStatus.CURRENT:
             return AdoptionAction.FENCE
@@ -83,7 +83,7 @@
         pending = self.pending
         committed = (version, digest)
         if version and committed == (self.version, self.digest):
-            self.status = ConfigStatus.SAFE
+            self.status = ConfigStatus.COMMITTED
         elif not self.version and pending is not None and committed == (pending.version, pending.digest):
             return ConfigCopy(version, digest, pending.packed, ConfigStatus.CURRENT)
         return None
@@ -97,7 +97,7 @@
         """Record a copy as the one in use."""
         self.version = copy.version
         self.digest = copy.digest
-        self.status = min(copy.status, ConfigStatus.SAFE)
+        self.status = min(copy.status, ConfigStatus.COMMITTED)
         self.pending = None
 
     def discard(self, copy: ConfigCopy) -> None:
--- a/wickspring/dataplane/policy/endpoint_selection.py
+++ b/wickspring/dataplane/policy/endpoint_selection.py
@@ -85,7 +85,7 @@
             return True
         previous = known.endpoint
         changed = (known.unresponsive and fresh) or endpoint.state > previous.state
-        if endpoint.seq >= previous.seq or endpoint.state > previous.state:
+        if endpoint.sequence >= previous.sequence or endpoint.state > previous.state:
             state = max(endpoint.state, previous.state)  # never back from draining or gone
             known.endpoint = endpoint if endpoint.state == state else replace(endpoint, state=state)
             if previous.service != endpoint.service:
@@ -144,7 +144,7 @@
         endpoint = candidate.endpoint
         in_flight = candidate.in_flight
         cost = candidate.latency_ratio * (1.0 + len(in_flight) / max(1, endpoint.slots))
-        if endpoint.cold_until > now:
+        if endpoint.warming_until_ms > now:
             cost *= WARMING_UP_COST
         if endpoint.zone != self.zone:
             cost *= OTHER_ZONE_COST
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -190,15 +190,19 @@
 
     def on_routing_table(self, routing_table: RoutingTable) -> None:
         """Adapt timeouts and connection limits to a new configuration."""
-        bounds = routing_table.bounds
+        bounds = routing_table.client_limits
         self.patience = Patience(
-            silent=1000.0 * bounds.idle_s,
-            head=1000.0 * bounds.header_s,
-            idle=1000.0 * bounds.idle_s,
-            most_head=bounds.head,
-            most_body=bounds.body,
+            silent=1000.0 * bounds.idle_timeout_s,
+            head=1000.0 * bounds.header_timeout_s,
+            idle=1000.0 * bounds.idle_timeout_s,
+            most_head=bounds.max_head_bytes,
+            most_body=bounds.max_body_bytes,
         )
-        caps = [service.most_conns for service in routing_table.services.values() if service.most_conns > 0]
+        caps = [
+            service.max_connections
+            for service in routing_table.services.values()
+            if service.max_connections > 0
+        ]
         data_planes = max(1, self.data_plane_count() or DEFAULT_DATA_PLANE_COUNT)
         share = int(CONNECTION_SHARE * min(caps, default=MAX_CONNECTIONS) / data_planes)
         per_endpoint = max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, share))
--- a/wickspring/dataplane/request/admission.py
+++ b/wickspring/dataplane/request/admission.py
@@ -69,7 +69,7 @@
         request_id = self._request_id(incoming, pairs)
         deadline_ms = self._deadline_ms(incoming)
         if not route.pure and request_id in context.unrepeatable_ids:
-            raise RequestRefusedError(ErrorKind.AT_WORK)
+            raise RequestRefusedError(ErrorKind.IN_PROGRESS)
         wait_ms = min(deadline_ms, 1000.0 * route.timeout_s)
         attempts = self._attempts(route, wait_ms)
         request = Request(context.next_number(), incoming, attempts)
@@ -87,8 +87,8 @@
         self, incoming: IncomingRequest, routing_table: RoutingTable, route: Route
     ) -> Tenant | None:
         """Return the tenant of the request's key; None where the route needs none."""
-        tenant = routing_table.keys.get(incoming.headers.get("x-key", ""))
-        if tenant is None and routing_table.guarded and not route.public:
+        tenant = routing_table.tenants_by_key.get(incoming.headers.get("x-key", ""))
+        if tenant is None and routing_table.requires_key and not route.public:
             raise RequestRefusedError(ErrorKind.NO_KEY)
         return tenant
 
--- a/wickspring/dataplane/request/response.py
+++ b/wickspring/dataplane/request/response.py
@@ -130,7 +130,7 @@
         """Send a client an error."""
         self._context.event_counts[f"refused[{kind.value}]"] += 1
         response = ERROR_RESPONSES[kind]
-        client.answer(response.status, retry_after(retry_after_ms) if response.comes_back else "", b"")
+        client.answer(response.status, retry_after(retry_after_ms) if response.has_retry_after else "", b"")
 
     # Ends.
 
