--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -112,7 +112,8 @@
     """The end of a connection that keeps what is sent on it."""
 
     def __init__(self) -> None:
-        self.name, self.about, self.sent = "p", dict[str, object](), list[Message]()
+        self.peer_address = "p"
+        self.sent: list[Message] = []
 
     def send(self, message: Message) -> None:
         self.sent.append(message)
