--- a/tests/controlplane/test_chain_defects.py
+++ b/tests/controlplane/test_chain_defects.py
@@ -12,6 +12,7 @@
 from wickspring.controlplane.replication.messages import Pass, Promise
 from wickspring.controlplane.replication.paxos import AcceptedValue, PaxosVoter, Proposal
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
+from wickspring.controlplane.replication.update_passing import UpdatePassing
 from wickspring.controlplane.replication.view import FaultTolerance, Member, PeerObservation, View
 from wickspring.controlplane.replication.view_change import ViewChange
 from wickspring.lab.faults.core_faults import Chaos, Episodes
@@ -19,13 +20,17 @@
 from wickspring.lab.simulation.state_exploration import ONE_NUMBER, explore
 
 
+class _AcknowledgesAnyTextPassing(UpdatePassing):
+    def _confirm(self, sequence: int, state: Replica) -> None:
+        super()._confirm(sequence, state)
+        effects = self._chain.effects
+        effects.outcomes = [(ticket, CommitOutcome.COMMITTED) for ticket, _ in effects.outcomes]
+
+
 class AcknowledgesAnyText(ReplicationChain):
     """A head that acknowledges an update whatever text its version has."""
 
-    def _confirm(self, sequence: int, state: Replica) -> None:
-        super()._confirm(sequence, state)
-        outcomes = self.effects.outcomes
-        self.effects.outcomes = [(ticket, CommitOutcome.COMMITTED) for ticket, _ in outcomes]
+    update_passing_type = _AcknowledgesAnyTextPassing
 
 
 class AcknowledgesBeforeTail(ReplicationChain):
@@ -33,7 +38,7 @@
 
     def submit(self, now: float, ticket: int, update: Update) -> None:
         super().submit(now, ticket, update)
-        if self.pending.pop(ticket, None) is not None:
+        if self.updates.pending.pop(ticket, None) is not None:
             self.effects.outcomes.append((ticket, CommitOutcome.COMMITTED))
 
 
@@ -42,11 +47,11 @@
 
     def submit(self, now: float, ticket: int, update: Update) -> None:
         super().submit(now, ticket, update)
-        pending = self.pending.get(ticket)
+        pending = self.updates.pending.get(ticket)
         if pending is None:
             return
         if self.replica.config.outcome_of(update.version, pending.digest) == CommitOutcome.CONFLICT:
-            del self.pending[ticket]
+            del self.updates.pending[ticket]
             self.effects.outcomes.append((ticket, CommitOutcome.CONFLICT))
 
 
@@ -85,24 +90,30 @@
         return not self.is_member
 
 
-class ConfirmsWithoutText(ReplicationChain):
-    """Text left out for who stores a text of that version; and who lacks it confirms that it is saved."""
-
+class _ConfirmsWithoutTextPassing(UpdatePassing):
     def _pass_down(self, sequence: int, state: Replica) -> None:
         super()._pass_down(sequence, state)
-        if sequence % 3 or not self.effects.messages:
+        messages = self._chain.effects.messages
+        if sequence % 3 or not messages:
             return
-        address, message = self.effects.messages[-1]
+        address, message = messages[-1]
         if isinstance(message, Pass) and message.sequence == sequence:
             abbreviated = state.abbreviated_for(state.config.identity)
-            self.effects.messages[-1] = address, Pass(message.view, sequence, abbreviated)
+            messages[-1] = address, Pass(message.view, sequence, abbreviated)
 
-    def _on_pass(self, now: float, sender: str, message: Pass) -> None:
-        lacks_text = message.state.completed_from(self.replica) is None
-        if message.view == self.view and self.is_member and lacks_text:
-            self._pass_down(message.sequence, Replica(self.replica.config, message.state.departures))
+    def on_pass(self, now: float, sender: str, message: Pass) -> None:
+        chain = self._chain
+        lacks_text = message.state.completed_from(chain.replica) is None
+        if message.view == chain.view and chain.is_member and lacks_text:
+            self._pass_down(message.sequence, Replica(chain.replica.config, message.state.departures))
             return
-        super()._on_pass(now, sender, message)
+        super().on_pass(now, sender, message)
+
+
+class ConfirmsWithoutText(ReplicationChain):
+    """Text left out for who stores a text of that version; and who lacks it confirms that it is saved."""
+
+    update_passing_type = _ConfirmsWithoutTextPassing
 
 
 class InstallsWithoutState(ReplicationChain):
--- a/wickspring/controlplane/replication/catch_up.py
+++ b/wickspring/controlplane/replication/catch_up.py
@@ -66,7 +66,7 @@
         """Send the full state to a node that is missing the text."""
         chain = self._chain
         member = Member(sender, message.disk_id)
-        chain.stored_identities[member] = message.identity
+        chain.updates.stored_identities[member] = message.identity
         if message.epoch != chain.view.epoch:
             return
         self.send_view(sender, message.identity)
--- a/wickspring/controlplane/replication/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -18,13 +18,11 @@
 from __future__ import annotations
 
 import copy
-import math
 from collections.abc import Mapping
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
 from random import Random
 from typing import Any, ClassVar, Self
 
-from wickspring.common.digest import digest_of
 from wickspring.controlplane.replication.catch_up import CatchUp
 from wickspring.controlplane.replication.messages import (
     Accept,
@@ -41,6 +39,7 @@
 )
 from wickspring.controlplane.replication.paxos import PaxosVoter
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
+from wickspring.controlplane.replication.update_passing import UpdatePassing
 from wickspring.controlplane.replication.view import (
     ClusterObservation,
     FaultTolerance,
@@ -51,19 +50,6 @@
 from wickspring.controlplane.replication.view_change import ViewChange
 from wickspring.core.invariants import holds
 
-RESEND_MS = 250.0  # until a pass that is not confirmed is sent again
-MAX_SEQUENCE = 2**40  # passes are numbered from a random number, drawn at each start and view
-NO_PASS = -1  # of an update that no pass has carried yet
-
-
-@dataclass(slots=True)
-class PendingUpdate:
-    """An update whose sender waits."""
-
-    update: Update
-    digest: bytes
-    sequence: int = NO_PASS  # of the pass that carries it
-
 
 @dataclass(slots=True)
 class Effects:
@@ -80,6 +66,7 @@
     `stopping` and `disk_slow` are set by the host: it is about to end, or its disk does not answer in time.
     """
 
+    update_passing_type: ClassVar[type[UpdatePassing]] = UpdatePassing
     view_change_type: ClassVar[type[ViewChange]] = ViewChange
 
     def __init__(
@@ -108,11 +95,7 @@
         self.dirty = False
         self.effects = Effects()
         self.views_installed = 0  # since the start
-        self.sequence = self.random.randrange(MAX_SEQUENCE)
-        self.passing: Replica | None = None  # what the pass under way carries, however often it is sent
-        self.passed_at = -math.inf  # ms
-        self.pending: dict[int, PendingUpdate] = {}  # by ticket
-        self.stored_identities: dict[Member, bytes] = {}  # of the configurations that others have reported
+        self.updates = self.update_passing_type(self)
         self.view_change = self.view_change_type(self, self.random.random())
         self.catch_up = CatchUp(self)
 
@@ -122,11 +105,10 @@
         other.effects = Effects()
         other.replica = self.replica.copy()
         other.committed = self.committed.copy()
-        other.pending = {ticket: replace(pending) for ticket, pending in self.pending.items()}
-        other.stored_identities = dict(self.stored_identities)
         other.paxos = copy.copy(self.paxos)
         if self.paxos.proposal is not None:
             other.paxos.proposal = self.paxos.proposal.copy()
+        other.updates = self.updates.clone_for(other)
         other.view_change = self.view_change.clone_for(other)
         other.catch_up = self.catch_up.clone_for(other)
         return other
@@ -203,7 +185,7 @@
         """Start: the head finds out whether its view stands, and what of its replica is committed."""
         self.view_change.start(now)
         if self.is_head and not self.frozen:
-            self._send_pass(now)
+            self.updates.send_pass(now)
 
     def tick(self, now: float, peers: Mapping[str, PeerObservation]) -> None:
         """Observe the peers: help those that are behind, send again, and change the view if needed."""
@@ -211,26 +193,16 @@
         self.catch_up.tick(now)
         if not self.is_voter:
             return
-        unconfirmed = self.is_head and not self.frozen and self.passing is not None
-        if unconfirmed and now - self.passed_at >= RESEND_MS:
-            self._send_pass(now)
+        self.updates.resend_if_due(now)
         self.view_change.tick(now)
 
-    def on_peer_reachable(self, address: str) -> None:
-        """Send the pass again to a successor that has just become reachable and may have missed it."""
-        successor = self.view.successor(self.me)
-        if successor is None or successor.address != address:
-            return
-        if self.passing is not None and not self.frozen:
-            self._pass_down(self.sequence, self.passing)
-
     def receive(self, now: float, sender: str, message: ReplicationMessage) -> None:
         """Handle a message of another node, or of this one to itself."""
         match message:
             case Pass():
-                self._on_pass(now, sender, message)
+                self.updates.on_pass(now, sender, message)
             case Passed():
-                self._on_passed(now, sender, message)
+                self.updates.on_passed(now, sender, message)
             case Fetch():
                 self.catch_up.on_fetch(sender, message)
             case CommittedState():
@@ -248,19 +220,19 @@
             case Outbid():
                 self.view_change.on_outbid(now, message)
 
-    # Updates.
-
     def submit(self, now: float, ticket: int, update: Update) -> None:
         """Take an update, or a read, at the head; elsewhere its outcome is NOT_YET at once."""
-        if not self.is_head:
-            self.effects.outcomes.append((ticket, CommitOutcome.NOT_YET))
-            return
-        self.pending[ticket] = PendingUpdate(update, digest_of(update.document))
-        self._start_pass(now)
+        self.updates.submit(now, ticket, update)
 
     def cancel(self, ticket: int) -> None:
         """Forget a ticket whose owner no longer waits."""
-        self.pending.pop(ticket, None)
+        self.updates.cancel(ticket)
+
+    def on_peer_reachable(self, address: str) -> None:
+        """Send the pass again to a successor that has just become reachable and may have missed it."""
+        self.updates.on_peer_reachable(address)
+
+    # The state.
 
     def mark_committed(self, state: Replica) -> None:
         """Record that a state is committed."""
@@ -273,78 +245,6 @@
         if self.committed.merge(state):
             self.effects.newly_committed = True
 
-    def _start_pass(self, now: float) -> None:
-        """Start a pass with all updates that no pass has carried yet."""
-        fresh = [pending for pending in self.pending.values() if pending.sequence == NO_PASS]
-        if self.frozen or self.passing is not None or not fresh:
-            return
-        holds(self.replica.config.epoch == self.view.epoch, "a head holds the state of its view")
-        self.sequence += 1
-        for pending in fresh:
-            self.dirty |= self.replica.apply(pending.update, self.view.epoch)
-            pending.sequence = self.sequence
-        self._send_pass(now)
-
-    def _send_pass(self, now: float) -> None:
-        if self.passing is None:
-            self.passing = self.replica.copy()
-        self.passed_at = now
-        self._pass_down(self.sequence, self.passing)
-
-    def _pass_down(self, sequence: int, state: Replica) -> None:
-        """Pass a state to the successor; the tail confirms it instead."""
-        successor = self.view.successor(self.me)
-        if successor is None:
-            self._confirm(sequence, state)
-            return
-        self.sequence = sequence
-        self.passing = state
-        abbreviated = state.abbreviated_for(self.stored_identities.get(successor, b""))
-        self.send(successor.address, Pass(self.view, sequence, abbreviated))
-
-    def _confirm(self, sequence: int, state: Replica) -> None:
-        """A state is stored here and at all that follow: tell the predecessor, or the updates' senders."""
-        self.mark_committed(state)
-        self.passing = None
-        predecessor = self.view.predecessor(self.me)
-        if predecessor is not None:
-            identity = self.replica.config.identity
-            confirmation = Passed(self.view.epoch, sequence, identity, self.me.disk_id)
-            self.send(predecessor.address, confirmation)
-            return
-        carried = [ticket for ticket, pending in self.pending.items() if pending.sequence == sequence]
-        for ticket in carried:
-            pending = self.pending.pop(ticket)
-            outcome = self.committed.config.outcome_of(pending.update.version, pending.digest)
-            self.effects.outcomes.append((ticket, outcome))
-
-    def _on_pass(self, now: float, sender: str, message: Pass) -> None:
-        if message.view.epoch < self.view.epoch:
-            self.catch_up.send_view(sender)
-            return
-        if self.me not in message.view.chain:
-            return
-        state = message.state.completed_from(self.replica)
-        if state is None:
-            self.catch_up.fetch(sender, message.view.epoch)
-            return
-        if message.view.epoch > self.view.epoch:
-            self.install(now, message.view, state)
-        if self.frozen:
-            return
-        self.dirty |= self.replica.merge(state)
-        self._pass_down(message.sequence, state)
-
-    def _on_passed(self, now: float, sender: str, message: Passed) -> None:
-        if message.epoch != self.view.epoch or self.frozen or not self.is_member:
-            return
-        self.stored_identities[Member(sender, message.disk_id)] = message.identity
-        if message.sequence != self.sequence or self.passing is None:
-            return  # of a pass that is over: it says nothing of the one under way
-        self._confirm(message.sequence, self.passing)
-        if self.is_head:
-            self._start_pass(now)
-
     # Views.
 
     def install(self, now: float, view: View, state: Replica | None) -> None:
@@ -358,20 +258,4 @@
         self.dirty = True
         self.views_installed += 1
         self.view_change.on_installed()
-        self.stored_identities.clear()
-        self.sequence = self.random.randrange(MAX_SEQUENCE)
-        self.passing = None
-        if self.is_head:
-            self._carry_pending_again(now)
-        else:
-            self._give_up_pending()
-
-    def _carry_pending_again(self, now: float) -> None:
-        for pending in self.pending.values():
-            pending.sequence = NO_PASS
-        self._send_pass(now)
-        self._start_pass(now)
-
-    def _give_up_pending(self) -> None:
-        self.effects.outcomes += [(ticket, CommitOutcome.NOT_YET) for ticket in self.pending]
-        self.pending.clear()
+        self.updates.on_installed(now)
--- a/wickspring/lab/experiments/storage_cost.py
+++ b/wickspring/lab/experiments/storage_cost.py
@@ -1,9 +1,8 @@
-"""What a core machine's disk costs: bytes and time of a save, files, and the time of a start.
+"""The cost of a control-plane node's disk: bytes and time of a save, sizes of files, time of a start.
 
-`python -m wickspring.lab.experiments.storage_cost` saves a configuration of 100 KB under 1,000 numbers,
-each with a server
-that leaves, on top of 4,096 leaving servers, and then single changes of each kind. Bytes are those that the
-process handed to write calls, checkpoints with them; times are those of this machine's disk.
+`python -m wickspring.lab.experiments.storage_cost` saves a configuration of 100 KB under 1,000 versions, each
+with a departure, on top of 4,096 departures, and then single changes of each kind. Bytes are those that the
+process handed to write calls, checkpoints with them; times are those of the disk at hand.
 """
 
 from __future__ import annotations
@@ -27,41 +26,44 @@
 Row = tuple[str, str]
 
 
-def _written() -> int:
+def _written_bytes() -> int:
     """Return the bytes that this process has handed to write calls."""
     told = dict(line.split(": ") for line in Path("/proc/self/io").read_text().splitlines())
     return int(told["wchar"])
 
 
-def _middle_and_worst(took: list[float]) -> str:
-    return f"{statistics.median(took):.1f} ms, worst {max(took):.1f}"
+def _median_and_worst(durations_ms: list[float]) -> str:
+    return f"{statistics.median(durations_ms):.1f} ms, worst {max(durations_ms):.1f}"
 
 
-class Keeping:
-    """A logbook under changes."""
+class StoreBenchmark:
+    """A replica store under changes."""
 
-    def __init__(self, folder: Path, leaving: int, size: int) -> None:
-        self.folder, self.random, self.size = folder, Random(1), size
-        self.book, self.replica = ReplicaStore(str(folder)), Replica()
+    def __init__(self, folder: Path, departures: int, size: int) -> None:
+        self.folder = folder
+        self.random = Random(1)
+        self.size = size  # bytes of the configuration
+        self.store = ReplicaStore(str(folder))
+        self.replica = Replica()
         self.durable: dict[str, Any] = {
             "view": [1, MEMBERS, MEMBERS],
             "promised": [1, [0, ""]],
             "accepted": None,
             "disk": "first",
         }
-        self.replica.add_departures({f"server-{n:05d}": 1 for n in range(leaving)})
-        self.book.save(self.durable, self.replica.copy())
-        self.left = 0
+        self.replica.add_departures({f"server-{n:05d}": 1 for n in range(departures)})
+        self.store.save(self.durable, self.replica.copy())
+        self.departed = 0
 
-    def change(self) -> None:
-        """Take another configuration, of which a part differs."""
+    def change_config(self) -> None:
+        """Apply a configuration of the next version."""
         number = self.replica.config.version + 1
         self.replica.apply(Update(number, b"%d " % number + self.random.randbytes(self.size)), 1)
 
-    def leave(self) -> None:
-        """Take a server that leaves; the oldest is forgotten where there are too many."""
-        self.left += 1
-        self.replica.add_departures({f"leaving-{self.left:05d}": 1})
+    def add_departure(self) -> None:
+        """Add a departure; the oldest is forgotten where there are too many."""
+        self.departed += 1
+        self.replica.add_departures({f"leaving-{self.departed:05d}": 1})
 
     def promise(self) -> None:
         """Promise a ballot."""
@@ -74,48 +76,54 @@
 
     def measure(self, times: int, *changes: Callable[[], None]) -> tuple[float, list[float]]:
         """Return bytes a save and how long each took, in ms."""
-        took, before = [], _written()
+        durations_ms = []
+        written_before = _written_bytes()
         for _ in range(times):
             for change in changes:
                 change()
-            replica, begun = self.replica.copy(), time.perf_counter()
-            self.book.save(self.durable, replica)
-            took.append(1000.0 * (time.perf_counter() - begun))
-        return (_written() - before) / times, took
+            replica = self.replica.copy()
+            started_at = time.perf_counter()
+            self.store.save(self.durable, replica)
+            durations_ms.append(1000.0 * (time.perf_counter() - started_at))
+        return (_written_bytes() - written_before) / times, durations_ms
 
     def start(self) -> float:
         """Return how long a start takes on the files as a kill leaves them."""
         with tempfile.TemporaryDirectory(dir=self.folder.parent) as folder:
             for path in self.folder.iterdir():
                 (Path(folder) / path.name).write_bytes(path.read_bytes())
-            begun = time.perf_counter()
-            book = ReplicaStore(folder)
-            found = book.load()
-            took = 1000.0 * (time.perf_counter() - begun)
-            book.close()
+            started_at = time.perf_counter()
+            store = ReplicaStore(folder)
+            found = store.load()
+            duration_ms = 1000.0 * (time.perf_counter() - started_at)
+            store.close()
         if found != (self.durable, self.replica):
             raise click.ClickException("what was read is not what was saved")
-        return took
+        return duration_ms
 
 
-def play(folder: Path, changes: int, leaving: int, size: int) -> list[Row]:
+def measure_all(folder: Path, changes: int, departures: int, size: int) -> list[Row]:
     """Save and measure; return what was found."""
-    one = Keeping(folder, leaving, size)
+    benchmark = StoreBenchmark(folder, departures, size)
     rows = []
-    for name, times, what in (
-        (f"a text of {size} B and a leaving server, {changes} times", changes, (one.change, one.leave)),
-        ("a leaving server", 200, (one.leave,)),
-        ("a promise", 200, (one.promise,)),
-        ("an accepted view with its state", 20, (one.promise, one.accept)),
+    for name, times, steps in (
+        (
+            f"a text of {size} B and a departure, {changes} times",
+            changes,
+            (benchmark.change_config, benchmark.add_departure),
+        ),
+        ("a departure", 200, (benchmark.add_departure,)),
+        ("a promise", 200, (benchmark.promise,)),
+        ("an accepted view with its state", 20, (benchmark.promise, benchmark.accept)),
         ("nothing new", 20, ()),
     ):
-        written, took = one.measure(times, *what)
-        rows.append((name, f"{written:,.0f} B, {_middle_and_worst(took)}"))
+        written, durations_ms = benchmark.measure(times, *steps)
+        rows.append((name, f"{written:,.0f} B, {_median_and_worst(durations_ms)}"))
     for name in (FILE, f"{FILE}-wal"):
         rows.append((name, f"{(folder / name).stat().st_size:,} B"))
-    rows.append(("a start, as after a kill", _middle_and_worst([one.start() for _ in range(STARTS)])))
-    one.book.close()
-    rows.append(("a start, as after an end", _middle_and_worst([one.start() for _ in range(STARTS)])))
+    rows.append(("a start, as after a kill", _median_and_worst([benchmark.start() for _ in range(STARTS)])))
+    benchmark.store.close()
+    rows.append(("a start, as after an end", _median_and_worst([benchmark.start() for _ in range(STARTS)])))
     return rows
 
 
@@ -127,7 +135,7 @@
 def main(changes: int, leaving: int, size: int, at: Path | None) -> None:
     """Tell what the disk costs."""
     with tempfile.TemporaryDirectory(dir=at) as folder:
-        for name, told in play(Path(folder) / "disk", changes, leaving, size):
+        for name, told in measure_all(Path(folder) / "disk", changes, leaving, size):
             click.echo(f"{name}: {told}")
 
 
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -61,8 +61,8 @@
         parts = []
         for ip, chain in sorted(self.chains.items()):
             paxos = chain.paxos
-            passing = chain.passing
-            waiting = sorted((ticket, pending.sequence) for ticket, pending in chain.pending.items())
+            passing = chain.updates.passing
+            waiting = sorted((ticket, pending.sequence) for ticket, pending in chain.updates.pending.items())
             parts.append(
                 (
                     ip,
@@ -72,10 +72,10 @@
                     _accepted_key(paxos),
                     chain.replica.config,
                     chain.committed.config,
-                    chain.sequence,
+                    chain.updates.sequence,
                     waiting,
                     passing and passing.config,
-                    sorted(chain.stored_identities.items()),
+                    sorted(chain.updates.stored_identities.items()),
                     _proposal_key(paxos.proposal),
                 )
             )
@@ -204,7 +204,7 @@
                 chain.restore(durable)
             self.chains[what] = chain
             chain.random = ConstantRandom()
-            chain.sequence = 1
+            chain.updates.sequence = 1
             chain.view_change.turn = 0.5
             chain.start(self.now)
             self.carry_out(what, chain)
@@ -274,7 +274,9 @@
     chains = {ip: chain(Member(ip, "first"), View(1, members, members), at) for at, ip in enumerate(IPS)}
     start = World(chains, orders)
     for ip, one in start.chains.items():
-        one.random, one.sequence, one.view_change.turn = ConstantRandom(), 0, 0.5
+        one.random = ConstantRandom()
+        one.updates.sequence = 0
+        one.view_change.turn = 0.5
         one.start(0.0)
         start.carry_out(ip, one)
     seen, todo = {hash(start.key())}, [start]
