--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -87,16 +87,14 @@
 
     def __init__(
         self,
-        ip: str,
-        port: int,
+        address: tuple[str, int],
         clock: Clock,
         nursery: trio.Nursery,
         random: Random,
         host: GossipHost,
         datagrams: Datagrams,
     ) -> None:
-        self.ip = ip
-        self.port = port
+        self.ip, self.port = address
         self.clock = clock
         self.nursery = nursery
         self.random = random
@@ -104,7 +102,7 @@
         self.datagrams = datagrams
         now_s = clock.now() / 1000.0
         self.members: Membership[MemberInfo] = Membership(
-            ip, now_s, MemberInfo(ip), PROBE_INTERVAL_S, random.getrandbits(32), now_s
+            self.ip, now_s, MemberInfo(self.ip), PROBE_INTERVAL_S, random.getrandbits(32), now_s
         )
         self._probe_number = 0
         self._pending_acks: dict[int, Callable[[], None]] = {}
@@ -135,7 +133,7 @@
         while True:
             await trio.sleep(PROBE_INTERVAL_S * self.random.uniform(*PROBE_INTERVAL_JITTER))
             for name in self.members.tick(self.clock.now() / 1000.0):
-                logs.log_event("pilot_gone", data_plane=name, left=self.members.size)
+                logs.log_event("data_plane_lost", data_plane=name, remaining=self.members.size)
             self.members.update_own(MemberInfo(self.ip), heartbeat=False)
             target = self.members.next_probe_target()
             if target is not None:
