--- a/wickspring/lab/experiments/evaluate.py
+++ b/wickspring/lab/experiments/evaluate.py
@@ -1,8 +1,8 @@
-"""From what was seen to the figures of a result."""
+"""Computes the figures of a result from what was recorded in a run."""
 
 from __future__ import annotations
 
-from collections import Counter
+from collections import defaultdict
 from itertools import accumulate
 
 from hdrh.histogram import HdrHistogram
@@ -13,38 +13,56 @@
 from wickspring.lab.reports.result import Result, Series
 from wickspring.lab.traffic.schedule import Script, Try
 
-MOST_SHOWN = 20
-LATENCY_MOST_US, DIGITS = 60_000_000, 3
+MAX_SHOWN = 20  # violations of each rule named in a result
+MAX_LATENCY_US = 60_000_000
+SIGNIFICANT_DIGITS = 3
 
 
 def peak(times: list[float], span: float = 1000.0, *, closed: bool = True) -> int:
     """Return the most of these times within any span; not `closed`, within less than one."""
-    times, most, first = sorted(times), 0, 0
-    for index, time in enumerate(times):
-        while times[first] < time - span or (not closed and times[first] == time - span):
+    ordered = sorted(times)
+    largest = 0
+    first = 0
+    for index, time in enumerate(ordered):
+        while ordered[first] < time - span or (not closed and ordered[first] == time - span):
             first += 1
-        most = max(most, index - first + 1)
-    return most
+        largest = max(largest, index - first + 1)
+    return largest
 
 
 def evaluate(scenario: Scenario, seed: int, script: Script, tries: dict[str, Try], record: Record) -> Result:
-    """Work out all figures that clients, servers and discovery give."""
+    """Return all figures that follow from what clients, servers and discovery recorded."""
     result = Result(scenario.name, seed, scenario.seconds)
-    found = rules.check(scenario, record, tries, script.plans)
+    findings = rules.check(scenario, record, tries, script.plans)
+    _add_outcomes(result, scenario, record)
+    _add_findings(result, findings)
+    result.cold_load_most = rules.cold_load_most(scenario, record)
+    _add_connections(result, record)
+    share, worst = rules.beyond_quota(record, script.plans, tries)
+    result.beyond_quota_share = share
+    result.beyond_quota_worst = worst
+    result.counter_calls_per_request = record.counted["counter_calls"] / max(1, result.requests)
+    result.series = _series(scenario, record)
+    result.connections_peak = max(result.series.open, default=0)
+    return result
+
+
+def _add_outcomes(result: Result, scenario: Scenario, record: Record) -> None:
+    """Add how requests ended, and their latencies."""
     kinds = scenario.shape.kind
-    histogram = HdrHistogram(1, LATENCY_MOST_US, DIGITS)
-    served_in_aim = 0
+    histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+    served_in_target = 0
     for asked in record.asked:
-        one = asked.plan
+        kind = kinds[asked.plan.kind]
         outcome = asked.outcome
+        once = kind.effect == "once"
         result.requests += 1
-        once = kinds[one.kind].effect == "once"
         result.escalates += once
         if outcome == "served":
             result.served += 1
-            latency = asked.answers[0][0] - one.at_ms  # from when it was due: waiting to be sent counts
-            histogram.record_value(max(1, int(1000.0 * latency)))
-            served_in_aim += latency <= kinds[one.kind].aim_ms
+            latency_ms = asked.answers[0][0] - asked.plan.at_ms  # from when it was due: waiting counts
+            histogram.record_value(max(1, int(1000.0 * latency_ms)))
+            served_in_target += latency_ms <= kind.aim_ms
         elif outcome == "refused":
             result.refused += 1
         else:
@@ -52,36 +70,42 @@
             result.escalate_failed += once
     requests = max(1, result.requests)
     result.served_share = result.served / requests
-    result.served_in_aim_share = served_in_aim / requests
+    result.served_in_aim_share = served_in_target / requests
     result.latency_p50_ms = histogram.get_value_at_percentile(50) / 1000.0
     result.latency_p99_ms = histogram.get_value_at_percentile(99) / 1000.0
     result.escalate_failed_share = result.escalate_failed / max(1, result.escalates)
-    result.answers_lost, result.answers_doubled = len(found.lost), len(found.doubled)
-    result.answers_late, result.answers_foreign = len(found.late), len(found.foreign)
-    result.forbidden_copies, result.drains_broken = len(found.forbidden), len(found.drains)
-    result.drain_ms_most, result.cold_broken = found.drain_ms_most, len(found.cold)
-    result.cold_load_most = rules.cold_load_most(scenario, record)
-    result.rules_broken = found.broken
-    result.copies_beside, result.ceilings_broken = len(found.beside), len(found.ceilings)
+
+
+def _add_findings(result: Result, findings: rules.Findings) -> None:
+    """Add how often each rule was broken."""
+    result.answers_lost = len(findings.lost)
+    result.answers_doubled = len(findings.doubled)
+    result.answers_late = len(findings.late)
+    result.answers_foreign = len(findings.foreign)
+    result.forbidden_copies = len(findings.forbidden)
+    result.drains_broken = len(findings.drains)
+    result.drain_ms_most = findings.drain_ms_most
+    result.cold_broken = len(findings.cold)
+    result.copies_beside = len(findings.beside)
+    result.ceilings_broken = len(findings.ceilings)
+    result.rules_broken = findings.broken
     for name in rules.RULES:
-        result.violations += [f"{name}: {one}" for one in getattr(found, name)[:MOST_SHOWN]]
-    times = [at for at, _ in record.dials]
-    result.dials, result.dials_per_s_peak = len(times), peak(times)
-    by_server = Counter(server for _, server in record.dials)
-    result.dials_per_s_peak_server = max(
-        (peak([at for at, one in record.dials if one == server]) for server in by_server), default=0
-    )
+        result.violations += [f"{name}: {item}" for item in getattr(findings, name)[:MAX_SHOWN]]
+
+
+def _add_connections(result: Result, record: Record) -> None:
+    """Add dials, attempts and the reuse of connections."""
+    dials_by_server = defaultdict[str, list[float]](list)
+    for at, server in record.dials:
+        dials_by_server[server].append(at)
+    result.dials = len(record.dials)
+    result.dials_per_s_peak = peak([at for at, _ in record.dials])
+    result.dials_per_s_peak_server = max(map(peak, dials_by_server.values()), default=0)
     result.attempts = len(record.arrivals)
     result.reuses = sum(arrival.reused for arrival in record.arrivals)
     result.reuse_share = result.reuses / max(1, result.attempts)
     result.sent_on_dead = len(record.dead_writes)
     result.sent_on_dead_per_1000 = 1000.0 * result.sent_on_dead / max(1, result.attempts)
-    share, worst = rules.beyond_quota(record, script.plans, tries)
-    result.beyond_quota_share, result.beyond_quota_worst = share, worst
-    result.counter_calls_per_request = record.counted["counter_calls"] / requests
-    result.series = _series(scenario, record)
-    result.connections_peak = max(result.series.open, default=0)
-    return result
 
 
 def _series(scenario: Scenario, record: Record) -> Series:
--- a/wickspring/lab/experiments/scenario.py
+++ b/wickspring/lab/experiments/scenario.py
@@ -237,18 +237,24 @@
     return {path.stem: path for path in sorted(SHIPPED.glob("*.toml"))}
 
 
-def load(word: str, site: str = "") -> Scenario:
-    """Read a shipped scenario by its name, or a TOML file by its path; `site` is in place of its own."""
-    path = shipped().get(word) or Path(word)
+def load(source: str, site: str = "") -> Scenario:
+    """Read a shipped scenario by its name, or a TOML file by its path; `site` replaces the scenario's own.
+
+    Raises ScenarioError.
+    """
+    path = shipped().get(source) or Path(source)
     try:
         text = path.read_text()
     except OSError as error:
-        raise ScenarioError(f"{word} is no shipped scenario and no file: {error.strerror}") from error
+        raise ScenarioError(f"{source} is no shipped scenario and no file: {error.strerror}") from error
     return parse(text, path.name, site)
 
 
 def parse(text: str, file: str, site: str = "") -> Scenario:
-    """Check the text of a scenario, on its site or another."""
+    """Parse and check the text of a scenario, for its own site or another.
+
+    Raises ScenarioError with the key at fault.
+    """
     try:
         scenario = decode_toml(file, text, Scenario)
     except ConfigError as error:
@@ -259,65 +265,15 @@
         scenario = _shaped(scenario, scenario.shape)
     except ShapeError as error:
         raise ScenarioError(str(error)) from error
-    for key, value, least in (
-        ("seconds", scenario.seconds, 0.5),
-        ("servers.count", scenario.servers.count, 1),
-        ("servers.cores", scenario.servers.cores, 1),
-        ("servers.halls", scenario.servers.halls, 1),
-        ("clients.rate", scenario.clients.rate, 0.1),
-        ("clients.firms", scenario.clients.firms, 1),
-        ("ingresses.count", scenario.ingresses.count, 1),
-        ("ingresses.sockets", scenario.ingresses.sockets, 32),
-        ("counter.per_s", scenario.counter.per_s, 1),
-    ):
-        if not least <= value < 1e7:
-            raise ScenarioError(f"{file}: {key} must be {least} or more: {value}")
-    for index, fault in enumerate(scenario.fault):
-        if not 0 <= fault.at_s < scenario.seconds:
-            raise ScenarioError(f"{file}: fault[{index}].at_s lies outside the run: {fault.at_s}")
-        for server in fault.servers:
-            if not 0 <= server < scenario.servers.count:
-                raise ScenarioError(f"{file}: fault[{index}].servers: there is no server {server}")
-        for ingress in fault.ingresses:
-            if not 0 <= ingress < scenario.ingresses.count:
-                raise ScenarioError(f"{file}: fault[{index}].ingresses: there is no ingress {ingress}")
-        if not 0 <= fault.hall < scenario.servers.halls:
-            raise ScenarioError(f"{file}: fault[{index}].hall: there is no hall {fault.hall}")
-        if fault.kind == "counter-flush" and not 0 < fault.size <= 1:
-            raise ScenarioError(f"{file}: fault[{index}].size must lie between 0 and 1: {fault.size}")
-        if fault.kind in ("ingress-crash", "ingress-paused", "hall-lost") and scenario.kind != "sockets":
-            raise ScenarioError(f"{file}: fault[{index}].kind: {fault.kind} is for sockets alone")
-    for index, net in enumerate(scenario.net):
-        if not 0 <= net.at_s < scenario.seconds:
-            raise ScenarioError(f"{file}: net[{index}].at_s lies outside the run: {net.at_s}")
-        if net.times < 1 or net.bytes_s <= 0:
-            raise ScenarioError(f"{file}: net[{index}]: times must be 1 or more, bytes_s above 0")
-        for key, words in (("source", net.source), ("target", net.target)):
-            for word in words:
-                if not _party(scenario, word):
-                    raise ScenarioError(f"{file}: net[{index}].{key}: there is no {word!r}")
-    for liar in scenario.peers.liars:
-        if not 0 <= liar < scenario.ingresses.count:
-            raise ScenarioError(f"{file}: peers.liars: there is no ingress {liar}")
-    bounds_fault = scenario.peers.budgets.faults()
-    if bounds_fault:
-        raise ScenarioError(f"{file}: peers.budgets.{bounds_fault}")
-    if not 0 <= scenario.clients.skew <= 1:
-        raise ScenarioError(f"{file}: clients.skew must lie between 0 and 1: {scenario.clients.skew}")
-    if scenario.kind == "virtual":
-        for index, fault in enumerate(scenario.fault):
-            if fault.kind not in ("reset-all", "slow"):
-                raise ScenarioError(f"{file}: fault[{index}].kind: {fault.kind} is not for virtual time")
-    fault_in_limits = scenario.ingresses.connections.faults()
-    if fault_in_limits:
-        raise ScenarioError(f"{file}: ingresses.connections: {fault_in_limits}")
-    if not 0 <= scenario.closing.share <= 1:
-        raise ScenarioError(f"{file}: closing.share must lie between 0 and 1: {scenario.closing.share}")
+    # Here, because the checks import the types of this module.
+    from wickspring.lab.experiments.scenario_checks import check_scenario
+
+    check_scenario(scenario, file)
     return scenario
 
 
-def _party(scenario: Scenario, word: str) -> list[str]:
-    """Return the parties that one word of a network fault names; none for a word that is none."""
+def party(scenario: Scenario, word: str) -> list[str]:
+    """Return the processes that one word of a network fault names; none for an unknown word."""
     kind, _, rest = word.partition(":")
     count, halls = scenario.ingresses.count, scenario.servers.halls
     everyone = [f"n{number}" for number in range(count)]
@@ -333,12 +289,12 @@
 
 
 def parties(scenario: Scenario, words: tuple[str, ...]) -> list[str]:
-    """Return the parties that a fault's words name."""
-    return [name for word in words for name in _party(scenario, word)]
+    """Return the processes that a network fault names."""
+    return [name for word in words for name in party(scenario, word)]
 
 
 def _shaped(scenario: Scenario, shape: Shape) -> Scenario:
-    """Have the site's shape decide what it says of the servers."""
-    said = {"halls": shape.halls, "cold_share": shape.cold_share, "warm_s": shape.warm_s}
-    changes = {key: value for key, value in said.items() if value}
+    """Apply what the site's shape says of the servers."""
+    values = {"halls": shape.halls, "cold_share": shape.cold_share, "warm_s": shape.warm_s}
+    changes = {key: value for key, value in values.items() if value}
     return msgspec.structs.replace(scenario, servers=msgspec.structs.replace(scenario.servers, **changes))
--- a/wickspring/lab/simulation/large_fleet.py
+++ b/wickspring/lab/simulation/large_fleet.py
@@ -30,6 +30,9 @@
 TURN_MS = 100.0
 SAMPLE_MS = 500.0
 HALLS = 10
+COORDINATOR = "a01"
+UPGRADE_AT_MS = 3000.0
+PROGRESS_MS = 500.0
 
 
 class VirtualAgent:
@@ -119,6 +122,11 @@
 
     # Coordinating.
 
+    @property
+    def has_ended(self) -> bool:
+        """Tell whether the operation that this agent coordinates has ended."""
+        return self.operation is not None and self.operation.phase.ended
+
     def turn(self) -> None:
         """Take the operation a step further."""
         operation, fleet = self.operation, self.fleet
@@ -188,6 +196,10 @@
 
         self.timeline.at(self.timeline.now + self.random.uniform(*HOP_MS), arrive)
 
+    def kill(self, number: int) -> None:
+        """Kill an agent for good."""
+        list(self.agents.values())[number].alive = False
+
     def sample(self) -> None:
         """Hold every hall to its floor, by how its instances really are."""
         down, size = dict[str, int](), dict[str, int]()
@@ -202,41 +214,42 @@
 
 
 def run(scenario: Scenario, seed: int, progress: Progress | None = None) -> Result:
-    """Roll a large fleet to a new build; agents named in `fleet.kill` die for good."""
-    part, used = scenario.fleet or FleetPart(), time.process_time()
+    """Roll a large fleet to a new build; agents named in `fleet.kill` are killed for good."""
+    part = scenario.fleet or FleetPart()
+    started_cpu_s = time.process_time()
     fleet = LargeFleet(scenario, seed)
     timeline = fleet.timeline
-    coordinator = fleet.agents["a01"]
+    coordinator = fleet.agents[COORDINATOR]
     fleet.every(TURN_MS, coordinator.turn)
     fleet.every(SAMPLE_MS, fleet.sample)
-
-    def begin() -> None:
-        records = tuple(coordinator.records().values())
-        coordinator.operation = rollout.plan(
-            Kind.UPGRADE,
-            records,
-            id="upgrade",
-            by="operator",
-            coordinator="a01",
-            now=fleet.now,
-            build="2",
-            batch=max(1, len(records) // 10),
-        )
-
-    def kill(number: int) -> None:
-        list(fleet.agents.values())[number].alive = False
-
-    timeline.at(3000.0, begin)
+    timeline.at(UPGRADE_AT_MS, partial(_start_upgrade, coordinator))
     for fault in part.kill:
-        timeline.at(1000.0 * fault.at_s, partial(kill, fault.agent))
+        timeline.at(1000.0 * fault.at_s, partial(fleet.kill, fault.agent))
     end = 1000.0 * scenario.seconds
-    while timeline.now < end and not (
-        coordinator.operation is not None and coordinator.operation.phase.ended
-    ):
-        timeline.run(min(end, timeline.now + 500.0))
+    while timeline.now < end and not coordinator.has_ended:
+        timeline.run(min(end, timeline.now + PROGRESS_MS))
         if progress is not None:
             progress(timeline.now / 1000.0, Sights())
-    operation = coordinator.operation
+    return _result(scenario, seed, fleet, time.process_time() - started_cpu_s)
+
+
+def _start_upgrade(coordinator: VirtualAgent) -> None:
+    """Plan an upgrade of all instances, in batches of a tenth."""
+    records = tuple(coordinator.records().values())
+    coordinator.operation = rollout.plan(
+        Kind.UPGRADE,
+        records,
+        id="upgrade",
+        by="operator",
+        coordinator=coordinator.name,
+        now=coordinator.fleet.now,
+        build="2",
+        batch=max(1, len(records) // 10),
+    )
+
+
+def _result(scenario: Scenario, seed: int, fleet: LargeFleet, cpu_s: float) -> Result:
+    operation = fleet.agents[COORDINATOR].operation
     result = Result(scenario.name, seed, scenario.seconds)
     result.instances = scenario.ingresses.count
     result.messages = fleet.messages
@@ -248,10 +261,10 @@
     else:
         result.roll_s = operation.ended_at - operation.at
         result.operations = {operation.id: f"{operation.phase.value} {operation.reason}".strip()}
-        result.rolled = sum(one.step is Step.DONE for one in operation.instances)
+        result.rolled = sum(instance.step is Step.DONE for instance in operation.instances)
         result.did_not_follow = len(operation.did_not_follow)
     result.gateway = {
-        "cpu_s": time.process_time() - used,
+        "cpu_s": cpu_s,
         "messages_per_instance": fleet.messages / max(1, result.instances),
     }
     return result
