--- a/wickspring/lab/emulation/site.py
+++ b/wickspring/lab/emulation/site.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import math
 import socket
 from collections.abc import Callable
 from functools import partial
@@ -13,7 +14,7 @@
 import trio
 
 from wickspring.lab.emulation.services import CounterService, DiscoveryService
-from wickspring.lab.emulation.ticket_servers import TicketServer
+from wickspring.lab.emulation.ticket_servers import ServerEnvironment, TicketServer
 from wickspring.lab.experiments.scenario import Fault, Scenario
 from wickspring.lab.reports.record import Record
 from wickspring.lab.simulation.clock import RunClock
@@ -45,20 +46,10 @@
         ]
         self.replaced = 0
 
-    def _server(self, index: int, name: str = "", started_ms: float | None = None) -> TicketServer:
-        hall = index % self.scenario.servers.halls
-        started = {} if started_ms is None else {"started_ms": started_ms}
-        return TicketServer(
-            name or f"s-{index}",
-            hall,
-            self.scenario,
-            self.tries,
-            self.record,
-            self.clock,
-            Random(self.random.getrandbits(64)),
-            index=index,
-            **started,
-        )
+    def _server(self, index: int, name: str = "", started_ms: float = -math.inf) -> TicketServer:
+        environment = ServerEnvironment(self.scenario, self.tries, self.record, self.clock)
+        random = Random(self.random.getrandbits(64))
+        return TicketServer(name or f"s-{index}", index, environment, random, started_ms)
 
     def entry(self, server: TicketServer, state: str = "up") -> dict[str, Any]:
         """Write a server as discovery does."""
--- a/wickspring/lab/emulation/ticket_servers.py
+++ b/wickspring/lab/emulation/ticket_servers.py
@@ -40,23 +40,34 @@
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
 
+@dataclass(slots=True, frozen=True)
+class ServerEnvironment:
+    """What all ticket servers of a run share."""
+
+    scenario: Scenario
+    tries: dict[str, Try]  # the scheduled requests, by call id
+    record: Record
+    clock: RunClock
+
+
 class TicketServer:
     """One ticket server, at an address of its own for as long as it lives."""
 
     def __init__(
         self,
         name: str,
-        hall: int,
-        scenario: Scenario,
-        tries: dict[str, Try],
-        record: Record,
-        clock: RunClock,
+        index: int,
+        environment: ServerEnvironment,
         random: Random,
         started_ms: float = -math.inf,
-        index: int = 0,
     ) -> None:
-        self.name, self.hall, self.scenario, self.tries = name, hall, scenario, tries
-        self.record, self.clock, self.random = record, clock, random
+        self.name = name
+        self.scenario = scenario = environment.scenario
+        self.tries = environment.tries
+        self.record = environment.record
+        self.clock = environment.clock
+        self.random = random
+        self.hall = index % scenario.servers.halls
         self.started_ms = started_ms  # of the run; minus infinity: long ago
         self.address = ""
         self.sides: set[Side] = set()
