--- a/tests/common/test_decoding.py
+++ b/tests/common/test_decoding.py
@@ -72,7 +72,7 @@
     return whole | changes
 
 
-def test_settings_are_read_and_faults_named() -> None:
+def test_settings_are_parsed_and_errors_name_the_field() -> None:
     read = settings.parse_settings(SETTINGS)
     assert read.is_first_start and read.talk_port == 7340 and read.guarantees.drain_s == 2.5
     assert read.seed_ips() == ["10.1.0.33", "10.2.0.25"]
@@ -87,7 +87,7 @@
             settings.parse_settings(wrong)
 
 
-def test_a_configuration_is_laid_out() -> None:
+def test_a_routing_table_is_built_from_a_configuration() -> None:
     body = json.dumps(document()).encode()
     assert validate_config(body).ok == 7
     routing_table = build_routing_table(body)
@@ -155,7 +155,7 @@
     assert found.is_error() and found.error.kind is ErrorKind.INVALID_CONFIG and found.error.reason
 
 
-def test_every_kind_has_its_answer_and_promises_keep_their_word() -> None:
+def test_every_error_kind_has_its_response() -> None:
     assert set(ERROR_RESPONSES) == set(ErrorKind)
     assert {ERROR_RESPONSES[kind].status for kind in (ErrorKind.MAY_HAVE_RUN, ErrorKind.TIMED_OUT)} == {
         502,
@@ -163,7 +163,7 @@
     }
 
 
-def test_whatever_comes_as_a_configuration_is_read_or_refused() -> None:
+def test_any_bytes_as_a_configuration_are_validated_or_refused() -> None:
     """A fuzz of the one document that strangers write: never an exception, always the closed list."""
     random, body = Random(5), json.dumps(document()).encode()
     values = [b"null", b"-1", b"{}", b"[]", b'""', b"1e999", b'"r9"', b"true", b"\xff", b'[[[[{"a":1}]]]]']
@@ -177,7 +177,7 @@
             build_routing_table(bytes(wrong))
 
 
-def test_the_logbook_outlives_its_process_and_sets_aside_what_it_cannot_read(tmp_path: Path) -> None:
+def test_the_replica_store_outlives_its_process_and_sets_aside_what_it_cannot_read(tmp_path: Path) -> None:
     members = (Member("a", "d1"), Member("b", "d2"))
     replica = Replica()
     replica.apply(Update(9, b"doc", {"i1": 1}), 3)
@@ -212,34 +212,36 @@
     assert torn.load() is None and torn.quarantined
 
 
-def test_a_newer_programs_logbook_is_left_alone(tmp_path: Path) -> None:
+def test_the_store_of_a_newer_version_is_left_alone(tmp_path: Path) -> None:
     with sqlite3.connect(tmp_path / FILE) as db:
         db.execute("pragma user_version=99")
     with pytest.raises(ValueError, match="newer program"):
         ReplicaStore(str(tmp_path))
 
 
-def beat(seq: int, state: int = READY, id_: str = "i1") -> Endpoint:
-    return Endpoint(id_, "s", "10.0.0.1:80", "a", 2, state, seq)
+def endpoint(seq: int, state: int = READY, endpoint_id: str = "i1") -> Endpoint:
+    return Endpoint(endpoint_id, "s", "10.0.0.1:80", "a", 2, state, seq)
 
 
-def test_the_register_tells_news_once_and_late_calls_nothing() -> None:
+def test_the_registry_reports_a_change_once_and_ignores_late_heartbeats() -> None:
     registry = EndpointRegistry(1500.0)
-    assert registry.record_heartbeat(0.0, beat(1)) is not None
-    assert registry.record_heartbeat(1500.0, beat(2)) is None
-    left = registry.record_heartbeat(2000.0, beat(4, DRAINING))
+    assert registry.record_heartbeat(0.0, endpoint(1)) is not None
+    assert registry.record_heartbeat(1500.0, endpoint(2)) is None
+    left = registry.record_heartbeat(2000.0, endpoint(4, DRAINING))
     assert left is not None and left.state == DRAINING
-    assert registry.record_heartbeat(2100.0, beat(3)) is None  # late
-    assert registry.record_heartbeat(3500.0, beat(5)) is None and registry.endpoints["i1"].state == DRAINING
+    assert registry.record_heartbeat(2100.0, endpoint(3)) is None  # late
+    assert (
+        registry.record_heartbeat(3500.0, endpoint(5)) is None and registry.endpoints["i1"].state == DRAINING
+    )
     assert registry.apply_departures({"i1": GONE})[0].state == GONE
-    registry.record_heartbeat(4000.0, beat(1, id_="i2"))
+    registry.record_heartbeat(4000.0, endpoint(1, endpoint_id="i2"))
     registry.record_liveness(7000.0, [("i2", 3)])
     assert registry.expire(8100.0) == ["i1"] and registry.expire(8100.0) == []
     assert registry.expire(12_000.0) == ["i2"]
-    assert registry.record_heartbeat(12_100.0, beat(9, id_="i2")) is not None  # it is back
+    assert registry.record_heartbeat(12_100.0, endpoint(9, endpoint_id="i2")) is not None  # it is back
 
 
-def test_seeds_are_read_again_while_nobody_is_in_reach(
+def test_seeds_are_read_again_while_no_node_is_reachable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     file = tmp_path / "node.conf"
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -1,4 +1,4 @@
-"""Whatever comes from outside, or over cables: a fuzz of each input, never a crash, always a known kind."""
+"""Fuzzes each input from outside and from other processes: never a crash, always a known kind of error."""
 
 from __future__ import annotations
 
@@ -58,40 +58,40 @@
 PASS = ["pass", _FIRST, 1, Replica(Config(1, 1, b"x", digest_of(b"x")), {"i": 1}).pack()]
 
 
-def spoil(random: Random, told: Any) -> Any:
+def corrupt(random: Random, value: Any) -> Any:
     """Return a message with one of its parts, at any depth, replaced, dropped or doubled."""
-    if isinstance(told, (list, tuple)) and told and random.random() < 0.85:
-        parts, at = list(told), random.randrange(len(told))
+    if isinstance(value, (list, tuple)) and value and random.random() < 0.85:
+        parts, at = list(value), random.randrange(len(value))
         how = random.random()
         if how < 0.1:
             del parts[at]
         elif how < 0.2:
             parts.insert(at, parts[at])
         else:
-            parts[at] = spoil(random, parts[at])
+            parts[at] = corrupt(random, parts[at])
         return parts
-    if isinstance(told, dict) and told and random.random() < 0.85:
-        key = random.choice(list(told))
-        return {**told, key: spoil(random, told[key])}
+    if isinstance(value, dict) and value and random.random() < 0.85:
+        key = random.choice(list(value))
+        return {**value, key: corrupt(random, value[key])}
     return copy.deepcopy(random.choice(ODD))
 
 
-class Heard:
-    """The end of a cable that keeps what is said on it."""
+class RecordingConnection:
+    """A connection that records what is sent on it."""
 
     def __init__(self) -> None:
         self.peer_address = "p"
-        self.said: list[Message] = []
+        self.sent: list[Message] = []
         self.live = True
 
     def send(self, message: Message) -> None:
-        self.said.append(message)
+        self.sent.append(message)
 
     def close(self) -> None:
         self.live = False
 
 
-def test_settings_are_read_or_refused() -> None:
+def test_settings_are_parsed_or_refused() -> None:
     random = Random(3)
     for _ in range(2000):
         lines = SETTINGS.splitlines()
@@ -107,7 +107,7 @@
             assert all(parse_address(one) for one in read.seed_addrs)
 
 
-def test_beats_are_taken_or_refused_by_kind(tmp_path: Path) -> None:
+def test_heartbeats_are_accepted_or_refused_with_a_known_status(tmp_path: Path) -> None:
     random = Random(4)
     beat = {
         "address": "10.1.0.9:8080",
@@ -119,7 +119,7 @@
         taken = 0
         for _ in range(2000):
             try:
-                body = json.dumps(spoil(random, beat)).encode()
+                body = json.dumps(corrupt(random, beat)).encode()
             except TypeError:  # bytes have no form in JSON
                 body = b"\xff"
             said = await Heartbeat(control_plane).call(ApiRequest("POST", "", body, {"id": "i1"}))
@@ -138,10 +138,10 @@
         for one in control_plane.components.registry.present():
             parse_address(one.address)
 
-    in_light(tmp_path, play)
+    with_control_plane(tmp_path, play)
 
 
-def in_light(folder: Path, play: Any) -> None:
+def with_control_plane(folder: Path, play: Any) -> None:
     settings = SETTINGS.replace("ip=10.1.0.30", "ip=10.1.0.33") + f"data_dir={folder}\n"
     settings = settings.replace("10.1.0.33:8783,10.2.0.25:8783", "10.1.0.33:8783")
 
@@ -157,11 +157,11 @@
     trio.run(run)
 
 
-def test_a_lighthouse_takes_whatever_comes_over_a_cable(tmp_path: Path) -> None:
-    """Of pilots and of the core; nothing but what ends the cable is raised, and it counts on."""
+def test_a_control_plane_survives_malformed_messages(tmp_path: Path) -> None:
+    """From data planes and nodes: only errors that end a connection are raised, and it goes on counting."""
     random = Random(5)
     server = Endpoint("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
-    of_pilots: list[list[Any]] = [
+    from_data_planes: list[list[Any]] = [
         ["hello", "pilot", "10.1.0.2", {"version": 3}],
         ["add", 1, "n", False, 1],
         ["berth", 2, "s", "a"],
@@ -174,12 +174,12 @@
         ["tick"],
         ["whole"],
     ]
-    of_core: list[list[Any]] = [
+    from_nodes: list[list[Any]] = [
         ["tick", 5.0],
         ["cores"],
         ["chain", PASS],
         ["enter", 4, [1, b"{}", {"i1": 1}], True],
-        ["entered", 4, True, None],
+        ["entered", 4, 1, None],
         ["servers", [server]],
         ["shadow", {"n": [[0, 2]]}],
         ["shares", {"10.1.0.2": 900.0}, {"n": {"10.1.0.2": 0.5}}],
@@ -191,10 +191,10 @@
         refused = 0
         for _ in range(4000):
             core = random.random() < 0.5
-            session = PeerSession(cast(PeerConnection, Heard()), is_control_plane_node=core)
+            session = PeerSession(cast(PeerConnection, RecordingConnection()), is_control_plane_node=core)
             if not core:
                 control_plane.data_planes.add(session)
-            message = spoil(random, random.choice(of_core if core else of_pilots))
+            message = corrupt(random, random.choice(from_nodes if core else from_data_planes))
             try:
                 if isinstance(message, list) and message and isinstance(message[0], str):
                     control_plane.peer_server.receive(session, message)
@@ -202,22 +202,22 @@
                 refused += 1
             control_plane.data_planes.remove(session)
         assert refused > 300
-        heard = Heard()
-        session = PeerSession(cast(PeerConnection, heard))
+        connection = RecordingConnection()
+        session = PeerSession(cast(PeerConnection, connection))
         control_plane.data_planes.add(session)
         while control_plane.clock.now() - control_plane.replication.lease.installed_at < 500.0:
             await trio.lowlevel.checkpoint()
         control_plane.peer_server.receive(
             session, ["add", 9, "n", False, control_plane.replication.lease.epoch]
         )
-        answer = heard.said[-1]
+        answer = connection.sent[-1]
         assert isinstance(answer, QuotaTotal) and answer.request_number == 9
         control_plane.status()
 
-    in_light(tmp_path, play)
+    with_control_plane(tmp_path, play)
 
 
-def test_a_pilot_takes_whatever_comes_over_cables_and_datagrams() -> None:
+def test_a_data_plane_survives_malformed_messages_and_datagrams() -> None:
     random = Random(6)
     server = Endpoint("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
     digest = Digest("127.0.9.9", {"127.0.9.9": EntryVersion(1.0, 2, 3)}, "", "")
@@ -251,12 +251,14 @@
             refused = 0
             for step in range(4000):
                 known = step % 2 == 0
-                message = spoil(random, random.choice(messages if known else datagrams))
+                message = corrupt(random, random.choice(messages if known else datagrams))
                 try:
                     if known:
                         received = CONTROL_PLANE_MESSAGES.decode(message)
                         if received is not None:
-                            data_plane.control_client.on_message(cast(PeerConnection, Heard()), received)
+                            data_plane.control_client.on_message(
+                                cast(PeerConnection, RecordingConnection()), received
+                            )
                     else:
                         datagram = DATAGRAMS.decode(message)
                         if datagram is not None and datagram.sender == "127.0.9.9":
@@ -274,16 +276,16 @@
     trio.run(play)
 
 
-def test_a_pilot_calls_every_member_of_a_view_whoever_told_of_it() -> None:
-    """After a fault that hit all, who tells first may not have reached the others yet."""
+def test_a_data_plane_connects_to_every_member_of_a_view_whoever_reports_it() -> None:
+    """After a fault of all nodes, the first to report a view may not have reached the others yet."""
     settings = SETTINGS.replace("ip=10.1.0.30", "ip=127.0.9.2").replace("7340,7355", "47340,47355")
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
             data_plane = DataPlane(settings_module.parse_settings(settings), nursery, 1)
-            members = ["10.1.0.33", "10.4.0.22"]  # the second is no seed, and the teller does not reach it
+            members = ["10.1.0.33", "10.4.0.22"]  # the second is no seed, and the sender does not reach it
             data_plane.control_client.on_message(
-                cast(PeerConnection, Heard()), ClusterView(2, members, ["10.1.0.33"], 8)
+                cast(PeerConnection, RecordingConnection()), ClusterView(2, members, ["10.1.0.33"], 8)
             )
             assert set(members) <= set(data_plane.control_client.connections.clients)
             assert {data_plane.control_client.connections.owner(f"t{n}") for n in range(50)} == set(members)
@@ -294,23 +296,23 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_spoilt_messages_do_not_break_the_chain(seed: int) -> None:
-    """Among the messages of a core some come spoilt: they may be refused, and nothing is lost by them."""
+def test_corrupted_messages_do_not_break_the_chain(seed: int) -> None:
+    """Some messages between nodes arrive corrupted: they may be refused, and nothing is lost by them."""
     random, refused = Random(seed), 0
 
-    class Spoilt(Chaos):
+    class ChaosWithCorruption(Chaos):
         def send(self, sender: str, to: str, message: list[Any]) -> None:
             if message[0] != "status" and random.random() < 0.01:
                 chain = self.nodes[to].chain if to in self.nodes else None
                 try:
                     if chain is not None:  # what is not read whole changes nothing that is saved or said
-                        spoilt = decode(spoil(random, message))
-                        if spoilt is not None:
-                            copy.deepcopy(chain).receive(self.now, sender, spoilt)
+                        corrupted = decode(corrupt(random, message))
+                        if corrupted is not None:
+                            copy.deepcopy(chain).receive(self.now, sender, corrupted)
                 except (*DECODE_ERRORS, AssertionError):
                     nonlocal refused
                     refused += 1
             super().send(sender, to, message)
 
-    Spoilt(seed, 3).play(25_000.0)
+    ChaosWithCorruption(seed, 3).play(25_000.0)
     assert refused > 0
--- a/tests/common/test_messages.py
+++ b/tests/common/test_messages.py
@@ -13,7 +13,7 @@
 import trio
 
 from tests.common.test_compatibility import DECODERS, MESSAGES, decoder_of, unpacked
-from tests.common.test_malformed_input import ODD, spoil
+from tests.common.test_malformed_input import ODD, corrupt
 from wickspring.common import logs, messages
 from wickspring.common.config_status import ConfigStatus, QuorumContact
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
@@ -156,7 +156,7 @@
     for _ in range(20_000):
         one = random.choice(MESSAGES)
         decoder = decoder_of(one)
-        wire_message = spoil(random, unpacked(one))
+        wire_message = corrupt(random, unpacked(one))
         if not isinstance(wire_message, list) or not wire_message or not isinstance(wire_message[0], str):
             continue
         try:
