--- a/wickspring/lab/simulation/core_ledger.py
+++ b/wickspring/lab/simulation/core_ledger.py
@@ -91,11 +91,7 @@
         """Check an outcome of a head: only one text is ever acknowledged as that of a version."""
         version, digest = update.version, digest_of(update.document)
         if outcome == CommitOutcome.CONFLICT:
-            self.refusals += 1
-            if self.committed.get(version, digest) == digest:
-                self.fail(f"{ip} refuses r{version}, and no other text of it is safe")
-            if (version, digest) in self.acknowledged:
-                self.fail(f"{ip} refuses r{version}, which had been acknowledged")
+            self._check_refusal(ip, version, digest)
         if outcome != CommitOutcome.COMMITTED:
             return
         self.acks += 1
@@ -122,6 +118,13 @@
                 self.fail(f"two texts of r{version} acknowledged as its own")
             self.highest_acknowledged = max(self.highest_acknowledged, version)
 
+    def _check_refusal(self, ip: str, version: int, digest: bytes) -> None:
+        self.refusals += 1
+        if self.committed.get(version, digest) == digest:
+            self.fail(f"{ip} refuses r{version}, and no other text of it is safe")
+        if (version, digest) in self.acknowledged:
+            self.fail(f"{ip} refuses r{version}, which had been acknowledged")
+
     def read(self, ip: str, safe: Replica, acked: int) -> None:
         """Check what was read; `acked` was the highest version acknowledged when the read started."""
         if safe.config.version < acked:
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -194,20 +194,7 @@
             self.disk = chain.me.disk_id, chain.durable(), chain.replica.copy()
             self.net = {name: one for name, one in self.net.items() if one[1] != what}
         elif kind in ("empty", "its disk"):
-            self.back = True
-            make = type(next(iter(self.chains.values())))
-            if kind == "empty" or self.disk is None:
-                chain = make(Member(what, "second"), View(), 0)
-            else:
-                disk, durable, replica = self.disk
-                chain = make(Member(what, disk), View(), 0, replica.copy())
-                chain.restore(durable)
-            self.chains[what] = chain
-            chain.random = ConstantRandom()
-            chain.updates.sequence = 1
-            chain.view_change.turn = 0.5
-            chain.start(self.now)
-            self.carry_out(what, chain)
+            self._bring_back(what, with_disk=kind != "empty")
         else:
             self.looks[what] = self.looks.get(what, 0) + 1
             chain = self.chains[what]
@@ -218,6 +205,23 @@
             self.carry_out(what, chain)
         self.check()
 
+    def _bring_back(self, what: str, with_disk: bool) -> None:
+        """Start the node that was lost, from its disk or with an empty one."""
+        self.back = True
+        make = type(next(iter(self.chains.values())))
+        if not with_disk or self.disk is None:
+            chain = make(Member(what, "second"), View(), 0)
+        else:
+            disk, durable, replica = self.disk
+            chain = make(Member(what, disk), View(), 0, replica.copy())
+            chain.restore(durable)
+        self.chains[what] = chain
+        chain.random = ConstantRandom()
+        chain.updates.sequence = 1
+        chain.view_change.turn = 0.5
+        chain.start(self.now)
+        self.carry_out(what, chain)
+
     def observe(self, ip: str, seen_by: ReplicationChain) -> PeerObservation:
         """Return what a machine is known by; who is not new is thought to know as much as who asks."""
         other = self.chains.get(ip)
