--- a/wickspring/common/config_status.py
+++ b/wickspring/common/config_status.py
@@ -1,4 +1,4 @@
-"""How far a copy of the configuration may be relied on, as processes report it to each other.
+"""Commit status of a copy of the configuration, and quorum contact of a node, as processes report them.
 
 The numbers are fixed by the wire (`ConfigOffer`, `ControlPlaneHeartbeatReply`); a higher one means more.
 """
@@ -9,7 +9,7 @@
 
 
 class ConfigStatus(IntEnum):
-    """What a sender knows of the copy of the configuration that it sends."""
+    """Whether the sender knows the configuration that it sends to be committed, and to be the newest."""
 
     STORED = 0  # on a node's disk; whether it was ever committed is not known
     COMMITTED = 1  # it has been committed; there may be newer ones
@@ -22,7 +22,7 @@
 
 
 class QuorumContact(IntEnum):
-    """What contact a control-plane node has with the majority of the voters."""
+    """Whether a control-plane node reaches a majority of the voters, and whether for long enough."""
 
     NONE = 0  # no majority answers: what the node knows may be old, and it confirms nothing
     RECENT = 1  # a majority answers, but not for long enough to have reported every endpoint
--- a/wickspring/common/messages/from_data_plane.py
+++ b/wickspring/common/messages/from_data_plane.py
@@ -72,7 +72,8 @@
     """Shows that the sender is alive; sent every `connection.HEARTBEAT_MS`.
 
     The configuration is left out, both fields together, while it is the one last reported on this
-    connection. The receiver answers with `ControlPlaneHeartbeatReply`.
+    connection. The receiver answers with `ControlPlaneHeartbeatReply`. Without a configuration it is sent as
+    `_BARE_HEARTBEAT`, which has no fields: `encode` must change for a further field to be sent then.
     """
 
     config_version: int | UnsetType = UNSET
--- a/wickspring/common/settings.py
+++ b/wickspring/common/settings.py
@@ -2,7 +2,7 @@
 
 `settings_file` reads the lines; here msgspec checks the values by type. Unknown fields are ignored, so that
 files for later versions can be read; the error for a known field that cannot be used names it. Names of
-fields are fixed by the file.
+fields are fixed by the file; a field that is a list is also named in `_LIST_FIELDS`.
 """
 
 from __future__ import annotations
--- a/wickspring/controlplane/api/calls.py
+++ b/wickspring/controlplane/api/calls.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the control plane's HTTP API, and what its handlers need of a node.
+"""Requests, responses and handlers of the control plane's HTTP API, and the interfaces that handlers use.
 
 A handler answers one method of one resource. Handlers depend on `ControlPlaneApi` alone, so tests can run
 them without sockets.
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class ApiRequest:
-    """One call of the API."""
+    """An HTTP request to the API."""
 
     method: str
     path: str
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class ApiResponse:
-    """The answer to a call; `retry_after` is in decimal seconds, empty for none."""
+    """An HTTP response of the API; `retry_after` is in decimal seconds, empty for none."""
 
     status: int
     body: bytes = b"{}"
@@ -44,7 +44,7 @@
 
 
 def error_response(error: ErrorDetail) -> ApiResponse:
-    """Return the response for an error, with a time to come back where its kind is worth a retry."""
+    """Return the response for an error, with `retry_after` where its kind is worth a retry."""
     body = msgspec.json.encode({"kind": error.kind.value, "reason": error.reason})
     retry_after = f"{RETRY_AFTER_S}" if ERROR_RESPONSES[error.kind].has_retry_after else ""
     return ApiResponse(error.status, body, retry_after)
@@ -69,10 +69,10 @@
 
 
 class EndpointDirectory(Protocol):
-    """Takes in what servers report of themselves."""
+    """Registers endpoints by their heartbeats, and commits their departures."""
 
     def receive_heartbeat(self, endpoint: Endpoint) -> None:
-        """Register an endpoint, or note that it is still there."""
+        """Register an endpoint, or renew its registration."""
 
     async def commit_departure(self, endpoint_id: str, state: int) -> bool:
         """Have the departure of an endpoint committed; False where that took too long."""
@@ -82,7 +82,7 @@
 
 
 class ControlPlaneApi(Protocol):
-    """One control-plane node, as the handlers of its API know it."""
+    """What the API handlers use of the control-plane node that they run in."""
 
     @property
     def clock(self) -> Clock:
@@ -90,14 +90,14 @@
 
     @property
     def updates(self) -> UpdateCommitter:
-        """Return what commits updates."""
+        """Return the committer of updates."""
 
     @property
     def endpoints(self) -> EndpointDirectory:
-        """Return what keeps the endpoints."""
+        """Return the registry of endpoints."""
 
     def status(self) -> ControlPlaneStatus:
-        """Return the state of this node, for operators."""
+        """Return the status of this node, as `GET /status` reports it."""
 
 
 class ApiHandler(Protocol):
--- a/wickspring/controlplane/api/heartbeat.py
+++ b/wickspring/controlplane/api/heartbeat.py
@@ -1,4 +1,7 @@
-"""`POST /servers/ID/heartbeat`: a server reports that it is there, and in which condition."""
+"""`POST /servers/ID/heartbeat`: the heartbeat of an endpoint, with its address, service and readiness.
+
+Data planes and control-plane nodes send messages instead (`common.messages`).
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,7 @@
 
 
 class _BuildInfo(msgspec.Struct):
-    """The field `build_info` of a heartbeat."""
+    """The field `build_info` of a heartbeat: service, zone and capacity of the endpoint."""
 
     service: Annotated[str, msgspec.Meta(min_length=1)]
     zone: str = ""
@@ -35,7 +38,7 @@
 
 
 class _Condition(msgspec.Struct):
-    """The field `condition` of a heartbeat."""
+    """The field `condition` of a heartbeat: readiness and remaining warm-up of the endpoint."""
 
     state: Literal["ready", "draining"]
     call_seq: Annotated[int, msgspec.Meta(ge=0, le=MAX_SEQUENCE)] = 0
@@ -71,7 +74,7 @@
 
 
 class Heartbeat:
-    """Handles `POST /servers/ID/heartbeat`."""
+    """Handles an endpoint's heartbeat, `POST /servers/ID/heartbeat`."""
 
     method = "POST"
     path = re.compile(r"/servers/(?P<id>[^/]{1,200})/heartbeat\Z")
@@ -80,7 +83,7 @@
         self._control_plane = control_plane
 
     async def call(self, request: ApiRequest) -> ApiResponse:
-        """Register the server; a `draining` is acknowledged once it is committed."""
+        """Register the endpoint; `draining` is acknowledged once it is committed."""
         endpoints = self._control_plane.endpoints
         try:
             endpoint = _read_endpoint(request.parts["id"], request.body, self._control_plane.clock.now())
--- a/wickspring/controlplane/replication/next_view.py
+++ b/wickspring/controlplane/replication/next_view.py
@@ -1,7 +1,7 @@
-"""Which view should follow: voters and replicas by what must be tolerated, by zones, and by who is present.
+"""Chooses voters and chain of the next view by the wanted fault tolerance, the zones and the health of nodes.
 
-`next_view` is a pure function for whoever observes: the same facts give the same view, and a view that it has
-given is followed by itself, so nodes that observe the same do not undo each other's changes.
+`next_view` is a pure and idempotent function: the same observation gives the same view, and from that view
+the same members again, so nodes that observe the same do not undo each other's changes.
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
         return variants
 
     def keep_absent(self) -> None:
-        """Let unhealthy voters keep their votes where there are too few: they may return, and then count.
+        """Keep unhealthy voters where the healthy ones are too few: they may recover, and then count.
 
         An even number of voters decides no better than one more.
         """
@@ -84,7 +84,7 @@
         self.chosen += present[: max(0, self.tolerance.voters - len(self.chosen))]
 
     def in_order(self) -> tuple[Member, ...]:
-        """Return the chosen, those of the present view first and in its order."""
+        """Return the chosen voters, those of the present view first and in its order."""
         kept = [member for member in self.view.voters if member in self.chosen]
         added = [member for member in self.chosen if member not in kept]
         return (*kept, *added)
@@ -125,7 +125,7 @@
 
 
 def differs(view: View, following: View) -> bool:
-    """Tell whether another view should follow."""
+    """Tell whether two views differ in their sets of voters or of chain members; order does not count."""
     return set(view.voters) != set(following.voters) or set(view.chain) != set(following.chain)
 
 
@@ -160,7 +160,10 @@
 
 
 def _area_shortfalls(view: View, name: str, tolerated: int, area_of: Mapping[str, str]) -> list[str]:
-    """Describe what the loss of that many zones or regions would cost; `area_of` is by address."""
+    """Describe whether the loss of that many failure domains is survived; `area_of` gives that of an address.
+
+    A failure domain is a zone or a region, as `name` says.
+    """
     shares = Counter(area_of[member.address] for member in view.voters).most_common(tolerated)
     lost = sum(count for _, count in shares)
     if lost > _max_lost_voters(view):
--- a/wickspring/controlplane/replication/view_change.py
+++ b/wickspring/controlplane/replication/view_change.py
@@ -4,7 +4,9 @@
 sent with its promise stays the newest that its view has acknowledged through it. Voters take turns in
 proposing, so that they rarely outbid each other.
 
-No I/O and no clock here; times are milliseconds.
+A proposal that is not agreed in time is dropped by `ViewChange.tick`, and another is made. No I/O and no
+clock here, so nothing is logged: the host logs what it learns from `chain.Effects` and from the installed
+view. Times are milliseconds.
 """
 
 from __future__ import annotations
--- a/wickspring/ctl/reports.py
+++ b/wickspring/ctl/reports.py
@@ -78,7 +78,7 @@
 
 
 class NodeRow(msgspec.Struct, frozen=True):
-    """One line of `status`."""
+    """One line of `status`; the table shows the fields that `ctl.__main__.STATUS_COLUMNS` names, JSON all."""
 
     control_plane: str = msgspec.field(name="lighthouse")  # key fixed by earlier versions
     state: str
--- a/wickspring/ctl/tables.py
+++ b/wickspring/ctl/tables.py
@@ -1,4 +1,4 @@
-"""Plain-text tables for terminals."""
+"""Formats rows as plain-text tables; the commands choose rows and columns (`ctl.__main__`, `ctl.reports`)."""
 
 from __future__ import annotations
 
--- a/wickspring/dataplane/policy/endpoint_selection.py
+++ b/wickspring/dataplane/policy/endpoint_selection.py
@@ -162,7 +162,10 @@
     def pick(
         self, now: float, service: str, route: str, tried: set[str], advice: Advice = ()
     ) -> EndpointState | None:
-        """Choose an endpoint that has not been tried, of the advised ones (id and cost) if possible."""
+        """Choose an endpoint that has not been tried, of the advised ones (id and cost) if possible.
+
+        Of advised endpoints of equal cost the first is taken, of others one at random.
+        """
         accepting = self.services.get(service, {})
         advised = self._pick_advised(now, accepting, tried, advice) if advice else None
         if advised is not None:
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -1,4 +1,4 @@
-"""A data plane: its parts, and how they are connected."""
+"""The data plane: builds and connects its components, and carries their calls to each other."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 class DataPlane(Host):
-    """One data plane."""
+    """The components of one data plane process, and its life cycle."""
 
     parts_run = True  # endpoints may execute a request by a part of its body
 
@@ -134,12 +134,12 @@
 
     @property
     def sockets(self) -> int:
-        """How many descriptors this process may have for clients and endpoints."""
+        """The most file descriptors for connections to clients and endpoints; a number, not the sockets."""
         return self.settings.limits.max_fds - RESERVED_FDS
 
     @property
     def flowing(self) -> int:
-        """How many long bodies and responses are in progress."""
+        """How many requests with a streamed body or a streamed response are in flight."""
         requests = self.request_context.requests.values()
         return sum(request.feed is not None or request.streaming_attempt > 0 for request in requests)
 
@@ -152,7 +152,7 @@
         body: bytes,
         feed: Feed | None = None,
     ) -> None:
-        """Handle a client's request."""
+        """Handle a request that a front has read from a client connection."""
         self._handle(IncomingRequest(client, method, target, headers, body, feed))
 
     def _handle(self, incoming: IncomingRequest) -> None:
@@ -164,7 +164,7 @@
             self.startup_queue.hold(incoming)
 
     def leave(self, number: int) -> None:
-        """Forget a client that has gone away."""
+        """Note that a client has disconnected; an attempt that has been sent may still end."""
         self.startup_queue.on_client_gone(number)
         self.responder.on_client_gone(number)
 
@@ -214,7 +214,7 @@
         self.gossip.introduce(ips)
 
     def on_informed(self) -> None:
-        """Admit requests that wait for the first configuration and endpoints."""
+        """Admit the requests queued until the first configuration and endpoints were received."""
         self.startup_queue.release()
 
     # `GossipHost`: what other data planes compare and fetch.
@@ -289,7 +289,7 @@
         self.maintain()
 
     def maintain(self) -> None:
-        """Forget departed endpoints and log statistics, now and again and again."""
+        """Forget departed endpoints and log metrics, then do so again every `STATISTICS_MS`."""
         self.later(STATISTICS_MS * self.random.uniform(0.9, 1.1), self.maintain)
         self.endpoints.forget(self.clock.now(), FORGET_ENDPOINT_MS)
         logs.log_event(
@@ -302,7 +302,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether clients are to connect here."""
+        """Whether this process is ready for client connections (readiness probe)."""
         if self.draining:
             return False
         if not self._ready and self._knows_enough():
--- a/wickspring/dataplane/request/hedging.py
+++ b/wickspring/dataplane/request/hedging.py
@@ -1,4 +1,4 @@
-"""Retries and hedged attempts: what may be sent beyond a request's first attempt.
+"""The retry budgets of all services, and hedged attempts: what is sent beyond a request's first attempt.
 
 A repeatable request that is not answered within a multiple of its route's typical latency is also sent to a
 second endpoint (Dean and Barroso, "The Tail at Scale", 2013).
@@ -15,7 +15,7 @@
 
 
 class RetryBudgets:
-    """The retry budgets of all services."""
+    """The retry budgets of all services: one for each, shared by all its routes and priorities."""
 
     def __init__(self, context: RequestContext) -> None:
         self._context = context
--- a/wickspring/lab/faults/core_faults.py
+++ b/wickspring/lab/faults/core_faults.py
@@ -4,6 +4,9 @@
 a further one only once the last has been back for `CATCH_UP_MS`. Power may be lost anywhere, at any time.
 `Chaos` draws faults at random; `Episodes` brings about one loss after another, each as soon as it is allowed,
 and checks each time that the group answers: while nodes are unavailable, and once they are back.
+
+A kind of fault is a name in `Chaos.kinds` with a case in `Chaos.inject`, or in those of `Episodes`; what a
+node does under it is in `lab.simulation.core.SimulatedCore`.
 """
 
 from __future__ import annotations
@@ -101,7 +104,7 @@
         self.schedule(length_ms, heal_soon)
 
     def slow_disk(self, node: SimulatedNode, length_ms: float) -> None:
-        """Make a node's disk slow, which the node reports."""
+        """Make a node's disk slow: the node reports itself unhealthy, but its saves still succeed at once."""
         chain = node.chain
         if chain is not None:
             chain.disk_slow = True
@@ -156,7 +159,7 @@
 
 
 class Chaos(Faults):
-    """Faults at random."""
+    """Faults of random kinds at random times."""
 
     kinds: tuple[str, ...] = (
         "kill",
--- a/wickspring/lab/simulation/core.py
+++ b/wickspring/lab/simulation/core.py
@@ -1,10 +1,10 @@
-"""The replication group in virtual time: its real state machines under loss, cuts, kills and wiped disks.
+"""The replication group of the control plane in virtual time, under lost messages, partitions and crashes.
 
-A deterministic simulation: one run is one seed. Messages are lost, duplicated, late and out of order; a node
-ends before its save, or after the save and before its messages are sent; nodes are suspended and resumed, and
-their monotonic clocks differ in speed; disks are lost, as many at once as a deployment tolerates. Faults are
-drawn in `lab.faults.core_faults`; what operators send, and what must hold of the answers and of all replicas,
-is in `core_operators` and `core_ledger`.
+A deterministic simulation of the real state machines: one run is one seed. Messages are lost, duplicated,
+late and out of order; a node ends before its save, or after the save and before its messages are sent; nodes
+are suspended and resumed, and their monotonic clocks differ in speed; disks are lost, as many at once as a
+deployment tolerates. Faults are drawn in `lab.faults.core_faults`; what operators send, and what must hold of
+the answers and of all replicas, is in `core_operators` and `core_ledger`.
 
 Checked all along: what a node knows to be committed never goes back; a started node considers nothing
 committed before it has received a message of another; leases of two views are never usable at once. Checked
@@ -42,7 +42,7 @@
 
 
 class SimulatedCore(SeededRun):
-    """All nodes of one run, and the network between them."""
+    """All control-plane nodes of one run, and the network between them."""
 
     crash_odds = 0.0
     finished = False  # no more faults
