--- a/tests/controlplane/test_quota_takeover.py
+++ b/tests/controlplane/test_quota_takeover.py
@@ -253,3 +253,25 @@
         )
 
     run_virtual_system(monkeypatch, test)
+
+
+def test_a_share_of_an_unresponsive_data_plane_does_not_grow_as_its_units_age() -> None:
+    counter, rate, burst = QuotaCounter(SPAN_S, EXCESS, SLACK), 20.0, 20.0
+    for step in range(
+        30
+    ):  # of the first twenty units of another, the last ten have one of the data plane beside
+        if 10 <= step < 20:
+            counter.record_spent(100.0 * step, "t", "cut", rate, burst)
+        counter.record_spent(100.0 * step, "t", "other", rate, burst)
+    counter.mark_unresponsive(3000.0, "cut")
+    share = counter.usage["t"].shares["cut"]
+    for now in range(3000, 8000, 250):  # as another node reports it again and again
+        counter.mark_unresponsive(float(now), "cut", 20_000.0)
+    assert counter.usage["t"].shares["cut"] == share == 1.0 / 3.0
+
+
+def test_few_units_say_nothing_of_shares() -> None:
+    counter = QuotaCounter(SPAN_S, EXCESS, SLACK)
+    counter.record_spent(0.0, "t", "cut", 20.0, 20.0)
+    counter.mark_unresponsive(100.0, "cut")
+    assert "cut" not in counter.usage["t"].shares
--- a/wickspring/controlplane/quota_counter.py
+++ b/wickspring/controlplane/quota_counter.py
@@ -100,8 +100,15 @@
         usage.replace_reported(self._window(now), data_plane, reported)
 
     def mark_unresponsive(self, now: float, data_plane: str, lasts_ms: float = UNRESPONSIVE_MS) -> None:
-        """Reserve units for a data plane that has timed out: it may go on in isolation."""
+        """Reserve units for a data plane that has timed out: it may go on in isolation.
+
+        Its shares are taken when that is noted first. Later the span holds less and less of its units, and of
+        others' from the same time, so a share of them would grow towards the whole.
+        """
+        is_noted = data_plane in self.unresponsive_until
         self.unresponsive_until[data_plane] = now + min(lasts_ms, UNRESPONSIVE_MS)
+        if is_noted:
+            return
         window = self._window(now)
         for usage in self.usage.values():
             share = max(usage.shares.get(data_plane, 0.0), usage.share_of(window, data_plane))
--- a/wickspring/controlplane/tenant_usage.py
+++ b/wickspring/controlplane/tenant_usage.py
@@ -14,6 +14,7 @@
 
 from wickspring.common.quota_rule import WINDOWS_PER_SPAN
 
+MIN_SHARE_UNITS = 6  # of all data planes, below which they say nothing of shares
 MAX_REPORTED_UNITS = 1_000_000  # of one tenant in one window; a report of more is ignored
 MAX_KEPT_WINDOWS = 2 * WINDOWS_PER_SPAN  # of one data plane, before those past the span are removed
 
@@ -125,14 +126,16 @@
         return sum(_in_span(self.by_data_plane.get(data_plane, {}), window).values())
 
     def share_of(self, window: int, data_plane: str) -> float:
-        """Return a data plane's share of the span's units up to its last one; 0 where it has none."""
+        """Return a data plane's share of the span's units up to its last one; 0 where too few are known."""
         units_by_window = _in_span(self.by_data_plane.get(data_plane, {}), window)
         if not units_by_window:
             return 0.0
         last = max(units_by_window)
         oldest = window - WINDOWS_PER_SPAN
         total = sum(units for number, units in self.windows if oldest <= number <= last)
-        return min(1.0, sum(units_by_window.values()) / max(1, total))
+        if total < MIN_SHARE_UNITS:
+            return 0.0
+        return min(1.0, sum(units_by_window.values()) / total)
 
 
 def _is_credible(ago: int, units: int) -> bool:
