--- a/wickspring/lab/faults/core_faults.py
+++ b/wickspring/lab/faults/core_faults.py
@@ -109,7 +109,7 @@
         if chain is not None:
             chain.disk_slow = True
             node.available_at = self.now + length_ms
-            self.schedule(length_ms, lambda: setattr(chain, "hampered", False))
+            self.schedule(length_ms, lambda: setattr(chain, "disk_slow", False))
 
     def add_node(self, zone: str) -> SimulatedNode:
         """Add a node with an empty disk at an address of its own."""
