--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -55,6 +55,7 @@
 ]
 
 _FIRST = View(1, (Member("a", "first"),), (Member("a", "first"),)).pack()
+PEER_IP = "127.0.9.9"  # of a data plane that is only named in messages: nothing is bound to it or sent there
 PASS = ["pass", _FIRST, 1, Replica(Config(1, 1, b"x", digest_of(b"x")), {"i": 1}).pack()]
 
 
@@ -217,10 +218,10 @@
     with_control_plane(tmp_path, play)
 
 
-def test_a_data_plane_survives_malformed_messages_and_datagrams() -> None:
+def test_a_data_plane_survives_malformed_messages_and_datagrams(loopback_net: int) -> None:
     random = Random(6)
     server = Endpoint("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
-    digest = Digest("127.0.9.9", {"127.0.9.9": EntryVersion(1.0, 2, 3)}, "", "")
+    digest = Digest(PEER_IP, {PEER_IP: EntryVersion(1.0, 2, 3)}, "", "")
     probe = [digest.low, digest.high, digest.versions]
     messages: list[list[Any]] = [
         ["sum", 1, 3, 9, 20],
@@ -236,18 +237,18 @@
         ["tock", 2, 3, 8, 99, b"d", 1],
     ]
     datagrams: list[list[Any]] = [
-        ["probe", "127.0.9.9", 1, probe, [0, b"", 0, 0], [["10.1.0.2", 1.0, 2, "x"]]],
-        ["word", "127.0.9.9", 1, [["10.1.0.2", 1.0, 2, 3, False]], [0, b"", 0, 0], []],
-        ["reach", "127.0.9.9", 3, "10.1.0.2"],
-        ["reached", "127.0.9.9", 3],
-        ["servers", "127.0.9.9", [server]],
-        ["leaving", "127.0.9.9", {"i4": 1}],
+        ["probe", PEER_IP, 1, probe, [0, b"", 0, 0], [["10.1.0.2", 1.0, 2, "x"]]],
+        ["word", PEER_IP, 1, [["10.1.0.2", 1.0, 2, 3, False]], [0, b"", 0, 0], []],
+        ["reach", PEER_IP, 3, "10.1.0.2"],
+        ["reached", PEER_IP, 3],
+        ["servers", PEER_IP, [server]],
+        ["leaving", PEER_IP, {"i4": 1}],
     ]
-    settings = SETTINGS.replace("ip=10.1.0.30", "ip=127.0.9.1").replace("7340,7355", "47340,47355")
+    settings = settings_module.parse_settings(SETTINGS.replace("ip=10.1.0.30", f"ip=127.{loopback_net}.2.1"))
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            data_plane = DataPlane(settings_module.parse_settings(settings), nursery, 1)
+            data_plane = DataPlane(settings, nursery, 1)
             refused = 0
             for step in range(4000):
                 known = step % 2 == 0
@@ -261,7 +262,7 @@
                             )
                     else:
                         datagram = DATAGRAMS.decode(message)
-                        if datagram is not None and datagram.sender == "127.0.9.9":
+                        if datagram is not None and datagram.sender == PEER_IP:
                             data_plane.gossip.on_datagram(datagram)
                 except DECODE_ERRORS:
                     refused += 1
@@ -276,13 +277,13 @@
     trio.run(play)
 
 
-def test_a_data_plane_connects_to_every_member_of_a_view_whoever_reports_it() -> None:
+def test_a_data_plane_connects_to_every_member_of_a_view_whoever_reports_it(loopback_net: int) -> None:
     """After a fault of all nodes, the first to report a view may not have reached the others yet."""
-    settings = SETTINGS.replace("ip=10.1.0.30", "ip=127.0.9.2").replace("7340,7355", "47340,47355")
+    settings = settings_module.parse_settings(SETTINGS.replace("ip=10.1.0.30", f"ip=127.{loopback_net}.2.1"))
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            data_plane = DataPlane(settings_module.parse_settings(settings), nursery, 1)
+            data_plane = DataPlane(settings, nursery, 1)
             members = ["10.1.0.33", "10.4.0.22"]  # the second is no seed, and the sender does not reach it
             data_plane.control_client.on_message(
                 cast(PeerConnection, RecordingConnection()), ClusterView(2, members, ["10.1.0.33"], 8)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from pathlib import Path
 from typing import Any
 
 import pytest
 
+from tests.support.loopback import reserve_loopback_net
 from tests.support.policy_gateway import Gateway, make_settings
 
 TESTS = Path(__file__).parent
@@ -23,7 +24,7 @@
     "system/test_example.py",
     "system/test_gateway_processes.py",
 )
-"""Below `tests`: what starts processes, takes fixed loopback addresses or waits by the wall clock."""
+"""Below `tests`: what starts processes, takes loopback networks or waits by the wall clock."""
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
@@ -45,3 +46,10 @@
         return front
 
     return build
+
+
+@pytest.fixture
+def loopback_net() -> Iterator[int]:
+    """Reserve a loopback network for one test; return its number N of 127.N.0.0/16."""
+    with reserve_loopback_net() as net:
+        yield net
--- a/tests/system/test_gateway_processes.py
+++ b/tests/system/test_gateway_processes.py
@@ -54,9 +54,11 @@
     return failed
 
 
-def test_what_is_acknowledged_outlives_the_head_a_wiped_disk_and_all_processes(tmp_path: Path) -> None:
+def test_what_is_acknowledged_outlives_the_head_a_wiped_disk_and_all_processes(
+    tmp_path: Path, loopback_net: int
+) -> None:
     async def scenario() -> None:
-        async with gateway(tmp_path, 11) as local_gateway:
+        async with gateway(tmp_path, loopback_net) as local_gateway:
             assert await local_gateway.replace_config(gateway_config(5)) == 200
             head, second, tail = local_gateway.control_planes
             local_gateway.kill(head)  # while it is away, orders go on in a view of the other two
@@ -83,9 +85,11 @@
     trio.run(scenario)
 
 
-def test_every_control_plane_node_takes_configurations_at_once_a_spare_as_well(tmp_path: Path) -> None:
+def test_every_control_plane_node_takes_configurations_at_once_a_spare_as_well(
+    tmp_path: Path, loopback_net: int
+) -> None:
     async def scenario() -> None:
-        async with gateway(tmp_path, 18, control_planes=4) as local_gateway:
+        async with gateway(tmp_path, loopback_net, control_planes=4) as local_gateway:
             for version, ip in enumerate(local_gateway.control_planes * 3, 2):
                 status, body = await call(
                     ip, CONTROL_PORT, HttpRequest("POST", "/config/replace", gateway_config(version))
@@ -100,9 +104,11 @@
     trio.run(scenario)
 
 
-def test_an_acknowledged_drain_reaches_data_planes_that_were_not_there(tmp_path: Path) -> None:
+def test_an_acknowledged_drain_reaches_data_planes_that_were_not_there(
+    tmp_path: Path, loopback_net: int
+) -> None:
     async def scenario() -> None:
-        async with gateway(tmp_path, 12) as local_gateway:
+        async with gateway(tmp_path, loopback_net) as local_gateway:
             draining_server = local_gateway.servers[0]
             draining_server.state = "draining"
             with trio.fail_after(5.0):
@@ -122,9 +128,11 @@
     trio.run(scenario)
 
 
-def test_an_effectful_request_runs_once_while_servers_and_data_planes_end(tmp_path: Path) -> None:
+def test_an_effectful_request_runs_once_while_servers_and_data_planes_end(
+    tmp_path: Path, loopback_net: int
+) -> None:
     async def scenario() -> None:
-        async with gateway(tmp_path, 13) as local_gateway:
+        async with gateway(tmp_path, loopback_net) as local_gateway:
             answers: dict[str, int] = {}
 
             async def ask(number: int) -> None:
@@ -159,9 +167,9 @@
     trio.run(scenario)
 
 
-def test_quotas_hold_over_all_data_planes_while_their_owner_ends(tmp_path: Path) -> None:
+def test_quotas_hold_over_all_data_planes_while_their_owner_ends(tmp_path: Path, loopback_net: int) -> None:
     async def scenario() -> None:
-        async with gateway(tmp_path, 14) as local_gateway:
+        async with gateway(tmp_path, loopback_net) as local_gateway:
             assert await local_gateway.replace_config(gateway_config(2, rate=20.0)) == 200
             served: list[float] = []
             refused = 0
@@ -189,11 +197,11 @@
     trio.run(scenario)
 
 
-def test_no_client_takes_a_spoilt_response_for_an_answer(tmp_path: Path) -> None:
+def test_no_client_takes_a_spoilt_response_for_an_answer(tmp_path: Path, loopback_net: int) -> None:
     """Half of all answers are spoilt: what is reported as a success is the server's own, to this request."""
 
     async def scenario() -> None:
-        async with gateway(tmp_path, 15) as local_gateway:
+        async with gateway(tmp_path, loopback_net) as local_gateway:
             for server in local_gateway.servers:
                 server.fault_share = 0.5
             answers: dict[str, tuple[int, bytes]] = {}
