--- a/tests/controlplane/test_replica_recovery.py
+++ b/tests/controlplane/test_replica_recovery.py
@@ -1,8 +1,8 @@
-"""A member that was away through hundreds of changes, on real files: it catches up whole, or does not count.
+"""A replica that was down through hundreds of changes, on real files: it catches up, or does not count.
 
-Real chains and logbooks in virtual time. What a machine says leaves it only once its state is saved, as in
-`lighthouse/core.py`. Power is taken in its saves from the member that catches up; what each loss leaves on
-its disk is reckoned as in `test_power.py`.
+Real chains and replica stores in virtual time. A node sends its messages only once its state is saved, as in
+`controlplane/replication/node.py`. Power is lost in saves of the replica that catches up; what each loss
+leaves on its disk is computed as in `test_storage_power_loss.py`.
 """
 
 from __future__ import annotations
@@ -31,22 +31,22 @@
 
 
 class PowerLostError(Exception):
-    """In a save of this machine."""
+    """Power is lost in a save of this node."""
 
 
-class Machine:
-    """A core machine: its disk, and its process while it runs."""
+class Node:
+    """A control-plane node: its disk, and its process while it runs."""
 
     def __init__(self, ip: str, folder: Path, random: Random) -> None:
         self.ip, self.folder, self.random = ip, folder, random
         self.chain: ReplicationChain | None = None
         self.fails = 0  # saves, from now on, in which power is lost
-        self.told = 0  # bytes that others have said to it
+        self.received_bytes = 0  # by messages of other nodes
 
     def start(self, now: float, first: bool = False) -> None:
-        self.book = ReplicaStore(str(self.folder))
-        found = self.book.load()
-        assert first == (found is None) and not self.book.quarantined
+        self.store = ReplicaStore(str(self.folder))
+        found = self.store.load()
+        assert first == (found is None) and not self.store.quarantined
         seed = self.random.getrandbits(32)
         if found is None:
             self.chain = ReplicationChain(Member(self.ip, "first"), View(1, FIRST, FIRST), seed)
@@ -60,7 +60,7 @@
         """End as by a kill; return the files as they are."""
         self.chain = None
         left = files(self.folder)
-        self.book.close()
+        self.store.close()
         self.put(left)
         return left
 
@@ -74,7 +74,7 @@
         chain = self.chain
         assert chain is not None
         before = files(self.folder)
-        self.book.save({**chain.durable(), "disk": chain.me.disk_id}, chain.replica.copy())
+        self.store.save({**chain.durable(), "disk": chain.me.disk_id}, chain.replica.copy())
         after = files(self.folder)
         if self.fails and before != after and self.random.random() < 0.7:
             self.fails -= 1
@@ -84,115 +84,115 @@
             raise PowerLostError
 
 
-class Core:
-    """The machines, and what is on its way among them."""
+class Cluster:
+    """The nodes, and the messages in flight between them."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.random, self.now, self.next_tick = Random(seed), 0.0, 0.0
-        self.machines = {ip: Machine(ip, folder / ip, self.random) for ip in IPS}
-        self.way: deque[tuple[str, str, list[Any]]] = deque()
-        self.verdicts: dict[int, CommitOutcome] = {}
-        self.lost = self.acked = self.ticket = 0
-        for machine in self.machines.values():
-            machine.start(0.0, first=True)
-            self.after(machine)
-
-    def after(self, machine: Machine) -> None:
-        """Save, then let out what was to be said, as the process does."""
-        chain = machine.chain
+        self.nodes = {ip: Node(ip, folder / ip, self.random) for ip in IPS}
+        self.in_flight: deque[tuple[str, str, list[Any]]] = deque()
+        self.outcomes_by_ticket: dict[int, CommitOutcome] = {}
+        self.power_losses = self.committed_version = self.ticket = 0
+        for node in self.nodes.values():
+            node.start(0.0, first=True)
+            self.after(node)
+
+    def after(self, node: Node) -> None:
+        """Save, then send the messages, as the process does."""
+        chain = node.chain
         assert chain is not None
         effects = chain.take_effects()
         if chain.dirty:
             chain.dirty = False
             try:
-                machine.save()
+                node.save()
             except PowerLostError:
-                self.lost += 1
-                machine.start(self.now)
-                self.after(machine)
+                self.power_losses += 1
+                node.start(self.now)
+                self.after(node)
                 return
-        self.way += [(machine.ip, to, message.encode()) for to, message in effects.messages]
-        self.verdicts |= dict(effects.outcomes)
+        self.in_flight += [(node.ip, to, message.encode()) for to, message in effects.messages]
+        self.outcomes_by_ticket |= dict(effects.outcomes)
 
-    def reaches(self, own: str) -> dict[str, PeerObservation]:
+    def observe_peers(self, own: str) -> dict[str, PeerObservation]:
         found = {}
-        sees = frozenset(ip for ip, one in self.machines.items() if one.chain is not None)
-        for ip, machine in self.machines.items():
-            chain = machine.chain
+        running = frozenset(ip for ip, node in self.nodes.items() if node.chain is not None)
+        for ip, node in self.nodes.items():
+            chain = node.chain
             if ip != own and chain is not None:
-                safe = chain.committed
+                committed = chain.committed
                 found[ip] = PeerObservation(
                     True,
                     chain.me.disk_id,
                     False,
                     "",
                     chain.view.epoch,
-                    safe.config.epoch,
-                    safe.config.version,
-                    len(safe.departures),
-                    safe.departures_checksum,
+                    committed.config.epoch,
+                    committed.config.version,
+                    len(committed.departures),
+                    committed.departures_checksum,
                     chain.replica.config.identity,
-                    sees - {ip},
+                    running - {ip},
                 )
         return found
 
     def step(self) -> None:
         self.now += STEP_MS
-        for _ in range(len(self.way)):
-            sender, to, message = self.way.popleft()
-            machine = self.machines[to]
-            if machine.chain is not None:
+        for _ in range(len(self.in_flight)):
+            sender, to, message = self.in_flight.popleft()
+            node = self.nodes[to]
+            if node.chain is not None:
                 packed = msgpack.packb(message)
-                machine.told += len(packed)
+                node.received_bytes += len(packed)
                 decoded = messages.decode(msgpack.unpackb(packed))
                 assert decoded is not None
-                machine.chain.receive(self.now, sender, decoded)
-                self.after(machine)
+                node.chain.receive(self.now, sender, decoded)
+                self.after(node)
         if self.now >= self.next_tick:
             self.next_tick = self.now + TICK_MS
-            for ip, machine in self.machines.items():
-                if machine.chain is not None:
-                    machine.chain.tick(self.now, self.reaches(ip))
-                    self.after(machine)
+            for ip, node in self.nodes.items():
+                if node.chain is not None:
+                    node.chain.tick(self.now, self.observe_peers(ip))
+                    self.after(node)
 
-    def settle(self, ms: float) -> None:
+    def run_for(self, ms: float) -> None:
         end = self.now + ms
         while self.now < end:
             self.step()
 
-    def order(self, order: Update) -> None:
-        """Have it acknowledged, by whichever machine is head."""
+    def commit(self, update: Update) -> None:
+        """Have it acknowledged, by whichever node is head."""
         for _ in range(2000):
-            for machine in self.machines.values():
-                chain = machine.chain
+            for node in self.nodes.values():
+                chain = node.chain
                 if chain is None or not chain.is_head:
                     continue
                 self.ticket += 1
                 ticket = self.ticket
-                chain.submit(self.now, ticket, order)
-                self.after(machine)
+                chain.submit(self.now, ticket, update)
+                self.after(node)
                 for _ in range(60):
-                    if ticket in self.verdicts:
+                    if ticket in self.outcomes_by_ticket:
                         break
                     self.step()
-                if self.verdicts.get(ticket) is CommitOutcome.COMMITTED:
-                    self.check(order)
+                if self.outcomes_by_ticket.get(ticket) is CommitOutcome.COMMITTED:
+                    self.check_committed(update)
                     return
             self.step()
-        raise AssertionError("the core never acknowledged it")
+        raise AssertionError("never committed")
 
-    def check(self, order: Update) -> None:
-        """What is acknowledged is on the disks of all of a chain; nothing acknowledged is taken back."""
-        self.acked = max(self.acked, order.version)
-        newest = max((one.chain.view for one in self.machines.values() if one.chain), key=lambda v: v.epoch)
+    def check_committed(self, update: Update) -> None:
+        """Check that what is committed is on the disks of all of the chain, and nothing committed is lost."""
+        self.committed_version = max(self.committed_version, update.version)
+        newest = max((node.chain.view for node in self.nodes.values() if node.chain), key=lambda v: v.epoch)
         for ip, _ in newest.chain:
-            chain = self.machines[ip].chain
-            assert chain is None or chain.replica.config.version >= self.acked
+            chain = self.nodes[ip].chain
+            assert chain is None or chain.replica.config.version >= self.committed_version
 
-    def changes(self, numbers: range) -> None:
-        for number in numbers:
-            text = b"%d %s" % (number, TEXT)
-            self.order(Update(number, text, {f"s{number}": 1, f"s{number - 5}": 2}))
+    def commit_versions(self, versions: range) -> None:
+        for version in versions:
+            text = b"%d %s" % (version, TEXT)
+            self.commit(Update(version, text, {f"s{version}": 1, f"s{version - 5}": 2}))
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -200,51 +200,53 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
     monkeypatch.setattr(storage_file, "CHECKPOINT_PAGES", 60)
-    core = Core(tmp_path, seed)
-    core.changes(range(1, 11))
-    away = core.machines[core.random.choice(IPS)]
-    old = away.stop()
-    core.settle(3000.0)
-    core.changes(range(11, 261))
-    away.told = 0
-    away.fails = 8
-    away.start(core.now)  # and the changes go on
-    assert away.chain is not None and away.chain.replica.config.version == 10
-    core.changes(range(261, 341))
-    core.settle(8000.0)
-    core.changes(range(341, 346))
-    assert core.lost == 8 and not away.fails, "power was to be lost in the midst"
-    copies = [one.chain.replica for one in core.machines.values() if one.chain is not None]
-    assert len(copies) == 3 and copies[0] == copies[1] == copies[2]
-    assert copies[0].config.version == 345 and len(copies[0].departures) == 345 + 5
+    cluster = Cluster(tmp_path, seed)
+    cluster.commit_versions(range(1, 11))
+    restarted = cluster.nodes[cluster.random.choice(IPS)]
+    old = restarted.stop()
+    cluster.run_for(3000.0)
+    cluster.commit_versions(range(11, 261))
+    restarted.received_bytes = 0
+    restarted.fails = 8
+    restarted.start(cluster.now)  # and the changes go on
+    assert restarted.chain is not None and restarted.chain.replica.config.version == 10
+    cluster.commit_versions(range(261, 341))
+    cluster.run_for(8000.0)
+    cluster.commit_versions(range(341, 346))
+    assert cluster.power_losses == 8 and not restarted.fails, "power was to be lost in saves"
+    replicas = [node.chain.replica for node in cluster.nodes.values() if node.chain is not None]
+    assert len(replicas) == 3 and replicas[0] == replicas[1] == replicas[2]
+    assert replicas[0].config.version == 345 and len(replicas[0].departures) == 345 + 5
     assert all(
-        away.chain is not None and away.chain.me in one.chain.view.chain
-        for one in core.machines.values()
-        if one.chain is not None
+        restarted.chain is not None and restarted.chain.me in node.chain.view.chain
+        for node in cluster.nodes.values()
+        if node.chain is not None
     )
-    assert old.keys() >= {FILE} and sum(map(len, files(away.folder).values())) < 800_000
+    assert old.keys() >= {FILE} and sum(map(len, files(restarted.folder).values())) < 800_000
     # It leads as well as any: the others are gone but one, and power with them.
-    others = [one for one in core.machines.values() if one is not away]
-    for one in (away, *others):
-        one.stop()
-    for one in (away, others[0]):
-        one.start(core.now)
-    core.order(Update())
-    core.changes(range(346, 348))
-    assert away.chain is not None and away.chain.replica.config.version == 347
+    others = [node for node in cluster.nodes.values() if node is not restarted]
+    for node in (restarted, *others):
+        node.stop()
+    for node in (restarted, others[0]):
+        node.start(cluster.now)
+    cluster.commit(Update())
+    cluster.commit_versions(range(346, 348))
+    assert restarted.chain is not None and restarted.chain.replica.config.version == 347
 
 
 def test_catching_up_takes_a_copy_not_the_changes(tmp_path: Path) -> None:
-    core = Core(tmp_path, 9)
-    core.changes(range(1, 4))
-    away = core.machines["m2"]
-    away.stop()
-    core.settle(3000.0)
-    core.changes(range(4, 204))
-    away.told = 0
-    away.start(core.now)
-    core.settle(5000.0)
-    assert away.chain is not None and away.chain.replica.config.version == 203
-    one = len(msgpack.packb(away.chain.replica.pack()))
-    assert away.told <= 8 * one, f"{away.told} bytes for a copy of {one}"
-    assert away.told < 200 * len(TEXT) / 10
+    cluster = Cluster(tmp_path, 9)
+    cluster.commit_versions(range(1, 4))
+    restarted = cluster.nodes["m2"]
+    restarted.stop()
+    cluster.run_for(3000.0)
+    cluster.commit_versions(range(4, 204))
+    restarted.received_bytes = 0
+    restarted.start(cluster.now)
+    cluster.run_for(5000.0)
+    assert restarted.chain is not None and restarted.chain.replica.config.version == 203
+    replica_bytes = len(msgpack.packb(restarted.chain.replica.pack()))
+    assert restarted.received_bytes <= 8 * replica_bytes, (
+        f"{restarted.received_bytes} bytes for a replica of {replica_bytes}"
+    )
+    assert restarted.received_bytes < 200 * len(TEXT) / 10
--- a/tests/controlplane/test_storage.py
+++ b/tests/controlplane/test_storage.py
@@ -1,4 +1,4 @@
-"""What a core machine keeps: older files, torn rows, disks that refuse, bounds, and snapshots."""
+"""What a control-plane node stores: older files, torn rows, disks that refuse, bounds, and snapshots."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 @pytest.mark.parametrize("schema", [1, 2])
 def test_an_older_programs_file_is_moved_on_with_all_it_holds(tmp_path: Path, schema: int) -> None:
-    leavers = {f"i{n}": 1 + n % 2 for n in range(300)}
-    write_older(tmp_path, schema, 9, b"doc", leavers)
+    departures = {f"i{n}": 1 + n % 2 for n in range(300)}
+    write_older(tmp_path, schema, 9, b"doc", departures)
     durable = {**DURABLE, "view": [3, MEMBERS, MEMBERS]}
-    held = Replica(Config(3, 9, b"doc", digest_of(b"doc")), dict(leavers))
-    book = ReplicaStore(str(tmp_path))
-    assert book.load() == (durable, held) and book.load_servers() == ["s1"]
-    book = reopened(book)
-    found = book.load()
-    assert found == (durable, held) and book.load_servers() == ["s1"] and not book.quarantined
-    assert found is not None and list(found[1].departures) == list(leavers)  # the oldest first
-    book.close()
+    stored = Replica(Config(3, 9, b"doc", digest_of(b"doc")), dict(departures))
+    store = ReplicaStore(str(tmp_path))
+    assert store.load() == (durable, stored) and store.load_servers() == ["s1"]
+    store = reopened(store)
+    found = store.load()
+    assert found == (durable, stored) and store.load_servers() == ["s1"] and not store.quarantined
+    assert found is not None and list(found[1].departures) == list(departures)  # the oldest first
+    store.close()
 
 
 @pytest.mark.parametrize(("slot", "kept"), [(4, True), (3, False), (2, False)])
@@ -47,21 +47,21 @@
 ) -> None:
     accepted = [slot, [2, "b"], [slot, MEMBERS[1:]]]
     write_older(tmp_path, 2, 9, b"doc", {"i1": 1}, {**OLD, "accepted": accepted})
-    book = ReplicaStore(str(tmp_path))
-    found = book.load()
+    store = ReplicaStore(str(tmp_path))
+    found = store.load()
     assert found is not None
     state = Replica(Config(4, 9, b"doc", digest_of(b"doc")), {"i1": 1})
     expected = [4, [2, "b"], [4, MEMBERS[1:], MEMBERS[1:]], state.pack()] if kept else None
     assert found[0]["accepted"] == expected
-    book.close()
+    store.close()
 
 
 def test_an_older_empty_file_stays_empty(tmp_path: Path) -> None:
     write_older(tmp_path, 2, 0, b"", {})
-    book = ReplicaStore(str(tmp_path))
-    found = book.load()
+    store = ReplicaStore(str(tmp_path))
+    found = store.load()
     assert found is not None and found[1].config.version == 0 and found[1].config.epoch == 3
-    book.close()
+    store.close()
 
 
 @pytest.mark.parametrize(
@@ -82,9 +82,9 @@
     write_older(tmp_path, 2, 9, b"doc", {"i1": 1})
     with closing(sqlite3.connect(tmp_path / FILE, isolation_level=None)) as db:
         db.execute(spoilt)
-    book = ReplicaStore(str(tmp_path))
-    assert book.quarantined and book.load() is None and (tmp_path / f"{FILE}{QUARANTINE_SUFFIX}").exists()
-    book.close()
+    store = ReplicaStore(str(tmp_path))
+    assert store.quarantined and store.load() is None and (tmp_path / f"{FILE}{QUARANTINE_SUFFIX}").exists()
+    store.close()
 
 
 @pytest.mark.parametrize("schema", [1, 2])
@@ -102,39 +102,41 @@
         with pytest.raises(sqlite3.OperationalError):
             ReplicaStore(str(tmp_path), pauses.append)
         assert len(pauses) == OPEN_ATTEMPTS - 1
-    book = ReplicaStore(str(tmp_path))
-    found = book.load()  # nothing was given up because the disk refused
+    store = ReplicaStore(str(tmp_path))
+    found = store.load()  # nothing was given up because the disk refused
     assert found is not None and found[1] == Replica(Config(3, 9, b"doc", digest_of(b"doc")), {"i1": 1})
-    book.close()
+    store.close()
 
 
 def test_saves_under_random_load_are_read_back_whole(tmp_path: Path) -> None:
-    random, held, durable = Random(4), Replica(), dict(DURABLE)
-    book = ReplicaStore(str(tmp_path))
+    random = Random(4)
+    stored = Replica()
+    durable = dict(DURABLE)
+    store = ReplicaStore(str(tmp_path))
     for step in range(300):
         epoch = 3 + step // 50
         if random.random() < 0.3:
-            held.apply(Update(held.config.version + random.randint(1, 3), b"%d" % step), epoch)
-        held.add_departures({f"i{random.randrange(80)}": random.choice((1, 2))})
-        if len(held.departures) > 60:  # as where too many are remembered
-            del held.departures[next(iter(held.departures))]
+            stored.apply(Update(stored.config.version + random.randint(1, 3), b"%d" % step), epoch)
+        stored.add_departures({f"i{random.randrange(80)}": random.choice((1, 2))})
+        if len(stored.departures) > 60:  # as where too many are remembered
+            del stored.departures[next(iter(stored.departures))]
         if step % 50 == 25:
             view = [epoch + 1, MEMBERS, MEMBERS]
-            durable["accepted"] = [epoch + 1, [step, "b"], view, held.with_epoch(epoch + 1).pack()]
+            durable["accepted"] = [epoch + 1, [step, "b"], view, stored.with_epoch(epoch + 1).pack()]
         elif step % 50 == 0:
             durable |= {"accepted": None, "view": [epoch, MEMBERS, MEMBERS[:1]]}
-            held = held.with_epoch(epoch)
+            stored = stored.with_epoch(epoch)
         elif step % 50 == 40:  # another epoch's text takes the place of this one's
             lower = Config(epoch, 2, b"other", digest_of(b"other"), ((1, digest_of(b"%d" % step)),))
-            held = Replica(lower, held.departures)
-        book.save(durable, held.copy())
+            stored = Replica(lower, stored.departures)
+        store.save(durable, stored.copy())
         if random.random() < 0.1:
-            book = reopened(book)
-            found = book.load()
-            assert found == (durable, held)
-            assert found is not None and list(found[1].departures) == list(held.departures)
-            assert not book.quarantined
-    book.close()
+            store = reopened(store)
+            found = store.load()
+            assert found == (durable, stored)
+            assert found is not None and list(found[1].departures) == list(stored.departures)
+            assert not store.quarantined
+    store.close()
 
 
 @pytest.mark.parametrize(
@@ -158,74 +160,76 @@
     ],
 )
 def test_what_does_not_add_up_is_set_aside(tmp_path: Path, torn: str) -> None:
-    book = ReplicaStore(str(tmp_path))
-    book.save(DURABLE, replica(9, {"i1": 1, "i2": 1}))
-    book.close()
+    store = ReplicaStore(str(tmp_path))
+    store.save(DURABLE, replica(9, {"i1": 1, "i2": 1}))
+    store.close()
     with closing(sqlite3.connect(tmp_path / FILE, isolation_level=None)) as db:
         db.execute(torn)
-    book = ReplicaStore(str(tmp_path))
-    assert book.load() is None and book.quarantined and (tmp_path / f"{FILE}{QUARANTINE_SUFFIX}").exists()
-    book.save(DURABLE, replica(10, {"i3": 1}))
-    book = reopened(book)
-    assert book.load() == (DURABLE, replica(10, {"i3": 1}))
-    book.close()
+    store = ReplicaStore(str(tmp_path))
+    assert store.load() is None and store.quarantined and (tmp_path / f"{FILE}{QUARANTINE_SUFFIX}").exists()
+    store.save(DURABLE, replica(10, {"i3": 1}))
+    store = reopened(store)
+    assert store.load() == (DURABLE, replica(10, {"i3": 1}))
+    store.close()
 
 
 @pytest.mark.parametrize("name", ["chain", "accepted", "config", "document", "seal"])
 def test_a_part_of_another_save_makes_no_copy_however_sound_it_is(tmp_path: Path, name: str) -> None:
-    book = ReplicaStore(str(tmp_path))
+    store = ReplicaStore(str(tmp_path))
     accepted = [4, [2, "b"], [4, MEMBERS, MEMBERS], replica(1).pack()]
-    book.save({**DURABLE, "accepted": accepted}, replica(8))
-    row = book.db.execute("select * from part where name = ?", (name,)).fetchone()
-    book.save({**DURABLE, "promised": [4, [9, "c"]]}, replica(9))
-    book.close()
+    store.save({**DURABLE, "accepted": accepted}, replica(8))
+    row = store.db.execute("select * from part where name = ?", (name,)).fetchone()
+    store.save({**DURABLE, "promised": [4, [9, "c"]]}, replica(9))
+    store.close()
     with closing(sqlite3.connect(tmp_path / FILE, isolation_level=None)) as db:
         db.execute("insert or replace into part values (?, ?, ?)", row)
-    book = ReplicaStore(str(tmp_path))
-    assert book.load() is None and book.quarantined
-    book.close()
+    store = ReplicaStore(str(tmp_path))
+    assert store.load() is None and store.quarantined
+    store.close()
 
 
 def test_the_known_servers_are_no_part_of_the_copy(tmp_path: Path) -> None:
-    book = ReplicaStore(str(tmp_path))
-    book.save_servers([["s1", 1]])
-    book = reopened(book)
-    assert book.load() is None and book.load_servers() == [["s1", 1]]
-    book.save(DURABLE, replica(2))
-    book.save_servers([["s1", 2]])
-    book.db.execute("update part set data = x'00' where name = 'servers'")
-    book = reopened(book)
-    assert book.load() == (DURABLE, replica(2)) and book.load_servers() == []  # beats tell them anew
-    book.close()
+    store = ReplicaStore(str(tmp_path))
+    store.save_servers([["s1", 1]])
+    store = reopened(store)
+    assert store.load() is None and store.load_servers() == [["s1", 1]]
+    store.save(DURABLE, replica(2))
+    store.save_servers([["s1", 2]])
+    store.db.execute("update part set data = x'00' where name = 'servers'")
+    store = reopened(store)
+    assert store.load() == (DURABLE, replica(2))
+    assert store.load_servers() == []  # heartbeats report them again
+    store.close()
 
 
 def test_a_copy_without_its_text_is_not_saved(tmp_path: Path) -> None:
-    book = ReplicaStore(str(tmp_path))
-    book.save(DURABLE, replica(2))
+    store = ReplicaStore(str(tmp_path))
+    store.save(DURABLE, replica(2))
     for config in (Config(3, 9, b"", digest_of(b"x")), Config(3, 9, b"y", digest_of(b"x"))):
         with pytest.raises((AssertionError, ValueError)):
-            book.save(DURABLE, Replica(config))
-    book = reopened(book)
-    assert book.load() == (DURABLE, replica(2))
-    book.close()
+            store.save(DURABLE, Replica(config))
+    store = reopened(store)
+    assert store.load() == (DURABLE, replica(2))
+    store.close()
 
 
 def test_the_accepted_state_is_checked_as_a_copy_is(tmp_path: Path) -> None:
     for state in (Config(4, 9, b"", digest_of(b"x")), Config(4, 9, b"y", digest_of(b"x"))):
-        book = ReplicaStore(str(tmp_path))
+        store = ReplicaStore(str(tmp_path))
         accepted = [4, [2, "b"], [4, MEMBERS, MEMBERS], Replica(state).pack()]
-        book.save({**DURABLE, "accepted": accepted}, replica(2))
-        book = reopened(book)
-        assert book.load() is None and book.quarantined
-        book.close()
+        store.save({**DURABLE, "accepted": accepted}, replica(2))
+        store = reopened(store)
+        assert store.load() is None and store.quarantined
+        store.close()
 
 
 # Disks that refuse.
 
 
 def test_a_full_disk_leaves_the_last_whole_state_and_takes_the_next(tmp_path: Path) -> None:
-    book, held = ReplicaStore(str(tmp_path / "a")), replica(3, {"i1": 1}, b"x" * 20_000)
-    book.save(DURABLE, held)
+    store = ReplicaStore(str(tmp_path / "a"))
+    stored = replica(3, {"i1": 1}, b"x" * 20_000)
+    store.save(DURABLE, stored)
     soft, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
     more = replica(4, {"i1": 2}, b"y" * 600_000)
     for room in range(40_000, 600_000, 70_000):
@@ -233,22 +237,22 @@
         try:
             for _ in range(3):
                 with pytest.raises(sqlite3.OperationalError):
-                    book.save(DURABLE, more)
+                    store.save(DURABLE, more)
         finally:
             resource.setrlimit(resource.RLIMIT_FSIZE, (soft, hard))
-        assert found_in(tmp_path / "b", files(tmp_path / "a")) == (DURABLE, held)  # as after a kill
-    book.save(DURABLE, more)  # there is room again
+        assert found_in(tmp_path / "b", files(tmp_path / "a")) == (DURABLE, stored)  # as after a kill
+    store.save(DURABLE, more)  # there is room again
     assert found_in(tmp_path / "b", files(tmp_path / "a")) == (DURABLE, more)
-    book.close()
+    store.close()
 
 
 def test_a_disk_that_refuses_a_read_costs_no_copy(tmp_path: Path) -> None:
-    book = ReplicaStore(str(tmp_path))
-    book.save(DURABLE, replica(3))
-    book.close()
+    store = ReplicaStore(str(tmp_path))
+    store.save(DURABLE, replica(3))
+    store.close()
     pauses: list[float] = []
-    book = ReplicaStore(str(tmp_path), pauses.append)
-    read, refused = book._read, [sqlite3.SQLITE_IOERR, sqlite3.SQLITE_CANTOPEN, sqlite3.SQLITE_FULL]
+    store = ReplicaStore(str(tmp_path), pauses.append)
+    read, refused = store._read, [sqlite3.SQLITE_IOERR, sqlite3.SQLITE_CANTOPEN, sqlite3.SQLITE_FULL]
 
     def reads() -> Any:
         if refused:
@@ -257,9 +261,9 @@
             raise error
         return read()
 
-    book._read = reads  # type: ignore[method-assign]
-    assert book.load() == (DURABLE, replica(3)) and len(pauses) == 3 and not book.quarantined
-    book.close()
+    store._read = reads  # type: ignore[method-assign]
+    assert store.load() == (DURABLE, replica(3)) and len(pauses) == 3 and not store.quarantined
+    store.close()
 
 
 # Bounds.
@@ -270,93 +274,95 @@
 
 
 def test_files_stay_bounded_after_thousands_of_changes(tmp_path: Path) -> None:
-    book, held = ReplicaStore(str(tmp_path)), Replica()
+    store = ReplicaStore(str(tmp_path))
+    stored = Replica()
     text, most = b"x" * 100_000, {FILE: 0, f"{FILE}-wal": 0}
     for number in range(1, 2001):
-        held.apply(Update(number, b"%d %s" % (number, text)), 3)
-        held.add_departures(
+        stored.apply(Update(number, b"%d %s" % (number, text)), 3)
+        stored.add_departures(
             {f"server-{number * 3}": 1, f"server-{number * 3 + 1}": 1, f"server-{number - 7}": 2}
         )
-        book.save(DURABLE, held)
+        store.save(DURABLE, stored)
         if number % 100 == 0:
             most = {name: max(most[name], size) for name, size in sizes(tmp_path).items()}
-    kept = len(text) + sum(len(server) + 20 for server in held.departures) + 24 * MAX_HISTORY
-    assert len(held.departures) == 4096 and len(held.config.history) == MAX_HISTORY
+    kept = len(text) + sum(len(server) + 20 for server in stored.departures) + 24 * MAX_HISTORY
+    assert len(stored.departures) == 4096 and len(stored.config.history) == MAX_HISTORY
     assert most[FILE] <= 3 * kept + 64 * PAGE_BYTES
     assert most[f"{FILE}-wal"] <= MAX_LOG_BYTES + 2 * (kept + 64 * PAGE_BYTES)
-    book = reopened(book)
-    assert book.load() == (DURABLE, held)
+    store = reopened(store)
+    assert store.load() == (DURABLE, stored)
     assert set(sizes(tmp_path)) <= {FILE, f"{FILE}-wal"}
-    book.close()
+    store.close()
 
 
 def test_the_log_gives_back_what_a_large_save_took(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(storage_file, "CHECKPOINT_PAGES", 20)
     monkeypatch.setattr(storage_file, "MAX_LOG_BYTES", 20 * (PAGE_BYTES + 24))
-    book, held = ReplicaStore(str(tmp_path)), replica(1, {}, b"x" * 4_000_000)
-    book.save(DURABLE, held)
+    store = ReplicaStore(str(tmp_path))
+    stored = replica(1, {}, b"x" * 4_000_000)
+    store.save(DURABLE, stored)
     assert sizes(tmp_path)[f"{FILE}-wal"] > 4_000_000
     for number in range(2, 30):
-        held.apply(Update(number, b"%d" % number), 3)
-        book.save(DURABLE, held)
+        stored.apply(Update(number, b"%d" % number), 3)
+        store.save(DURABLE, stored)
     assert sizes(tmp_path)[f"{FILE}-wal"] <= 40 * (PAGE_BYTES + 24)
-    book.close()
+    store.close()
 
 
 def test_a_change_writes_what_it_changes(tmp_path: Path) -> None:
     """Pages of the log, of a copy with 4,096 leaving servers, 512 numbers and a text of 100 KB."""
-    book = ReplicaStore(str(tmp_path))
-    held = replica(600, {f"server-{n}": 1 for n in range(4096)})
-    held.apply(Update(601, b"x" * 100_000), 3)
-    book.save(DURABLE, held)
+    store = ReplicaStore(str(tmp_path))
+    stored = replica(600, {f"server-{n}": 1 for n in range(4096)})
+    stored.apply(Update(601, b"x" * 100_000), 3)
+    store.save(DURABLE, stored)
 
     def written(change: Any) -> int:
-        book.db.execute("pragma wal_checkpoint(truncate)")
+        store.db.execute("pragma wal_checkpoint(truncate)")
         change()
-        rows = book.db.total_changes
-        book.save(DURABLE | promised, held)
-        assert book.db.total_changes - rows <= 7  # of thousands
+        rows = store.db.total_changes
+        store.save(DURABLE | promised, stored)
+        assert store.db.total_changes - rows <= 7  # of thousands
         return sizes(tmp_path)[f"{FILE}-wal"] // (PAGE_BYTES + 24)
 
     promised: dict[str, Any] = {}
     assert written(lambda: None) == 0
-    assert written(lambda: held.add_departures({"server-9": 2})) <= 6
-    assert written(lambda: held.add_departures({"server-new": 1})) <= 12  # and the oldest is forgotten
+    assert written(lambda: stored.add_departures({"server-9": 2})) <= 6
+    assert written(lambda: stored.add_departures({"server-new": 1})) <= 12  # and the oldest is forgotten
     assert written(lambda: promised.update(promised=[4, [7, "c"]])) <= 4
-    assert written(lambda: held.apply(Update(602, b"y" * 100_000), 3)) <= 25 + 10
-    assert written(lambda: held.apply(Update(603, b"z" * 100), 3)) <= 25 + 10  # pages that come free
-    assert written(lambda: held.apply(Update(604, b"w" * 100), 3)) <= 10
-    book.close()
+    assert written(lambda: stored.apply(Update(602, b"y" * 100_000), 3)) <= 25 + 10
+    assert written(lambda: stored.apply(Update(603, b"z" * 100), 3)) <= 25 + 10  # pages that come free
+    assert written(lambda: stored.apply(Update(604, b"w" * 100), 3)) <= 10
+    store.close()
 
 
 def test_the_last_leaving_servers_are_forgotten_on_disk_too(tmp_path: Path) -> None:
-    book = ReplicaStore(str(tmp_path))
-    book.save(DURABLE, replica(2, {"i1": 1, "i2": 2}))
-    book.save(DURABLE, replica(1))
-    book = reopened(book)
-    assert book.load() == (DURABLE, replica(1)) and not book.quarantined
-    book.close()
+    store = ReplicaStore(str(tmp_path))
+    store.save(DURABLE, replica(2, {"i1": 1, "i2": 2}))
+    store.save(DURABLE, replica(1))
+    store = reopened(store)
+    assert store.load() == (DURABLE, replica(1)) and not store.quarantined
+    store.close()
 
 
 def test_files_that_were_set_aside_do_not_pile_up(tmp_path: Path) -> None:
     for turn in range(8):
-        book = ReplicaStore(str(tmp_path))
-        book.save(DURABLE, replica(turn + 1, {}, b"x" * 50_000))
+        store = ReplicaStore(str(tmp_path))
+        store.save(DURABLE, replica(turn + 1, {}, b"x" * 50_000))
         if turn % 2:
-            book.db.execute("update part set data = x'00' where name = 'chain'")
-            book.close()
+            store.db.execute("update part set data = x'00' where name = 'chain'")
+            store.close()
         else:  # killed, so that its log stays; and its file is no database
             left = files(tmp_path)
-            book.close()
+            store.close()
             (tmp_path / FILE).write_bytes(b"no database at all" * 999)
             (tmp_path / f"{FILE}-wal").write_bytes(b"no log" * 99 + left[f"{FILE}-wal"])
         stale = b"of one set aside before"
         for ending in ("", "-wal", "-journal"):
             (tmp_path / f"{FILE}{ending}{QUARANTINE_SUFFIX}").write_bytes(stale)
-        book = ReplicaStore(str(tmp_path))
-        assert book.load() is None and book.quarantined
-        assert book.load() is None  # the fresh file is sound
-        book.close()
+        store = ReplicaStore(str(tmp_path))
+        assert store.load() is None and store.quarantined
+        assert store.load() is None  # the fresh file is sound
+        store.close()
         now = files(tmp_path)
         assert f"{FILE}{QUARANTINE_SUFFIX}" in now and now.keys() <= {
             FILE,
@@ -370,16 +376,16 @@
 # Snapshots.
 
 
-def held_with(number: int) -> Replica:
-    one = replica(number - 1)
-    one.apply(Update(number, BODY), 3)
-    one.add_departures({"i1": 1, "i2": 2})
-    return one
+def replica_with_departures(number: int) -> Replica:
+    state = replica(number - 1)
+    state.apply(Update(number, BODY), 3)
+    state.add_departures({"i1": 1, "i2": 2})
+    return state
 
 
 def test_a_snapshot_comes_back_whole_or_is_refused() -> None:
-    body, order = snapshot.pack(held_with(7), 5), Update(7, BODY, {"i1": 1, "i2": 2})
-    assert snapshot.unpack(body).ok == order
+    body, update = snapshot.pack(replica_with_departures(7), 5), Update(7, BODY, {"i1": 1, "i2": 2})
+    assert snapshot.unpack(body).ok == update
     empty = Replica(departures={"i1": 2})
     assert snapshot.unpack(snapshot.pack(empty, 1)).ok == Update(departures={"i1": 2})
     tree = json.loads(body)
@@ -406,7 +412,7 @@
         at = random.randrange(len(body))
         spoilt = body[:at] + bytes([random.randrange(256)]) + body[at + random.choice((0, 1, 9)) :]
         read = snapshot.unpack(spoilt)
-        assert read.is_error() or read.ok == order
+        assert read.is_error() or read.ok == update
 
 
 @pytest.mark.parametrize(
@@ -428,28 +434,28 @@
 def test_a_snapshot_whose_parts_do_not_belong_together_is_refused_with_a_fitting_sum(
     change: dict[str, Any],
 ) -> None:
-    one = msgspec.json.decode(snapshot.pack(held_with(7), 5), type=snapshot._Snapshot)
+    parts = msgspec.json.decode(snapshot.pack(replica_with_departures(7), 5), type=snapshot._Snapshot)
     for name, value in change.items():
-        setattr(one, name, value)
-    one.sum = snapshot._checksum_of(one)
-    refused = snapshot.unpack(msgspec.json.encode(one))
+        setattr(parts, name, value)
+    parts.sum = snapshot._checksum_of(parts)
+    refused = snapshot.unpack(msgspec.json.encode(parts))
     assert refused.is_error() and refused.error.kind is ErrorKind.INVALID_SNAPSHOT
 
 
 def test_a_snapshot_of_the_program_before_is_still_read() -> None:
-    leavers = {"i2": 2, "i1": 1}
-    told = {"format": 1, "epoch": 4, "config": BODY.decode(), "leavers": leavers}
-    told["sum"] = snapshot._checksum(BODY.decode(), sorted(leavers.items()))
-    assert snapshot.unpack(json.dumps(told).encode()).ok == Update(7, BODY, leavers)
-    assert snapshot.unpack(json.dumps(told | {"leavers": {}}).encode()).is_error()
+    departures = {"i2": 2, "i1": 1}
+    written = {"format": 1, "epoch": 4, "config": BODY.decode(), "leavers": departures}
+    written["sum"] = snapshot._checksum(BODY.decode(), sorted(departures.items()))
+    assert snapshot.unpack(json.dumps(written).encode()).ok == Update(7, BODY, departures)
+    assert snapshot.unpack(json.dumps(written | {"leavers": {}}).encode()).is_error()
 
 
 def test_an_old_snapshot_takes_nothing_back() -> None:
     now = replica(9, {"i1": 2, "i3": 1})
     before = now.config
-    order = snapshot.unpack(snapshot.pack(held_with(7), 1)).ok
-    assert now.apply(order, 4)  # as the head of a later epoch does
+    update = snapshot.unpack(snapshot.pack(replica_with_departures(7), 1)).ok
+    assert now.apply(update, 4)  # as the head of a later epoch does
     assert now.config == before and now.departures == {"i1": 2, "i3": 1, "i2": 2}
-    # Its number was another text's here: it is told so, and nothing changes.
-    assert now.config.outcome_of(order.version, digest_of(order.document)) is CommitOutcome.CONFLICT
-    assert not now.apply(order, 4) and now.config == before  # and again
+    # Its version has another document here: that is a conflict, and nothing changes.
+    assert now.config.outcome_of(update.version, digest_of(update.document)) is CommitOutcome.CONFLICT
+    assert not now.apply(update, 4) and now.config == before  # and again
--- a/tests/controlplane/test_storage_power_loss.py
+++ b/tests/controlplane/test_storage_power_loss.py
@@ -40,17 +40,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
     monkeypatch.setattr(storage_file, "CHECKPOINT_PAGES", 24)  # so that there are many checkpoints
-    random, held, durable = Random(seed), Replica(), dict(DURABLE)
-    book = ReplicaStore(str(tmp_path / "a"))
-    book.save(durable, held)
-    last, seen = (dict(durable), held.copy()), Counter[str]()
+    random, stored, durable = Random(seed), Replica(), dict(DURABLE)
+    store = ReplicaStore(str(tmp_path / "a"))
+    store.save(durable, stored)
+    last, seen = (dict(durable), stored.copy()), Counter[str]()
     for step in range(24):
         before = files(tmp_path / "a")
         if random.random() < 0.7:
             text = random.randbytes(random.choice((20, 3000, 20_000)))
-            held.apply(Update(held.config.version + 1, text), durable["view"][0])
+            stored.apply(Update(stored.config.version + 1, text), durable["view"][0])
         if random.random() < 0.5:
-            held.add_departures({f"i{random.randrange(30)}": random.choice((1, 2)) for _ in range(9)})
+            stored.add_departures({f"i{random.randrange(30)}": random.choice((1, 2)) for _ in range(9)})
         if random.random() < 0.3:
             epoch = durable["view"][0] + 1
             durable["promised"] = [epoch, [step, "b"]]
@@ -58,14 +58,14 @@
                 epoch,
                 [step, "b"],
                 [epoch, MEMBERS, MEMBERS],
-                held.with_epoch(epoch).pack(),
+                stored.with_epoch(epoch).pack(),
             ]
         elif random.random() < 0.3:
             epoch = durable["view"][0] + 1
             durable |= {"view": [epoch, MEMBERS, MEMBERS], "accepted": None}
-            held = held.with_epoch(epoch)
-        book.save(durable, held)
-        now = (dict(durable), held.copy())
+            stored = stored.with_epoch(epoch)
+        store.save(durable, stored)
+        now = (dict(durable), stored.copy())
         if before == files(tmp_path / "a"):
             continue
         after = files(tmp_path / "a")
@@ -76,7 +76,7 @@
             assert found == now or (not synced and found == last), step
             seen["before" if found == last else "after"] += 1
         last = now
-    book.close()
+    store.close()
     assert min(seen[name] for name in ("checkpoint", "log anew", "before", "after")) >= 3, seen
 
 
@@ -85,22 +85,23 @@
 ) -> None:
     """The file is as its last checkpoint left it, or as any since the log began, whatever came after."""
     monkeypatch.setattr(storage_file, "CHECKPOINT_PAGES", 30)
-    book, held = ReplicaStore(str(tmp_path / "a")), Replica()
+    store = ReplicaStore(str(tmp_path / "a"))
+    stored = Replica()
     older: list[bytes] = []
     log = b""
     for number in range(1, 60):
-        held.apply(Update(number, b"%d" % number * 4000), 3)
-        book.save(DURABLE, held)
+        stored.apply(Update(number, b"%d" % number * 4000), 3)
+        store.save(DURABLE, stored)
         now = files(tmp_path / "a")
         if now[LOG][:32] != log:
             older, log = older[-1:], now[LOG][:32]
         older.append(now[FILE])
         for file in {older[0], older[-1]}:
-            assert found_in(tmp_path / "b", {FILE: file, LOG: now[LOG]}) == (DURABLE, held)
-    book.close()
-    assert found_in(tmp_path / "b", files(tmp_path / "a")) == (DURABLE, held)
+            assert found_in(tmp_path / "b", {FILE: file, LOG: now[LOG]}) == (DURABLE, stored)
+    store.close()
+    assert found_in(tmp_path / "b", files(tmp_path / "a")) == (DURABLE, stored)
     # The log's removal is lost.
-    assert found_in(tmp_path / "b", files(tmp_path / "a") | {LOG: now[LOG]}) == (DURABLE, held)
+    assert found_in(tmp_path / "b", files(tmp_path / "a") | {LOG: now[LOG]}) == (DURABLE, stored)
 
 
 @pytest.mark.parametrize("schema", [1, 2])
@@ -109,13 +110,13 @@
     (tmp_path / "a").mkdir()
     write_older(tmp_path / "a", schema, 9, b"doc" * 3000, {f"i{n}": 1 for n in range(200)})
     before = files(tmp_path / "a")
-    held = Replica(Config(3, 9, b"doc" * 3000, digest_of(b"doc" * 3000)), {f"i{n}": 1 for n in range(200)})
-    book = ReplicaStore(str(tmp_path / "a"))
+    stored = Replica(Config(3, 9, b"doc" * 3000, digest_of(b"doc" * 3000)), {f"i{n}": 1 for n in range(200)})
+    store = ReplicaStore(str(tmp_path / "a"))
     after = files(tmp_path / "a")
-    book.close()
+    store.close()
     for _ in range(5):
         for left, _ in after_power(before, after, random):
-            assert found_in(tmp_path / "b", left) == ({**DURABLE, "view": [3, MEMBERS, MEMBERS]}, held)
+            assert found_in(tmp_path / "b", left) == ({**DURABLE, "view": [3, MEMBERS, MEMBERS]}, stored)
 
 
 class Names:
@@ -154,19 +155,20 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     folder = tmp_path / "a"
-    book = ReplicaStore(str(folder))
-    book.save(DURABLE, replica(3))
-    book.db.execute("pragma wal_checkpoint(truncate)")
-    book.save({**DURABLE, "promised": [4, [9, "c"]]}, replica(4))
+    store = ReplicaStore(str(folder))
+    store.save(DURABLE, replica(3))
+    store.db.execute("pragma wal_checkpoint(truncate)")
+    store.save({**DURABLE, "promised": [4, [9, "c"]]}, replica(4))
     left = files(folder)
-    book.close()
-    assert found_in(tmp_path / "b", {FILE: left[FILE]}) == (DURABLE, replica(3))  # older, and whole by itself
+    store.close()
+    found = found_in(tmp_path / "b", {FILE: left[FILE]})
+    assert found == (DURABLE, replica(3))  # older, and complete by itself
     spoilt = left | {FILE: left[FILE][:4096] + b"\xff" * (len(left[FILE]) - 4096)}
     for start in (spoilt, left):
         for name in (FILE, LOG):
             (folder / name).write_bytes(start[name])
         with monkeypatch.context() as patched:
-            book = ReplicaStore(str(folder))
+            store = ReplicaStore(str(folder))
             names = Names(folder, patched)
 
             def refused(
@@ -181,14 +183,14 @@
                     (folder / name).write_bytes(start[name])
                 names.synced = files(folder)
 
-            book._read = _not_whole  # type: ignore[method-assign]
+            store._read = _not_whole  # type: ignore[method-assign]
             patched.setattr(StoreFile, "close", refused)
-            assert book.load() is None and book.quarantined
+            assert store.load() is None and store.quarantined
             patched.undo()
-            book.close()
+            store.close()
         assert len(names.left) > 6
-        for one in names.left:
-            found = found_in(tmp_path / "b", one)
+        for left_files in names.left:
+            found = found_in(tmp_path / "b", left_files)
             assert found is None or found == ({**DURABLE, "promised": [4, [9, "c"]]}, replica(4))
         for path in folder.iterdir():
             path.unlink()
@@ -200,10 +202,10 @@
 
 def test_an_old_log_beside_a_new_file_is_nothing(tmp_path: Path) -> None:
     """The file's removal kept, its log's lost."""
-    book = ReplicaStore(str(tmp_path / "a"))
-    book.save(DURABLE, replica(3))
+    store = ReplicaStore(str(tmp_path / "a"))
+    store.save(DURABLE, replica(3))
     log = files(tmp_path / "a")[LOG]
-    book.close()
+    store.close()
     assert found_in(tmp_path / "b", {LOG: log}) is None
     assert found_in(tmp_path / "b", {LOG: log, FILE: b"", f"{FILE}{QUARANTINE_SUFFIX}": b"x"}) is None
 
@@ -212,10 +214,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It was killed between write and sync; its successor tells what it reads, so that must outlast power."""
-    book = ReplicaStore(str(tmp_path / "a"))
-    book.save(DURABLE, replica(3))
+    store = ReplicaStore(str(tmp_path / "a"))
+    store.save(DURABLE, replica(3))
     left = files(tmp_path / "a")
-    book.close()
+    store.close()
     for name, data in left.items():
         (tmp_path / "a" / name).write_bytes(data)
     done: list[str] = []
@@ -231,9 +233,9 @@
 
     monkeypatch.setattr(storage_file, "sync_path", synced)
     monkeypatch.setattr(StoreFile, "connect", connected)
-    book = ReplicaStore(str(tmp_path / "a"))
+    store = ReplicaStore(str(tmp_path / "a"))
     assert set(done[: done.index("read")]) == {"a", FILE, LOG}
     assert done[-1] == "a"  # the file's own name, and the removal of the journal of its making
-    assert book.load() == (DURABLE, replica(3))
-    book.close()
+    assert store.load() == (DURABLE, replica(3))
+    store.close()
     assert done[-1] == "a" and not (tmp_path / "a" / LOG).exists()  # the log's removal
--- a/tests/controlplane/test_view.py
+++ b/tests/controlplane/test_view.py
@@ -16,17 +16,17 @@
 )
 
 
-def machines(zones: str) -> list[tuple[Member, str]]:
+def nodes(zones: str) -> list[tuple[Member, str]]:
     return [(Member(f"m{at}", f"d{at}"), zone) for at, zone in enumerate(zones)]
 
 
-def seen_by(me: Member, zones: str, away: str = "", ill: str = "") -> ClusterObservation:
+def observed_by(me: Member, zones: str, unreachable: str = "", unhealthy: str = "") -> ClusterObservation:
     reach = {
-        ip: PeerObservation(ip != away, disk, ip == ill, zone)
-        for (ip, disk), zone in machines(zones)
+        ip: PeerObservation(ip != unreachable, disk, ip == unhealthy, zone)
+        for (ip, disk), zone in nodes(zones)
         if ip != me[0]
     }
-    return ClusterObservation(me, dict(machines(zones))[me], False, reach)
+    return ClusterObservation(me, dict(nodes(zones))[me], False, reach)
 
 
 @pytest.mark.parametrize(
@@ -44,31 +44,31 @@
 def test_a_core_grows_from_its_seeds_as_far_as_it_has_to(
     zones: str, tolerance: FaultTolerance, voters: int
 ) -> None:
-    """The three seeds may lie anywhere; where the machines suffice, nothing is short in the end."""
+    """The three seeds may lie anywhere; where the nodes suffice, nothing is short in the end."""
     for seed in range(50):
-        seeds = tuple(Random(seed).sample([one for one, _ in machines(zones)], 3))
+        seeds = tuple(Random(seed).sample([member for member, _ in nodes(zones)], 3))
         view = View(1, seeds, seeds)
         for _ in range(4):
-            view = next_view(view, seen_by(view.chain[0], zones), tolerance)
-        assert not differs(view, next_view(view, seen_by(view.chain[0], zones), tolerance))
+            view = next_view(view, observed_by(view.chain[0], zones), tolerance)
+        assert not differs(view, next_view(view, observed_by(view.chain[0], zones), tolerance))
         assert len(view.voters) == len(view.chain) == voters
-        short = tolerance_shortfalls(view, tolerance, {ip: zone for (ip, _), zone in machines(zones)}, {})
-        assert bool(short) == (len(zones) < tolerance.voters), short
+        shortfalls = tolerance_shortfalls(view, tolerance, {ip: zone for (ip, _), zone in nodes(zones)}, {})
+        assert bool(shortfalls) == (len(zones) < tolerance.voters), shortfalls
 
 
 def test_who_is_lost_leaves_the_chain_and_keeps_a_vote_until_replaced() -> None:
-    members = tuple(one for one, _ in machines("abc"))
-    away = seen_by(members[0], "abc", away="m2")
-    after = next_view(View(1, members, members), away, FaultTolerance())
+    members = tuple(member for member, _ in nodes("abc"))
+    unreachable = observed_by(members[0], "abc", unreachable="m2")
+    after = next_view(View(1, members, members), unreachable, FaultTolerance())
     assert after.chain == members[:2] and set(after.voters) == set(members)
-    beside_a_spare = seen_by(members[0], "abcd", away="m2")
+    beside_a_spare = observed_by(members[0], "abcd", unreachable="m2")
     with_spare = next_view(View(1, members, members), beside_a_spare, FaultTolerance())
     assert with_spare.chain == with_spare.voters == (*members[:2], ("m3", "d3"))
 
 
 def test_an_emptied_disk_is_another_member() -> None:
-    members = tuple(one for one, _ in machines("abc"))
-    observation = seen_by(members[0], "abc")
+    members = tuple(member for member, _ in nodes("abc"))
+    observation = observed_by(members[0], "abc")
     emptied = ClusterObservation(
         observation.me, "a", False, {**observation.peers, "m2": PeerObservation(True, "new", False, "c")}
     )
@@ -79,14 +79,14 @@
 
 
 def test_the_last_copies_stay_though_their_machines_are_ill_or_leave() -> None:
-    members = tuple(one for one, _ in machines("abc"))
-    observation = seen_by(members[0], "abc", away="m1", ill="m2")
+    members = tuple(member for member, _ in nodes("abc"))
+    observation = observed_by(members[0], "abc", unreachable="m1", unhealthy="m2")
     assert next_view(View(1, members, members), observation, FaultTolerance()).chain == (
         members[0],
         members[2],
     )
-    leaving = ClusterObservation(observation.me, "a", True, observation.peers)
-    assert set(next_view(View(1, members, members), leaving, FaultTolerance()).chain) == {
+    stopping = ClusterObservation(observation.me, "a", True, observation.peers)
+    assert set(next_view(View(1, members, members), stopping, FaultTolerance()).chain) == {
         members[0],
         members[2],
     }
@@ -94,12 +94,11 @@
 
 def test_two_that_do_not_reach_each_other_are_not_taken_into_one_chain() -> None:
     """Else the view would change to and fro between one who sees both and one who misses the other."""
-    members = tuple(one for one, _ in machines("abc"))
+    members = tuple(member for member, _ in nodes("abc"))
     reach = {
         "m1": PeerObservation(True, "d1", False, "b", reachable_peers=frozenset({"m0", "m2"})),
-        "m2": PeerObservation(
-            True, "d2", False, "c", reachable_peers=frozenset({"m1"})
-        ),  # and m0 still hears it
+        # m0 still receives from it.
+        "m2": PeerObservation(True, "d2", False, "c", reachable_peers=frozenset({"m1"})),
     }
     view = View(2, members, members[:2])
     assert not differs(
@@ -108,7 +107,7 @@
 
 
 def test_what_a_core_cannot_bear_is_said() -> None:
-    members = tuple(one for one, _ in machines("aab"))
+    members = tuple(member for member, _ in nodes("aab"))
     view, zones = View(1, members, members), {"m0": "a", "m1": "a", "m2": "b"}
     assert tolerance_shortfalls(view, FaultTolerance(1), zones, {}) == []
     assert tolerance_shortfalls(view, FaultTolerance(2), zones, {}) == [
@@ -121,5 +120,7 @@
     assert tolerance_shortfalls(view, FaultTolerance(1, 0, 1), zones, region) == [
         "tolerates.regions=1: 3 of 3 voters may go at once"
     ]
-    alone = View(2, members, members[:1])
-    assert tolerance_shortfalls(alone, FaultTolerance(1), zones, {}) == ["tolerates.machines=1: copies are 1"]
+    single_member = View(2, members, members[:1])
+    assert tolerance_shortfalls(single_member, FaultTolerance(1), zones, {}) == [
+        "tolerates.machines=1: copies are 1"
+    ]
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -46,13 +46,13 @@
             owner, away_until = None, now + random.uniform(200.0, 3000.0)
         if owner is None and now >= away_until:
             owner, cut = QuotaCounter(SPAN_S, EXCESS, SLACK), set()
-            for number, one in enumerate(data_planes):
-                for name, told in one.reports(now):
-                    owner.receive_usage_report(now, name, f"p{number}", told)
+            for number, data_plane in enumerate(data_planes):
+                for name, reported in data_plane.reports(now):
+                    owner.receive_usage_report(now, name, f"p{number}", reported)
         if owner is not None and random.random() < 0.0004:
             for number in cut:
-                for name, told in data_planes[number].reports(now):
-                    owner.receive_usage_report(now, name, f"p{number}", told)
+                for name, reported in data_planes[number].reports(now):
+                    owner.receive_usage_report(now, name, f"p{number}", reported)
                 owner.mark_responsive(f"p{number}")
             cut = set(random.sample(range(8), random.choice((0, 1, 2))))
             for number in cut:
@@ -70,45 +70,45 @@
             sent.append(now)
         else:
             assert 0.0 < decision.retry_after_ms < 60_000.0
-    most = quota_ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
-    assert most_in_a_span(sent, 1000.0 * SPAN_S) <= most
+    ceiling = quota_ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
+    assert most_in_a_span(sent, 1000.0 * SPAN_S) <= ceiling
     quiet = [at for at in sent if at < 1e6 + 20_000.0]
     assert len(quiet) > 0.4 * tenant.rate * 20.0  # and what is owed goes
 
 
 def test_an_owner_gives_what_the_rate_brings_and_the_burst_once() -> None:
-    event_counts, granted = QuotaCounter(SPAN_S, EXCESS, SLACK), 0
+    counter, granted = QuotaCounter(SPAN_S, EXCESS, SLACK), 0
     for step in range(10_000):  # ten times the rate, for ten seconds
-        total, limit, _ = event_counts.acquire(float(step), "t", "p", 50.0, 50.0)
+        total, limit, _ = counter.acquire(float(step), "t", "p", 50.0, 50.0)
         granted += total <= limit
     assert 550 <= granted <= 50 * 10 * 1.05 + 60
     # Those who come again get nothing while those who come first use it all up.
-    total, limit, wait = event_counts.acquire(10_000.0, "t", "p", 50.0, 50.0, True)
+    total, limit, wait = counter.acquire(10_000.0, "t", "p", 50.0, 50.0, True)
     assert total > limit and wait > 0.0
 
 
 def test_a_unit_that_was_not_used_comes_back() -> None:
-    event_counts = QuotaCounter(SPAN_S, EXCESS, SLACK)
-    given = [event_counts.acquire(1000.0, "t", "p", 1.0, 0.0) for _ in range(10)]
+    counter = QuotaCounter(SPAN_S, EXCESS, SLACK)
+    given = [counter.acquire(1000.0, "t", "p", 1.0, 0.0) for _ in range(10)]
     spent = sum(total <= limit for total, limit, _ in given)
-    event_counts.give_back("t", "p")
-    total, limit, _ = event_counts.acquire(1000.0, "t", "p", 1.0, 0.0)
+    counter.give_back("t", "p")
+    total, limit, _ = counter.acquire(1000.0, "t", "p", 1.0, 0.0)
     assert spent < 10 and total == limit
-    total, limit, _ = event_counts.acquire(1000.0, "t", "p", 1.0, 0.0)
+    total, limit, _ = counter.acquire(1000.0, "t", "p", 1.0, 0.0)
     assert total > limit
 
 
-@pytest.mark.parametrize("fleet", [1, 8, 40])
-def test_further_tries_of_all_data_planes_stay_within_the_shared_budget(fleet: int) -> None:
-    random, ratio, slack, window = Random(fleet), 0.2, 56.0, 10.0
-    budgets = [RetryBudget(ratio, window, slack) for _ in range(fleet)]
+@pytest.mark.parametrize("data_plane_count", [1, 8, 40])
+def test_further_tries_of_all_data_planes_stay_within_the_shared_budget(data_plane_count: int) -> None:
+    random, ratio, slack, window = Random(data_plane_count), 0.2, 56.0, 10.0
+    budgets = [RetryBudget(ratio, window, slack) for _ in range(data_plane_count)]
     now, further, firsts = 0.0, [], []
     while now < 60_000.0:
         now += random.expovariate(0.2)
         budget = random.choice(budgets)
         budget.record_first(now)
         firsts.append(now)
-        if random.random() < 0.6 and budget.take(now, fleet):
+        if random.random() < 0.6 and budget.take(now, data_plane_count):
             further.append(now)
     for start in range(0, 50_000, 500):
 
@@ -128,10 +128,11 @@
     for number in range(3):
         selector.update(0.0, server(number))
     selector.mark_departures({"i0": DRAINING})
-    selector.update(1.0, server(0, seq=9))  # a late word that it is ready
+    selector.update(1.0, server(0, seq=9))  # a late report that it is ready
     selector.update(1.0, server(1, state=DRAINING, seq=2))
     selector.update(2.0, server(1, seq=1))
-    assert {one.endpoint.id for _ in range(50) if (one := selector.pick(3.0, "s", "r", set()))} == {"i2"}
+    picks = [selector.pick(3.0, "s", "r", set()) for _ in range(50)]
+    assert {pick.endpoint.id for pick in picks if pick is not None} == {"i2"}
     assert selector.pick(3.0, "s", "r", {"i2"}) is None
     assert not selector.accepts("i0") and not selector.accepts("i1")
 
@@ -144,15 +145,15 @@
         result = AttemptResult.SUCCESS if number else AttemptResult.FAILURE
         selector.attempt_started(0.0, candidate, number)
         selector.attempt_ended(100.0, candidate, number, "r", result)
-    silent = selector.candidates["i1"]
-    selector.attempt_started(100.0, silent, 9)
-    chosen = [one.endpoint.id for _ in range(200) if (one := selector.pick(600.0, "s", "r", set()))]
+    unresponsive = selector.candidates["i1"]
+    selector.attempt_started(100.0, unresponsive, 9)
+    chosen = [selected.endpoint.id for _ in range(200) if (selected := selector.pick(600.0, "s", "r", set()))]
     assert chosen.count("i0") == 0 and chosen.count("i1") < 10
     assert selector.pick(100.0, "s", "r", {"i1", "i2", "i3"}) is selector.candidates["i0"]  # better than none
 
 
-def route(pure: bool, tries: int = 2) -> Route:
-    return Route("r", "/r/", pure, 2.0, 0.3, 0, False, tries, (("s", 1.0),))
+def route(pure: bool, max_attempts: int = 2) -> Route:
+    return Route("r", "/r/", pure, 2.0, 0.3, 0, False, max_attempts, (("s", 1.0),))
 
 
 @pytest.mark.parametrize("seed", range(200))
@@ -166,7 +167,9 @@
     while now < 1990.0:
         now += random.uniform(0.0, 200.0)
         if out and random.random() < 0.6:
-            outcome = random.choice([one for one in AttemptOutcome if one is not AttemptOutcome.ANSWERED])
+            outcome = random.choice(
+                [outcome for outcome in AttemptOutcome if outcome is not AttemptOutcome.ANSWERED]
+            )
             out.pop()
             attempts.finish(outcome)
             may_have_run |= not outcome.not_executed
@@ -179,8 +182,8 @@
     assert attempts.sent <= attempts.route.max_attempts
 
 
-@pytest.mark.parametrize(("told", "kept"), [(True, True), (False, False)])
-def test_what_pilots_cut_off_may_send_on_is_kept_back(told: bool, kept: bool) -> None:
+@pytest.mark.parametrize(("reported", "kept"), [(True, True), (False, False)])
+def test_what_data_planes_cut_off_may_send_on_is_kept_back(reported: bool, kept: bool) -> None:
     """Half of a hot tenant's data planes are cut off; without the reservation the ceiling is passed."""
     random, tenant = Random(3), Tenant("t", 0, 63.0, 63.0)
     data_planes, owner = (
@@ -193,7 +196,7 @@
         if now > 10_000.0 and not cut:
             cut = True
             for number in range(4):
-                if told:
+                if reported:
                     owner.mark_unresponsive(now, f"p{number}")
         number = random.randrange(8)
         data_plane = data_planes[number]
@@ -205,18 +208,18 @@
             decision = data_plane.decide(now, "t", total, limit, wait)
         if decision.allowed:
             sent.append(now)
-    most = quota_ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
-    assert (most_in_a_span(sent, 1000.0 * SPAN_S) <= most) == kept
+    ceiling = quota_ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
+    assert (most_in_a_span(sent, 1000.0 * SPAN_S) <= ceiling) == kept
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_what_ended_together_with_its_owner_is_not_forgotten(told: bool) -> None:
+@pytest.mark.parametrize("reported", [True, False])
+def test_what_ended_together_with_its_owner_is_not_forgotten(reported: bool) -> None:
     owner, other, units = QuotaCounter(SPAN_S, EXCESS, SLACK), QuotaCounter(SPAN_S, EXCESS, SLACK), 0
     for step in range(2000):
         now = float(step)
         total, limit, _ = owner.acquire(now, "t", "p", 63.0, 63.0)
         units += total <= limit
-        if told and step % 250 == 0:
+        if reported and step % 250 == 0:
             for name, windows in owner.low_tenants(now, {"t": 63.0}).items():
                 other.receive_replicated(now, name, windows)
     other.start_view(2000.0)  # and data plane p, which alone could report, has ended too
@@ -224,5 +227,5 @@
     for step in range(2000, 5000):
         total, limit, _ = other.acquire(float(step), "t", "q", 63.0, 63.0)
         given += total <= limit
-    most = quota_ceiling(63.0, 63.0, SPAN_S, EXCESS, SLACK)
-    assert (units + given <= most) == told
+    ceiling = quota_ceiling(63.0, 63.0, SPAN_S, EXCESS, SLACK)
+    assert (units + given <= ceiling) == reported
--- a/tests/support/storage_files.py
+++ b/tests/support/storage_files.py
@@ -1,4 +1,4 @@
-"""Logbooks for tests: what they hold, files of programs before, what a loss of power leaves of a save."""
+"""Replica stores for tests: their files, those of earlier programs, what a loss of power leaves of a save."""
 
 from __future__ import annotations
 
@@ -29,13 +29,15 @@
 LOG, SECTOR, FRAME, HEADER = f"{FILE}-wal", 512, 4096 + 24, 32
 
 
-def replica(numbers: int, leaving: dict[str, int] | None = None, document: bytes = b"doc") -> Replica:
-    """Return a copy to which numbers from 1 on were given."""
-    one = Replica()
-    for number in range(1, numbers + 1):
-        one.apply(Update(number, b"%d %s" % (number, document)), 3)
-    one.add_departures(leaving or {})
-    return one
+def replica(
+    version_count: int, departures: dict[str, int] | None = None, document: bytes = b"doc"
+) -> Replica:
+    """Return a replica to which versions from 1 on were applied."""
+    state = Replica()
+    for version in range(1, version_count + 1):
+        state.apply(Update(version, b"%d %s" % (version, document)), 3)
+    state.add_departures(departures or {})
+    return state
 
 
 def write_older(
@@ -43,17 +45,17 @@
     schema: int,
     version: int,
     document: bytes,
-    leavers: dict[str, int],
+    departures: dict[str, int],
     durable: dict[str, Any] = OLD,
 ) -> None:
-    """Write a file as a program before this one did."""
+    """Write a file as an earlier program did."""
     with closing(sqlite3.connect(folder / FILE, isolation_level=None)) as db:
         db.execute("pragma journal_mode=wal")
         db.execute("create table part (name text primary key, sum blob, data blob)")
-        told = leavers if schema == 1 else len(leavers)
+        departures_or_count = departures if schema == 1 else len(departures)
         parts = {
             "chain": msgpack.packb(durable),
-            "hold": msgpack.packb([version, told]),
+            "hold": msgpack.packb([version, departures_or_count]),
             "document": document,
             "servers": msgpack.packb(["s1"]),
         }
@@ -61,20 +63,20 @@
             db.execute("insert into part values (?, ?, ?)", (name, checksum(data), data))
         if schema == 2:
             db.execute("create table leaver (id text primary key, state int, sum blob)")
-            for server, state in leavers.items():
+            for server, state in departures.items():
                 row = server, state, checksum(f"{server} {state}".encode())
                 db.execute("insert into leaver values (?, ?, ?)", row)
         db.execute(f"pragma user_version={schema}")
 
 
-def reopened(book: ReplicaStore) -> ReplicaStore:
+def reopened(store: ReplicaStore) -> ReplicaStore:
     """Return the same file, as the next process finds it."""
-    book.close()
-    return ReplicaStore(str(book.path.parent))
+    store.close()
+    return ReplicaStore(str(store.path.parent))
 
 
 def files(folder: Path) -> Files:
-    """Return what a folder holds."""
+    """Return the contents of a folder's files."""
     return {path.name: path.read_bytes() for path in folder.iterdir()}
 
 
@@ -83,9 +85,9 @@
     folder.mkdir()
     for name, data in left.items():
         (folder / name).write_bytes(data)
-    book = ReplicaStore(str(folder))
-    found = book.load()
-    book.close()
+    store = ReplicaStore(str(folder))
+    found = store.load()
+    store.close()
     for path in folder.iterdir():
         path.unlink()
     folder.rmdir()
@@ -124,7 +126,7 @@
     for cut in {random.randrange(HEADER, len(grown)) for _ in range(3)}:  # a dropped tail
         yield before | {LOG: grown[:cut] + started[cut:]}, False
     ends = [at for at in range(HEADER + FRAME, len(grown) + 1, FRAME) if grown[:at] != started[:at]]
-    for end in random.sample(ends[:-1], min(3, len(ends) - 1)):  # whole frames, one after the other
+    for end in random.sample(ends[:-1], min(3, len(ends) - 1)):  # complete frames, one after the other
         yield before | {LOG: grown[:end]}, False
     for odds in (0.05, 0.5, 0.9, 0.99):
         yield before | {LOG: torn(started, grown, random, odds, HEADER)}, False
