--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -30,8 +30,8 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_sliding_span_passes_the_ceiling_with_keepers_lost(seed: int) -> None:
-    """Data planes add, or decide alone while the owner is away; new owners start from usage reports."""
+def test_no_sliding_span_passes_the_ceiling_with_owners_lost(seed: int) -> None:
+    """Data planes add, or decide alone while there is no owner; new owners start from usage reports."""
     random = Random(seed)
     tenant = Tenant("t", 0, random.choice((7.0, 33.0, 63.0)), random.choice((0.0, 33.0, 63.0)))
     data_planes = [QuotaPolicy(SPAN_S, EXCESS, SLACK) for _ in range(8)]
@@ -99,24 +99,24 @@
 
 
 @pytest.mark.parametrize("data_plane_count", [1, 8, 40])
-def test_further_tries_of_all_data_planes_stay_within_the_shared_budget(data_plane_count: int) -> None:
+def test_retries_of_all_data_planes_stay_within_the_shared_budget(data_plane_count: int) -> None:
     random, ratio, slack, window = Random(data_plane_count), 0.2, 56.0, 10.0
     budgets = [RetryBudget(ratio, window, slack) for _ in range(data_plane_count)]
-    now, further, firsts = 0.0, [], []
+    now, retries, firsts = 0.0, [], []
     while now < 60_000.0:
         now += random.expovariate(0.2)
         budget = random.choice(budgets)
         budget.record_first(now)
         firsts.append(now)
         if random.random() < 0.6 and budget.take(now, data_plane_count):
-            further.append(now)
+            retries.append(now)
     for start in range(0, 50_000, 500):
 
         def within(times: list[float], at: float = float(start)) -> int:
-            return sum(at <= one < at + 1000.0 * window for one in times)
+            return sum(at <= sent_at < at + 1000.0 * window for sent_at in times)
 
-        assert within(further) <= ratio * within(firsts) + slack
-    assert len(further) > 0.1 * len(firsts)
+        assert within(retries) <= ratio * within(firsts) + slack
+    assert len(retries) > 0.1 * len(firsts)
 
 
 def server(number: int, service: str = "s", zone: str = "a", state: int = READY, seq: int = 1) -> Endpoint:
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize("seed", range(200))
 def test_what_may_run_once_is_never_out_twice(seed: int) -> None:
-    """Outcomes at random: no second try unless the first is known not to have run, and no false promise."""
+    """Random outcomes: no second attempt unless the first is known not to have run, no false promise."""
     random = Random(seed)
     pure = random.random() < 0.5
     attempts = Attempts(route(pure, random.randint(1, 4)), "s", 0.0, 2000.0)
