--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -12,12 +12,13 @@
 import trio
 
 from tests.common.test_decoding import SETTINGS, document
+from tests.support.recording_connection import RecordingConnection
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
 from wickspring.common.digest import digest_of
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind, GatewayError
-from wickspring.common.messages import CONTROL_PLANE_MESSAGES, DATAGRAMS, ClusterView, Message, QuotaTotal
+from wickspring.common.messages import CONTROL_PLANE_MESSAGES, DATAGRAMS, ClusterView, QuotaTotal
 from wickspring.common.settings_file import parse_address
 from wickspring.controlplane.api.calls import ApiRequest
 from wickspring.controlplane.api.heartbeat import Heartbeat
@@ -55,6 +56,7 @@
 ]
 
 _FIRST = View(1, (Member("a", "first"),), (Member("a", "first"),)).pack()
+PEER_IP = "127.0.9.9"  # of a data plane that is only named in messages: nothing is bound to it or sent there
 PASS = ["pass", _FIRST, 1, Replica(Config(1, 1, b"x", digest_of(b"x")), {"i": 1}).pack()]
 
 
@@ -76,21 +78,6 @@
     return copy.deepcopy(random.choice(ODD))
 
 
-class RecordingConnection:
-    """A connection that records what is sent on it."""
-
-    def __init__(self) -> None:
-        self.peer_address = "p"
-        self.sent: list[Message] = []
-        self.live = True
-
-    def send(self, message: Message) -> None:
-        self.sent.append(message)
-
-    def close(self) -> None:
-        self.live = False
-
-
 def test_settings_are_parsed_or_refused() -> None:
     random = Random(3)
     for _ in range(2000):
@@ -130,7 +117,7 @@
             )
             taken += said.status == 200
         assert 0 < taken < 1000
-        beat["condition"] = {"state": "ready", "call_seq": 10**25}  # no cable could carry it
+        beat["condition"] = {"state": "ready", "call_seq": 10**25}  # above what a message can carry
         said = await Heartbeat(control_plane).call(
             ApiRequest("POST", "", json.dumps(beat).encode(), {"id": "i2"})
         )
@@ -191,7 +178,7 @@
         refused = 0
         for _ in range(4000):
             core = random.random() < 0.5
-            session = PeerSession(cast(PeerConnection, RecordingConnection()), is_control_plane_node=core)
+            session = PeerSession(cast(PeerConnection, RecordingConnection("p")), is_control_plane_node=core)
             if not core:
                 control_plane.data_planes.add(session)
             message = corrupt(random, random.choice(from_nodes if core else from_data_planes))
@@ -202,7 +189,7 @@
                 refused += 1
             control_plane.data_planes.remove(session)
         assert refused > 300
-        connection = RecordingConnection()
+        connection = RecordingConnection("p")
         session = PeerSession(cast(PeerConnection, connection))
         control_plane.data_planes.add(session)
         while control_plane.clock.now() - control_plane.replication.lease.installed_at < 500.0:
@@ -217,10 +204,10 @@
     with_control_plane(tmp_path, play)
 
 
-def test_a_data_plane_survives_malformed_messages_and_datagrams() -> None:
+def test_a_data_plane_survives_malformed_messages_and_datagrams(loopback_net: int) -> None:
     random = Random(6)
     server = Endpoint("i1", "s", "10.1.0.9:80", "a", 2).pack(0.0)
-    digest = Digest("127.0.9.9", {"127.0.9.9": EntryVersion(1.0, 2, 3)}, "", "")
+    digest = Digest(PEER_IP, {PEER_IP: EntryVersion(1.0, 2, 3)}, "", "")
     probe = [digest.low, digest.high, digest.versions]
     messages: list[list[Any]] = [
         ["sum", 1, 3, 9, 20],
@@ -236,18 +223,18 @@
         ["tock", 2, 3, 8, 99, b"d", 1],
     ]
     datagrams: list[list[Any]] = [
-        ["probe", "127.0.9.9", 1, probe, [0, b"", 0, 0], [["10.1.0.2", 1.0, 2, "x"]]],
-        ["word", "127.0.9.9", 1, [["10.1.0.2", 1.0, 2, 3, False]], [0, b"", 0, 0], []],
-        ["reach", "127.0.9.9", 3, "10.1.0.2"],
-        ["reached", "127.0.9.9", 3],
-        ["servers", "127.0.9.9", [server]],
-        ["leaving", "127.0.9.9", {"i4": 1}],
+        ["probe", PEER_IP, 1, probe, [0, b"", 0, 0], [["10.1.0.2", 1.0, 2, "x"]]],
+        ["word", PEER_IP, 1, [["10.1.0.2", 1.0, 2, 3, False]], [0, b"", 0, 0], []],
+        ["reach", PEER_IP, 3, "10.1.0.2"],
+        ["reached", PEER_IP, 3],
+        ["servers", PEER_IP, [server]],
+        ["leaving", PEER_IP, {"i4": 1}],
     ]
-    settings = SETTINGS.replace("ip=10.1.0.30", "ip=127.0.9.1").replace("7340,7355", "47340,47355")
+    settings = settings_module.parse_settings(SETTINGS.replace("ip=10.1.0.30", f"ip=127.{loopback_net}.2.1"))
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            data_plane = DataPlane(settings_module.parse_settings(settings), nursery, 1)
+            data_plane = DataPlane(settings, nursery, 1)
             refused = 0
             for step in range(4000):
                 known = step % 2 == 0
@@ -257,11 +244,11 @@
                         received = CONTROL_PLANE_MESSAGES.decode(message)
                         if received is not None:
                             data_plane.control_client.on_message(
-                                cast(PeerConnection, RecordingConnection()), received
+                                cast(PeerConnection, RecordingConnection("p")), received
                             )
                     else:
                         datagram = DATAGRAMS.decode(message)
-                        if datagram is not None and datagram.sender == "127.0.9.9":
+                        if datagram is not None and datagram.sender == PEER_IP:
                             data_plane.gossip.on_datagram(datagram)
                 except DECODE_ERRORS:
                     refused += 1
@@ -276,16 +263,16 @@
     trio.run(play)
 
 
-def test_a_data_plane_connects_to_every_member_of_a_view_whoever_reports_it() -> None:
+def test_a_data_plane_connects_to_every_member_of_a_view_whoever_reports_it(loopback_net: int) -> None:
     """After a fault of all nodes, the first to report a view may not have reached the others yet."""
-    settings = SETTINGS.replace("ip=10.1.0.30", "ip=127.0.9.2").replace("7340,7355", "47340,47355")
+    settings = settings_module.parse_settings(SETTINGS.replace("ip=10.1.0.30", f"ip=127.{loopback_net}.2.1"))
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            data_plane = DataPlane(settings_module.parse_settings(settings), nursery, 1)
+            data_plane = DataPlane(settings, nursery, 1)
             members = ["10.1.0.33", "10.4.0.22"]  # the second is no seed, and the sender does not reach it
             data_plane.control_client.on_message(
-                cast(PeerConnection, RecordingConnection()), ClusterView(2, members, ["10.1.0.33"], 8)
+                cast(PeerConnection, RecordingConnection("p")), ClusterView(2, members, ["10.1.0.33"], 8)
             )
             assert set(members) <= set(data_plane.control_client.connections.clients)
             assert {data_plane.control_client.connections.owner(f"t{n}") for n in range(50)} == set(members)
