--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -58,9 +58,9 @@
 
 def test_the_same_seed_gives_the_same_script() -> None:
     one = scenario.parse(SMALL, "small.toml")
-    assert schedule.write(one, 3) == schedule.write(one, 3)
-    assert schedule.write(one, 3).tries != schedule.write(one, 4).tries
-    assert 150 < len(schedule.write(one, 3).tries) < 350
+    assert schedule.draw_script(one, 3) == schedule.draw_script(one, 3)
+    assert schedule.draw_script(one, 3).requests != schedule.draw_script(one, 4).requests
+    assert 150 < len(schedule.draw_script(one, 3).requests) < 350
 
 
 def test_every_shipped_scenario_reads_under_its_own_name() -> None:
@@ -98,9 +98,9 @@
 # The checker: every rule broken once by hand must be found, and nothing else.
 
 
-def record_of(kind: int) -> tuple[Record, schedule.Try, dict[str, schedule.Try]]:
+def record_of(kind: int) -> tuple[Record, schedule.ScheduledRequest, dict[str, schedule.ScheduledRequest]]:
     firm = schedule.Firm(1, 0, 1, 0, False)
-    one = schedule.Try(0, 100.0, firm, kind, 1, 10.0, 1000.0, 0, "id", "key")
+    one = schedule.ScheduledRequest(0, 100.0, firm, kind, 1, 10.0, 1000.0, 0, "id", "key")
     record = Record()
     record.made["id"] = {b"body"}
     return record, one, {"id": one}
@@ -110,7 +110,7 @@
     return Arrival(server, hall, "id", at, at, False, **{"ran": True, "answered": True, **more})
 
 
-def judged(record: Record, tries: dict[str, schedule.Try]) -> dict[str, int]:
+def judged(record: Record, tries: dict[str, schedule.ScheduledRequest]) -> dict[str, int]:
     found = rules.check(scenario.parse(SMALL, ""), record, tries)
     names = rules.RULES
     counts = {name: len(getattr(found, name)) for name in names}
@@ -175,7 +175,7 @@
     record, one, _ = record_of(0)
     tries = {}
     for number in range(10):
-        again = schedule.Try(number, 0.0, one.firm, 0, 1, 1.0, 100.0, 0, f"id{number}", "")
+        again = schedule.ScheduledRequest(number, 0.0, one.firm, 0, 1, 1.0, 100.0, 0, f"id{number}", "")
         tries[again.call_id] = again
         record.arrivals += [Arrival("s", 0, again.call_id, 0.0, 0.0, False)] * 2  # copies count once
     share, worst = rules.beyond_quota(record, (schedule.Plan(1.0, 8.0),), tries)
@@ -192,7 +192,9 @@
     for name in scenario.shipped():
         one = scenario.load(name, site)
         assert one.shape is shape.load(site)
-        settings = build_settings(flatten(schedule.settings(one, schedule.write(tiny(one), 1), 0)), 1)
+        settings = build_settings(
+            flatten(schedule.gateway_settings(one, schedule.draw_script(tiny(one), 1), 0)), 1
+        )
         assert settings.drain_grace == one.shape.drain_grace_ms
         assert len(settings.classes) == len(one.shape.kind)
 
@@ -249,7 +251,7 @@
     plan = schedule.Plan(1.0, 8.0, ceiling_rate=2.0, ceiling_burst=16.0, ceiling_slack=4.0)
     tries = {}
     for number in range(units):
-        again = schedule.Try(number, 0.0, one.firm, 0, 1, 1.0, 100.0, 0, f"id{number}", "")
+        again = schedule.ScheduledRequest(number, 0.0, one.firm, 0, 1, 1.0, 100.0, 0, f"id{number}", "")
         tries[again.call_id] = again
         at = 200.0 * number  # five a second, where two are allowed: 16 + 2 t + 4.3 at most
         record.arrivals += [Arrival("s", 0, again.call_id, at, at, False, ran=True, answered=True)] * 2
@@ -268,20 +270,22 @@
 
 def test_hot_keys_gather_and_a_hot_caller_leaves_the_others_as_they_were() -> None:
     one = scenario.parse(SMALL + "[ingresses]\ncount = 3\n", "")
-    plain = schedule.write(one, 4)
+    plain = schedule.draw_script(one, 4)
     caller = scenario.HotCaller(0.2, 0.6, 1.0)
-    hot = schedule.write(msgspec.structs.replace(one, hot_caller=(caller,)), 4)
-    ids = {each.call_id for each in plain.tries}
-    more = [each for each in hot.tries if each.call_id not in ids]
-    assert ids < {each.call_id for each in hot.tries}
+    hot = schedule.draw_script(msgspec.structs.replace(one, hot_caller=(caller,)), 4)
+    ids = {each.call_id for each in plain.requests}
+    more = [each for each in hot.requests if each.call_id not in ids]
+    assert ids < {each.call_id for each in hot.requests}
     assert len({each.firm.customer for each in more}) == 1
     assert all(200.0 <= each.at_ms <= 800.0 for each in more)
-    gathered = schedule.write(msgspec.structs.replace(one, hot_key=(scenario.HotKey(0.0, 9.0, 1.0),)), 4)
+    gathered = schedule.draw_script(
+        msgspec.structs.replace(one, hot_key=(scenario.HotKey(0.0, 9.0, 1.0),)), 4
+    )
     places: dict[int, set[int]] = {}
-    for each in gathered.tries:
+    for each in gathered.requests:
         places.setdefault(each.firm.customer, set()).add(each.ingress)
     assert all(len(some) == 1 for some in places.values())
-    assert [each.at_ms for each in gathered.tries] == [each.at_ms for each in plain.tries]
+    assert [each.at_ms for each in gathered.requests] == [each.at_ms for each in plain.requests]
 
 
 # The hard cases, on sockets, with gateways as processes. Bounds lie far from what is measured.
@@ -418,7 +422,7 @@
 def test_virtual_gateways_are_told_of_their_subset_alone_and_servers_serve_alike_many() -> None:
     from wickspring.lab.simulation.ingress_site import VirtualSite
 
-    site = VirtualSite(large(), 1, schedule.write(large(), 1))
+    site = VirtualSite(large(), 1, schedule.draw_script(large(), 1))
     told = [set(gateway.reducer.entries) for gateway in site.gateways]
     assert {len(some) for some in told} == {20}
     shares = [sum(server in some for some in told) for server in site.servers]
--- a/wickspring/lab/checks/rules.py
+++ b/wickspring/lab/checks/rules.py
@@ -14,7 +14,7 @@
 from wickspring.lab.emulation.shape import Kind
 from wickspring.lab.experiments.scenario import Scenario
 from wickspring.lab.reports.record import Arrival, Record
-from wickspring.lab.traffic.schedule import SLACK_MS, Plan, Try
+from wickspring.lab.traffic.schedule import SLACK_MS, Plan, ScheduledRequest
 
 MINUTE_MS = 60_000.0
 CEILING_SLACK_MS = 150.0  # of the ceiling's rate, by which its slack is wider on sockets
@@ -45,7 +45,7 @@
 
 
 def check(
-    scenario: Scenario, record: Record, tries: dict[str, Try], plans: tuple[Plan, ...] = ()
+    scenario: Scenario, record: Record, tries: dict[str, ScheduledRequest], plans: tuple[Plan, ...] = ()
 ) -> Findings:
     """Hold a run to the rules; ceilings where the plans are given."""
     found = Findings()
@@ -77,7 +77,7 @@
             found.foreign.append(one.call_id)
 
 
-def _copies(scenario: Scenario, record: Record, tries: dict[str, Try], found: Findings) -> None:
+def _copies(scenario: Scenario, record: Record, tries: dict[str, ScheduledRequest], found: Findings) -> None:
     by_id: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in record.arrivals:
         by_id[arrival.call_id].append(arrival)
@@ -142,7 +142,7 @@
         yield load.server, sum(work for _, work in window) / (factor * load.capacity * span)
 
 
-def _sent_on(record: Record, tries: dict[str, Try]) -> Iterator[tuple[float, Try]]:
+def _sent_on(record: Record, tries: dict[str, ScheduledRequest]) -> Iterator[tuple[float, ScheduledRequest]]:
     """Give each try once, when its first attempt arrives whole at a ticket server."""
     counted = set[str]()
     for arrival in sorted(record.arrivals, key=lambda a: a.whole):
@@ -152,7 +152,9 @@
             yield arrival.whole, one
 
 
-def _ceilings(record: Record, tries: dict[str, Try], plans: tuple[Plan, ...], found: Findings) -> None:
+def _ceilings(
+    record: Record, tries: dict[str, ScheduledRequest], plans: tuple[Plan, ...], found: Findings
+) -> None:
     store: dict[int, tuple[float, float]] = {}
     for at, one in _sent_on(record, tries) if plans else ():
         plan, customer = plans[one.firm.plan], one.firm.customer
@@ -169,8 +171,8 @@
 
 
 def _beyond(
-    record: Record, plans: tuple[Plan, ...], tries: dict[str, Try]
-) -> Iterator[tuple[float, Try, bool]]:
+    record: Record, plans: tuple[Plan, ...], tries: dict[str, ScheduledRequest]
+) -> Iterator[tuple[float, ScheduledRequest, bool]]:
     """Give each try sent on, and whether it was beyond the true quota over all ingresses."""
     store: dict[int, tuple[float, float]] = {}
     for at, one in _sent_on(record, tries):
@@ -182,12 +184,12 @@
         yield at, one, beyond
 
 
-def beyond_ids(record: Record, plans: tuple[Plan, ...], tries: dict[str, Try]) -> set[str]:
+def beyond_ids(record: Record, plans: tuple[Plan, ...], tries: dict[str, ScheduledRequest]) -> set[str]:
     """Return the call ids of the tries sent on beyond quotas."""
     return {one.call_id for _, one, beyond in _beyond(record, plans, tries) if beyond}
 
 
-def quota_error_worst(record: Record, plans: tuple[Plan, ...], tries: dict[str, Try]) -> float:
+def quota_error_worst(record: Record, plans: tuple[Plan, ...], tries: dict[str, ScheduledRequest]) -> float:
     """Return a firm's units beyond its quota in any minute, over what it may use in one; the worst firm's."""
     lately: dict[int, deque[tuple[float, int]]] = defaultdict(deque)
     worst = 0.0
@@ -202,7 +204,9 @@
     return worst
 
 
-def beyond_quota(record: Record, plans: tuple[Plan, ...], tries: dict[str, Try]) -> tuple[float, float]:
+def beyond_quota(
+    record: Record, plans: tuple[Plan, ...], tries: dict[str, ScheduledRequest]
+) -> tuple[float, float]:
     """Return units sent on beyond quotas over all sent on, and the worst firm's excess over its allowance."""
     beyond, total, own = 0.0, 0.0, defaultdict[int, float](float)
     last = 0.0
--- a/wickspring/lab/emulation/site.py
+++ b/wickspring/lab/emulation/site.py
@@ -36,7 +36,7 @@
     def __init__(self, scenario: Scenario, seed: int, script: scripts.Script) -> None:
         self.scenario, self.script = scenario, script
         self.record, self.clock = Record(), RunClock()
-        self.tries = {one.call_id: one for one in script.tries}
+        self.tries = {one.call_id: one for one in script.requests}
         self.random = Random(f"site {seed}")
         self.servers = [self._server(index) for index in range(scenario.servers.count)]
         self.counter = CounterService(scenario, self.clock, self.record, Random(f"counter {seed}"))
@@ -57,7 +57,7 @@
         return {
             "id": server.name,
             "addr": server.address,
-            "zone": scripts.zone(self.scenario.shape, server.hall),
+            "zone": scripts.zone_name(self.scenario.shape, server.hall),
             "kind": "std-2",
             "cell": server.hall * 1000 + server.cell,
             "state": state,
--- a/wickspring/lab/emulation/ticket_servers.py
+++ b/wickspring/lab/emulation/ticket_servers.py
@@ -17,7 +17,7 @@
 from wickspring.lab.experiments.scenario import Scenario
 from wickspring.lab.reports.record import Arrival, Load, Record
 from wickspring.lab.simulation.clock import RunClock
-from wickspring.lab.traffic.schedule import Try
+from wickspring.lab.traffic.schedule import ScheduledRequest
 
 BACKLOG = 256
 LINGER_S = 0.15  # a closing connection is watched for so long for what was still written to it
@@ -45,7 +45,7 @@
     """What all ticket servers of a run share."""
 
     scenario: Scenario
-    tries: dict[str, Try]  # the scheduled requests, by call id
+    tries: dict[str, ScheduledRequest]  # the scheduled requests, by call id
     record: Record
     clock: RunClock
 
--- a/wickspring/lab/experiments/evaluate.py
+++ b/wickspring/lab/experiments/evaluate.py
@@ -11,7 +11,7 @@
 from wickspring.lab.experiments.scenario import Scenario
 from wickspring.lab.reports.record import Record
 from wickspring.lab.reports.result import Result, Series
-from wickspring.lab.traffic.schedule import Script, Try
+from wickspring.lab.traffic.schedule import ScheduledRequest, Script
 
 MAX_SHOWN = 20  # violations of each rule named in a result
 MAX_LATENCY_US = 60_000_000
@@ -30,7 +30,9 @@
     return largest
 
 
-def evaluate(scenario: Scenario, seed: int, script: Script, tries: dict[str, Try], record: Record) -> Result:
+def evaluate(
+    scenario: Scenario, seed: int, script: Script, tries: dict[str, ScheduledRequest], record: Record
+) -> Result:
     """Return all figures that follow from what clients, servers and discovery recorded."""
     result = Result(scenario.name, seed, scenario.seconds)
     findings = rules.check(scenario, record, tries, script.plans)
--- a/wickspring/lab/experiments/fleet.py
+++ b/wickspring/lab/experiments/fleet.py
@@ -143,7 +143,7 @@
                     "sockets": self.scenario.ingresses.sockets,
                 },
                 "known": {"version": 0, "full": True, "servers": []},
-                "settings": scripts.settings(self.scenario, script, number),
+                "settings": scripts.gateway_settings(self.scenario, script, number),
             }
             (self.folder / f"n{number}.json").write_text(json.dumps(config))
             lines += [
@@ -270,7 +270,7 @@
 
 async def _run(scenario: Scenario, seed: int, program: Path, progress: Progress | None) -> Result:
     part = scenario.fleet or FleetPart()
-    script = scripts.write(scenario, seed)
+    script = scripts.draw_script(scenario, seed)
     site = Site(scenario, seed, script)
     with tempfile.TemporaryDirectory(prefix="wl-") as name:
         fleet = FleetSite(scenario, seed, site, Path(name), program)
@@ -302,7 +302,7 @@
                         given.start_soon(fleet.kill, fault)
                     for loss in part.lose:
                         given.start_soon(fleet.lose, loss)
-                    await load.run(script.tries, nursery)
+                    await load.run(script.requests, nursery)
                     given.cancel_scope.deadline = trio.current_time() + part.extra_s
                 with trio.move_on_after(scenario.shape.deadline_ms / 1000.0 + 1.0):
                     while load.ended < load.begun:
--- a/wickspring/lab/experiments/socket_run.py
+++ b/wickspring/lab/experiments/socket_run.py
@@ -35,7 +35,7 @@
         self.seed = seed
         self.program = program
         self.progress = progress
-        self.script = scripts.write(scenario, seed)
+        self.script = scripts.draw_script(scenario, seed)
         self.site = Site(scenario, seed, self.script)
         self.gateways: list[GatewayProcess] = []
 
@@ -79,7 +79,7 @@
                     "sockets": scenario.ingresses.sockets,
                 },
                 "known": {"version": 0, "full": True, "servers": []},
-                "settings": scripts.settings(scenario, self.script, number),
+                "settings": scripts.gateway_settings(scenario, self.script, number),
             }
             files = GatewayFiles(
                 folder,
@@ -119,7 +119,7 @@
                 nursery.start_soon(self._crash, fault, load, processes)
         if self.progress is not None:
             nursery.start_soon(tell, self.scenario, site, self.progress)
-        await load.run(self.script.tries, nursery)
+        await load.run(self.script.requests, nursery)
         with trio.move_on_after(self.scenario.shape.deadline_ms / 1000.0 + GRACE_S):
             while load.ended < load.begun:
                 await trio.sleep(POLL_S)
--- a/wickspring/lab/reports/record.py
+++ b/wickspring/lab/reports/record.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from wickspring.lab.traffic.schedule import Try
+from wickspring.lab.traffic.schedule import ScheduledRequest
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
 class Asked:
     """A request as its client saw it."""
 
-    plan: Try
+    plan: ScheduledRequest
     sent: float = -1.0  # its last byte written; -1: never
     answers: list[tuple[float, int, bytes]] = field(default_factory=list)  # time, status, body
     broken: float = -1.0  # the connection ended without an answer
--- a/wickspring/lab/simulation/ingress_site.py
+++ b/wickspring/lab/simulation/ingress_site.py
@@ -44,7 +44,7 @@
 
     request: int
     attempt: int
-    one: scripts.Try
+    one: scripts.ScheduledRequest
     over: bool = False
 
 
@@ -305,7 +305,7 @@
             )
         self.gateways = []
         for number in range(scenario.ingresses.count):
-            pairs = flatten(scripts.settings(scenario, script, number))
+            pairs = flatten(scripts.gateway_settings(scenario, script, number))
             # The module shares what the servers can bear among the gateways that use the same ones.
             pairs["Siblings"] = str(self._sharing(len(made)))
             gateway = VirtualGateway(self, number, build_settings(pairs, seed + number), limits)
@@ -349,12 +349,12 @@
 
 def run(scenario: Scenario, seed: int, progress: Progress | None = None) -> Result:
     """Run a scenario in virtual time."""
-    script = scripts.write(scenario, seed)
+    script = scripts.draw_script(scenario, seed)
     site = VirtualSite(scenario, seed, script)
     timeline, record = site.timeline, site.record
     for fault in scenario.fault:
         site.fault(fault)
-    for one in script.tries:
+    for one in script.requests:
         asked = Asked(one)
         record.asked.append(asked)
         timeline.at(one.at_ms, partial(site.gateways[one.ingress].ask, asked))
@@ -363,7 +363,7 @@
         timeline.run(min(end, timeline.now + REPORT_MS))
         if progress is not None:
             progress(min(timeline.now / 1000.0, scenario.seconds), record)
-    tries = {one.call_id: one for one in script.tries}
+    tries = {one.call_id: one for one in script.requests}
     result = evaluate(scenario, seed, script, tries, record)
     tally: Counter[str] = Counter()
     for gateway in site.gateways:
--- a/wickspring/lab/simulation/large_peers.py
+++ b/wickspring/lab/simulation/large_peers.py
@@ -189,7 +189,7 @@
         self.cuts: list[tuple[frozenset[str], frozenset[str]]] = []
         self.served = self.failed = self.wrong = self.looked = 0
         self.spends: list[float] = []
-        self.script = scripts.write(msgspec.structs.replace(scenario, seconds=0.001), seed)
+        self.script = scripts.draw_script(msgspec.structs.replace(scenario, seconds=0.001), seed)
         self.ingresses = [
             VirtualIngress(self, number, _settings(scenario, self.script, number)) for number in range(count)
         ]
@@ -254,7 +254,7 @@
 
 
 def _settings(scenario: Scenario, script: scripts.Script, number: int) -> api.Settings:
-    return build_settings(flatten(scripts.settings(scenario, script, number)), number)
+    return build_settings(flatten(scripts.gateway_settings(scenario, script, number)), number)
 
 
 def run(scenario: Scenario, seed: int, progress: Progress | None) -> Result:
--- a/wickspring/lab/traffic/client.py
+++ b/wickspring/lab/traffic/client.py
@@ -19,7 +19,7 @@
 from wickspring.lab.experiments.scenario import Scenario
 from wickspring.lab.reports.record import Asked, Record
 from wickspring.lab.simulation.clock import RunClock
-from wickspring.lab.traffic.schedule import Try
+from wickspring.lab.traffic.schedule import ScheduledRequest
 
 LATE_MS = 400.0  # past its budget for which an answer is still watched for: a late one breaks a rule
 RETRY_SHARE = 0.7  # of the refused or failed tries that are retried, where clients retry
@@ -57,7 +57,7 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError):
             return None
 
-    def encode(self, one: Try, shape: Shape) -> bytes:
+    def encode(self, one: ScheduledRequest, shape: Shape) -> bytes:
         """Write a request's bytes."""
         headers = [
             ("Host", "app.svc"),
@@ -87,7 +87,7 @@
     def __init__(
         self,
         scenario: Scenario,
-        tries: dict[str, Try],
+        tries: dict[str, ScheduledRequest],
         record: Record,
         clock: RunClock,
         random: Random,
@@ -99,7 +99,7 @@
         self.closed: set[int] = set()  # gateways that the front has seen down
         self.begun = self.ended = 0
 
-    async def run(self, tries: tuple[Try, ...], nursery: trio.Nursery) -> None:
+    async def run(self, tries: tuple[ScheduledRequest, ...], nursery: trio.Nursery) -> None:
         """Start every try at its time."""
         for one in tries:
             wait = one.at_ms - self.clock.now()
@@ -107,7 +107,7 @@
                 await trio.sleep(wait / 1000.0)
             self.begin(one, nursery)
 
-    def begin(self, one: Try, nursery: trio.Nursery, retry_of: int = -1) -> None:
+    def begin(self, one: ScheduledRequest, nursery: trio.Nursery, retry_of: int = -1) -> None:
         """Start one try now."""
         asked = Asked(one, retry_of=retry_of)
         self.record.asked.append(asked)
@@ -179,7 +179,7 @@
         at = self.clock.now() + wait
         if at > 1000.0 * self.scenario.seconds or not math.isfinite(at):
             return
-        again = Try(
+        again = ScheduledRequest(
             one.number,
             at,
             one.firm,
--- a/wickspring/lab/traffic/schedule.py
+++ b/wickspring/lab/traffic/schedule.py
@@ -1,4 +1,8 @@
-"""The script of a run: who asks for what and when, drawn ahead from the seed. Nothing here runs or waits."""
+"""The script of a run: which customer sends which request and when, drawn in advance from a seed.
+
+Nothing here runs or waits. The same scenario and seed always give the same script. The module also writes the
+settings that the platform gives to a gateway of the run.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +13,26 @@
 from typing import Any
 
 from wickspring.lab.emulation.shape import PlanShape, Shape
-from wickspring.lab.experiments.scenario import Scenario
+from wickspring.lab.experiments.scenario import Clients, HotCaller, HotKey, Scenario
 
+MS_PER_S = 1000.0
 SLACK_MS = 50.0  # by which every limit of the rules is extended on sockets
-CEILING_SLACK = 0.1  # of what a ceiling holds; one of the largest requests at least
+CEILING_SLACK = 0.1  # of a ceiling's burst; the slack is at least one of the largest requests
+MIN_BURST_REQUESTS = 2.0  # the largest requests that a plan's burst covers at least
+MIN_BURST_REQUESTS_UNDER_CEILING = 4.0  # the same for a plan with a ceiling
+FIRST_CUSTOMER_ID = 1000
+CUSTOMER_ID_STEP = 7919  # a prime, so that ids differ in their low bits
+WORK_LOG_MEAN = -0.08  # with the deviation below, the mean factor of the work is 1
+WORK_LOG_DEVIATION = 0.4
+MIN_DEADLINE_SHARE = 0.5  # of the class's deadline, the shortest that a client gives
 
 
 @dataclass(slots=True, frozen=True)
 class Firm:
-    """A member firm."""
+    """A customer: its plan, and the set of gateways that its requests go through.
+
+    The set is `spread` gateways, counted from number `first`. A `heavy` firm sends more than its quota.
+    """
 
     customer: int
     plan: int
@@ -27,8 +42,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Try:
-    """One request of a client, as it is scheduled."""
+class ScheduledRequest:
+    """One request of a client: when it is sent, its cost in units and work, and its time limit."""
 
     number: int
     at_ms: float
@@ -47,101 +62,160 @@
     """A plan's quota, and its hard ceiling where it has one."""
 
     rate: float  # units a second
-    burst: float
-    ceiling_rate: float = 0.0  # 0: none
-    ceiling_burst: float = 0.0
-    ceiling_slack: float = 0.0
+    burst: float  # units
+    ceiling_rate: float = 0.0  # units a second; 0: none
+    ceiling_burst: float = 0.0  # units
+    ceiling_slack: float = 0.0  # units
 
 
 @dataclass(slots=True, frozen=True)
 class Script:
-    """All of a run that chance decides."""
+    """All of a run that chance decides; requests in the order of their times."""
 
     firms: tuple[Firm, ...]
     plans: tuple[Plan, ...]
-    tries: tuple[Try, ...]
+    requests: tuple[ScheduledRequest, ...]
 
 
-def write(scenario: Scenario, seed: int) -> Script:
-    """Draw firms and arrivals; the same seed gives the same script."""
-    random, clients, gateways = Random(f"script {seed}"), scenario.clients, scenario.ingresses.count
-    shape = scenario.shape
-    firms = []
-    for index in range(clients.firms):
-        plan = random.choices(range(len(shape.plan)), [plan.share for plan in shape.plan])[0]
-        spread = min(gateways, random.randint(*shape.spread)) if gateways > 1 else 1
-        heavy = random.random() < clients.heavy
-        firms.append(Firm(1000 + index * 7919, plan, spread, random.randrange(gateways), heavy))
-    usual = sum(shape.plan[firm.plan].rate for firm in firms)
+def draw_script(scenario: Scenario, seed: int) -> Script:
+    """Draw firms and requests; the same seed gives the same script."""
+    random = Random(f"script {seed}")
+    clients = scenario.clients
+    plan_shapes = scenario.shape.plan
+    firms = _draw_firms(scenario, random)
+    typical_units_per_s = sum(plan_shapes[firm.plan].rate for firm in firms)
     mean_units = (1 + clients.most_units) / 2
-    scale = clients.rate * mean_units * clients.quota_x / usual
-    plans = tuple(_plan(plan, scale, clients.most_units) for plan in shape.plan)
-    weights = [
-        shape.plan[firm.plan].rate * (clients.heavy_x * clients.quota_x if firm.heavy else 1.0)
-        for firm in firms
-    ]
-    sums = list(accumulate(weights))
-    rate = clients.rate * sums[-1] / usual  # heavy firms come on top
-    places = _Places(scenario, seed, firms)
-    kinds, shares = range(len(shape.kind)), [kind.share for kind in shape.kind]
-    tries, now = list[Try](), 0.0
-
-    def ask(at: float, firm: Firm, random: Random) -> None:
-        kind, number = random.choices(kinds, shares)[0], len(tries)
-        units = random.randint(1, clients.most_units)
-        work = clients.work_ms[kind % len(clients.work_ms)] * random.lognormvariate(-0.08, 0.4)
-        budget = shape.kind[kind].deadline_ms * random.uniform(0.5, 1.0)
-        ingress = (firm.first + places.choose(at, firm, random)) % gateways
-        call_id, key = f"{random.getrandbits(64):016x}", f"{random.getrandbits(128):032x}"
-        key = key if shape.kind[kind].effect == "by_key" else ""
-        tries.append(Try(number, at, firm, kind, units, work, budget, ingress, call_id, key))
-
-    while True:
-        now += random.expovariate(rate / 1000.0)
-        if now >= 1000.0 * scenario.seconds:
-            break
-        ask(now, firms[bisect(sums, random.random() * sums[-1])], random)
+    scale = clients.rate * mean_units * clients.quota_x / typical_units_per_s
+    plans = tuple(_scale_plan(plan, scale, clients.most_units) for plan in plan_shapes)
+    cumulative_weights = list(accumulate(_firm_weight(firm, plan_shapes, clients) for firm in firms))
+    rate = clients.rate * cumulative_weights[-1] / typical_units_per_s  # heavy firms come on top
+    drawing = _RequestDrawing(scenario, seed, firms)
+    drawing.draw_typical(rate, cumulative_weights, random)
     for index, caller in enumerate(scenario.hot_caller):
-        aside = Random(f"hot caller {seed} {index}")  # the others ask as they would without it
-        firm, at = aside.choice(firms), 1000.0 * caller.at_s
-        until = min(1000.0 * (caller.at_s + caller.for_s), 1000.0 * scenario.seconds)
-        while (at := at + aside.expovariate(rate * caller.load / 1000.0)) < until:
-            ask(at, firm, aside)
-    ordered = sorted(tries, key=lambda one: one.at_ms)
-    return Script(tuple(firms), plans, tuple(ordered))
-
-
-def _plan(plan: PlanShape, scale: float, most_units: int) -> Plan:
-    """Scale a plan to the load."""
-    least = (4.0 if plan.ceiling else 2.0) * most_units
-    rate, burst = plan.rate * scale, max(plan.rate * scale * plan.burst_s, least)
-    slack = max(CEILING_SLACK * plan.ceiling * burst, float(most_units)) if plan.ceiling else 0.0
+        # A generator of its own: all other requests are the same as without the hot caller.
+        drawing.draw_hot_caller(caller, rate, Random(f"hot caller {seed} {index}"))
+    requests = sorted(drawing.requests, key=lambda request: request.at_ms)
+    return Script(tuple(firms), plans, tuple(requests))
+
+
+def _draw_firms(scenario: Scenario, random: Random) -> list[Firm]:
+    gateway_count = scenario.ingresses.count
+    shape = scenario.shape
+    shares = [plan.share for plan in shape.plan]
+    firms = []
+    for index in range(scenario.clients.firms):
+        plan = random.choices(range(len(shares)), shares)[0]
+        spread = min(gateway_count, random.randint(*shape.spread)) if gateway_count > 1 else 1
+        heavy = random.random() < scenario.clients.heavy
+        first = random.randrange(gateway_count)
+        firms.append(Firm(FIRST_CUSTOMER_ID + index * CUSTOMER_ID_STEP, plan, spread, first, heavy))
+    return firms
+
+
+def _firm_weight(firm: Firm, plans: tuple[PlanShape, ...], clients: Clients) -> float:
+    """Return how often a firm sends, relative to the others."""
+    return plans[firm.plan].rate * (clients.heavy_x * clients.quota_x if firm.heavy else 1.0)
+
+
+def _scale_plan(plan: PlanShape, scale: float, max_units: int) -> Plan:
+    """Scale a plan to the load; a request has at most `max_units`."""
+    min_burst_requests = MIN_BURST_REQUESTS_UNDER_CEILING if plan.ceiling else MIN_BURST_REQUESTS
+    rate = plan.rate * scale
+    burst = max(rate * plan.burst_s, min_burst_requests * max_units)
+    slack = max(CEILING_SLACK * plan.ceiling * burst, float(max_units)) if plan.ceiling else 0.0
     return Plan(rate, burst, plan.ceiling * rate, plan.ceiling * burst, slack)
 
 
-class _Places:
-    """Through which ingress of its set a firm's requests come, which may be uneven and change."""
+class _RequestDrawing:
+    """Draws the requests of a run; those drawn so far are in `requests`, not yet in order."""
+
+    def __init__(self, scenario: Scenario, seed: int, firms: list[Firm]) -> None:
+        self.scenario = scenario
+        self.firms = firms
+        self.placement = _Placement(scenario, seed, firms)
+        self.requests: list[ScheduledRequest] = []
+        self._kinds = range(len(scenario.shape.kind))
+        self._kind_shares = [kind.share for kind in scenario.shape.kind]
+
+    def draw_typical(self, rate: float, cumulative_weights: list[float], random: Random) -> None:
+        """Draw the requests of all firms, `rate` a second, each firm by its weight."""
+        end_ms = MS_PER_S * self.scenario.seconds
+        at_ms = random.expovariate(rate / MS_PER_S)
+        while at_ms < end_ms:
+            index = bisect(cumulative_weights, random.random() * cumulative_weights[-1])
+            self._draw_request(at_ms, self.firms[index], random)
+            at_ms += random.expovariate(rate / MS_PER_S)
+
+    def draw_hot_caller(self, caller: HotCaller, rate: float, random: Random) -> None:
+        """Draw the additional requests of one firm that sends a share of the load for a while."""
+        firm = random.choice(self.firms)
+        end_ms = min(MS_PER_S * (caller.at_s + caller.for_s), MS_PER_S * self.scenario.seconds)
+        at_ms = MS_PER_S * caller.at_s + random.expovariate(rate * caller.load / MS_PER_S)
+        while at_ms < end_ms:
+            self._draw_request(at_ms, firm, random)
+            at_ms += random.expovariate(rate * caller.load / MS_PER_S)
+
+    def _draw_request(self, at_ms: float, firm: Firm, random: Random) -> None:
+        clients = self.scenario.clients
+        kind = random.choices(self._kinds, self._kind_shares)[0]
+        kind_shape = self.scenario.shape.kind[kind]
+        units = random.randint(1, clients.most_units)
+        typical_work_ms = clients.work_ms[kind % len(clients.work_ms)]
+        work_ms = typical_work_ms * random.lognormvariate(WORK_LOG_MEAN, WORK_LOG_DEVIATION)
+        budget_ms = kind_shape.deadline_ms * random.uniform(MIN_DEADLINE_SHARE, 1.0)
+        offset = self.placement.choose(at_ms, firm, random)
+        call_id = f"{random.getrandbits(64):016x}"
+        key = f"{random.getrandbits(128):032x}"  # drawn for every class, so that the draws after it agree
+        request = ScheduledRequest(
+            number=len(self.requests),
+            at_ms=at_ms,
+            firm=firm,
+            kind=kind,
+            units=units,
+            work_ms=work_ms,
+            budget_ms=budget_ms,
+            ingress=(firm.first + offset) % self.scenario.ingresses.count,
+            call_id=call_id,
+            key=key if kind_shape.effect == "by_key" else "",
+        )
+        self.requests.append(request)
+
+
+class _Placement:
+    """Which gateway of its set a firm's request goes through; this may be uneven and change over time."""
 
     def __init__(self, scenario: Scenario, seed: int, firms: list[Firm]) -> None:
-        self.scenario, self.seed = scenario, seed
-        self.gathered = [
-            {one.customer for one in firms if Random(f"{seed} {index} {one.customer}").random() < hot.share}
-            for index, hot in enumerate(scenario.hot_key)
+        self.clients = scenario.clients
+        self.seed = seed
+        self.hot_keys = [
+            (hot_key, _hot_customers(hot_key.share, f"{seed} {index}", firms))
+            for index, hot_key in enumerate(scenario.hot_key)
         ]
 
-    def choose(self, at: float, firm: Firm, random: Random) -> int:
-        """Return the place in the set, drawing from `random` where chance decides."""
-        clients, even = self.scenario.clients, random.randrange(firm.spread)
-        turn = int(at / (1000.0 * clients.shift_s)) if clients.shift_s > 0 else 0
-        busiest = Random(f"busiest {self.seed} {firm.customer} {turn}").randrange(firm.spread)
-        for hot, firms in zip(self.scenario.hot_key, self.gathered, strict=True):
-            if 0.0 <= at - 1000.0 * hot.at_s < 1000.0 * hot.for_s and firm.customer in firms:
+    def choose(self, at_ms: float, firm: Firm, random: Random) -> int:
+        """Return the offset in the set, drawing from `random` where chance decides."""
+        even = random.randrange(firm.spread)
+        shift_ms = MS_PER_S * self.clients.shift_s
+        period = int(at_ms / shift_ms) if self.clients.shift_s > 0 else 0
+        busiest = Random(f"busiest {self.seed} {firm.customer} {period}").randrange(firm.spread)
+        for hot_key, customers in self.hot_keys:
+            if _is_active(hot_key, at_ms) and firm.customer in customers:
                 return busiest
-        return busiest if clients.skew > 0 and random.random() < clients.skew else even
+        skewed = self.clients.skew > 0 and random.random() < self.clients.skew
+        return busiest if skewed else even
+
+
+def _hot_customers(share: float, seed: str, firms: list[Firm]) -> set[int]:
+    """Draw the share of the customers whose requests all go through one gateway."""
+    return {firm.customer for firm in firms if Random(f"{seed} {firm.customer}").random() < share}
 
 
-def settings(scenario: Scenario, script: Script, number: int) -> dict[str, Any]:
-    """Write the settings of one gateway, in the words of the platform."""
+def _is_active(hot_key: HotKey, at_ms: float) -> bool:
+    return 0.0 <= at_ms - MS_PER_S * hot_key.at_s < MS_PER_S * hot_key.for_s
+
+
+def gateway_settings(scenario: Scenario, script: Script, number: int) -> dict[str, Any]:
+    """Write the settings of one gateway; all keys are given by the platform."""
     shape = scenario.shape
     return {
         "Family": "gate",
@@ -149,73 +223,101 @@
         "SelfIndex": number,
         "Tier": 0,
         "Zone": number % scenario.servers.halls,
-        "Zones": [zone(shape, hall) for hall in range(scenario.servers.halls)],
+        "Zones": [zone_name(shape, hall) for hall in range(scenario.servers.halls)],
         "Shapes": ["std-2"],
         "Tick": 4.0,
         "Discovery": "pushed",
         "Clients": {"MarksRetry": shape.marks_retries},
-        "Lanes": [
-            {
-                "Name": kind.name,
-                "Effect": kind.effect,
-                "Group": kind.group,
-                "Window": kind.window_ms,
-                "Promise": kind.aim_ms,
-                "Deadline": kind.deadline_ms,
-                "Worth": kind.worth,
-                "LateWorth": kind.late_worth,
-                "Stream": False,
-            }
-            for kind in shape.kind
-        ],
-        "Packages": [
-            {
-                "Name": plan.name,
-                "UnitsPerS": quota.rate,
-                "PeakUnits": quota.burst,
-                "MaxOut": 0,
-                "WorthFactor": plan.price,
-                "OverCost": plan.over_cost,
-                "ExtraWorth": plan.over_worth,
-                "NeverOverRate": quota.ceiling_rate,
-                "NeverOverDepth": quota.ceiling_burst,
-                "HardSlack": quota.ceiling_slack,
-            }
-            for plan, quota in zip(shape.plan, script.plans, strict=True)
-        ],
-        "Domain": {
-            "MayCount": True,
-            "CountFee": shape.counter_fee,
-            "CountLimit": shape.counter_limit_ms,
-            "Largest": scenario.clients.most_units,
-            "PostPaid": False,
-            "Metering": 0,
-        },
-        "Permissions": {
-            "Cancelling": True,
-            "DialTimeout": 250,
-            "IdleClose": scenario.servers.idle_close_ms,
-            "MaxAttempts": shape.attempts,
-            "MaxRetryAfter": 1000,
-            "ParallelTries": shape.parallel,
-            "Probing": shape.probing,
-            "RetryAfter": True,
-            "StreamsPerConn": 100,
-        },
-        "Obligations": {
-            "AnswerSlack": 16,
-            "AskWithin": 10000,
-            "DrainGrace": shape.drain_grace_ms,
-            "OverloadFactor": shape.fall_factor,
-            "StartCapacity": scenario.servers.cold_share,
-            "TipAfter": shape.fall_ms,
-            "WarmWithin": 1000.0 * scenario.servers.warm_s,
-        },
+        "Lanes": _class_settings(shape),
+        "Packages": _plan_settings(shape, script.plans),
+        "Domain": _counter_settings(scenario),
+        "Permissions": _permission_settings(scenario),
+        "Obligations": _obligation_settings(scenario),
         "Prices": {"Waste": shape.waste, "LateFail": shape.late_fail},
         "Telemetry": {"Fields": ["concurrent", "tps"], "How": "probe" if shape.probing else "none"},
     }
 
 
-def zone(shape: Shape, hall: int) -> str:
-    """Name a hall as the site does."""
-    return f"{shape.zone_name}-{chr(97 + hall)}"
+def _class_settings(shape: Shape) -> list[dict[str, Any]]:
+    """Write the classes of requests: what may be repeated and within which times."""
+    return [
+        {
+            "Name": kind.name,
+            "Effect": kind.effect,
+            "Group": kind.group,
+            "Window": kind.window_ms,
+            "Promise": kind.aim_ms,
+            "Deadline": kind.deadline_ms,
+            "Worth": kind.worth,
+            "LateWorth": kind.late_worth,
+            "Stream": False,
+        }
+        for kind in shape.kind
+    ]
+
+
+def _plan_settings(shape: Shape, plans: tuple[Plan, ...]) -> list[dict[str, Any]]:
+    """Write the plans: quotas as scaled for the run, prices as the site has them."""
+    return [
+        {
+            "Name": plan.name,
+            "UnitsPerS": quota.rate,
+            "PeakUnits": quota.burst,
+            "MaxOut": 0,
+            "WorthFactor": plan.price,
+            "OverCost": plan.over_cost,
+            "ExtraWorth": plan.over_worth,
+            "NeverOverRate": quota.ceiling_rate,
+            "NeverOverDepth": quota.ceiling_burst,
+            "HardSlack": quota.ceiling_slack,
+        }
+        for plan, quota in zip(shape.plan, plans, strict=True)
+    ]
+
+
+def _counter_settings(scenario: Scenario) -> dict[str, Any]:
+    """Write the terms of the external counter."""
+    shape = scenario.shape
+    return {
+        "MayCount": True,
+        "CountFee": shape.counter_fee,
+        "CountLimit": shape.counter_limit_ms,
+        "Largest": scenario.clients.most_units,
+        "PostPaid": False,
+        "Metering": 0,
+    }
+
+
+def _permission_settings(scenario: Scenario) -> dict[str, Any]:
+    """Write what a gateway may do; times in ms."""
+    shape = scenario.shape
+    return {
+        "Cancelling": True,
+        "DialTimeout": 250,
+        "IdleClose": scenario.servers.idle_close_ms,
+        "MaxAttempts": shape.attempts,
+        "MaxRetryAfter": 1000,
+        "ParallelTries": shape.parallel,
+        "Probing": shape.probing,
+        "RetryAfter": True,
+        "StreamsPerConn": 100,
+    }
+
+
+def _obligation_settings(scenario: Scenario) -> dict[str, Any]:
+    """Write what a gateway must keep to; times in ms."""
+    shape = scenario.shape
+    return {
+        "AnswerSlack": 16,
+        "AskWithin": 10000,
+        "DrainGrace": shape.drain_grace_ms,
+        "OverloadFactor": shape.fall_factor,
+        "StartCapacity": scenario.servers.cold_share,
+        "TipAfter": shape.fall_ms,
+        "WarmWithin": 1000.0 * scenario.servers.warm_s,
+    }
+
+
+def zone_name(shape: Shape, hall: int) -> str:
+    """Return the zone of a hall, by the site's naming."""
+    return f"{shape.zone_name}-{chr(ord('a') + hall)}"
