--- a/wickspring/lab/emulation/site.py
+++ b/wickspring/lab/emulation/site.py
@@ -81,10 +81,10 @@
         chosen = [self.servers[index] for index in fault.servers or range(len(self.servers))]
         if fault.kind == "reset-all":
             for server in chosen:
-                server.cut_all()
+                server.reset_connections()
         elif fault.kind == "half-open":
             for server in chosen:
-                server.silence_all()
+                server.black_hole_connections()
         elif fault.kind == "drain":
             for server in chosen:
                 self.tell(server, "draining")
@@ -116,8 +116,8 @@
         """Have a hall's servers vanish without a word, and come back cold; the counter was there too."""
         lost = [server for server in self.servers if server.hall == fault.hall]
         for server in lost:
-            server.silence_all()
-            server.mute = True
+            server.black_hole_connections()
+            server.unresponsive = True
         self.counter.silent = True
         await trio.sleep(min(fault.for_s, COUNTER_BACK_S))
         self.counter.lose(1.0)
@@ -125,22 +125,23 @@
         await trio.sleep(max(0.0, fault.for_s - COUNTER_BACK_S))
         for server in lost:
             server.kill()
-            server.mute, server.started_ms = False, self.clock.now()
+            server.unresponsive = False
+            server.started_ms = self.clock.now()
             await server.start(nursery)
             self.tell(server)
 
     def _switch(self, fault: Fault, chosen: list[TicketServer], on: bool) -> None:
         for server in chosen:
             if fault.kind == "slow":
-                server.slow = fault.size if on else 1.0
+                server.slowdown = fault.size if on else 1.0
             elif fault.kind == "accept-silent":
-                server.mute = on
+                server.unresponsive = on
                 if not on:
-                    server.cut_all()
+                    server.reset_connections()
             elif fault.kind == "failing":
-                server.failing = fault.size if on else 0.0
+                server.failing_share = fault.size if on else 0.0
             elif fault.kind == "spoilt":
-                server.spoilt = fault.size if on else 0.0
+                server.malformed_share = fault.size if on else 0.0
         if fault.kind == "counter-silent":
             self.counter.silent = on
         elif fault.kind == "counter-slow":
--- /dev/null
+++ b/wickspring/lab/emulation/ticket_connections.py
@@ -0,0 +1,37 @@
+"""An accepted connection of an emulated ticket server, and a request received on it."""
+
+from __future__ import annotations
+
+import socket
+import struct
+from dataclasses import dataclass, field
+from functools import partial
+
+import h11
+import trio
+
+
+def reset(sock: trio.socket.SocketType | socket.socket) -> None:
+    """Have the next close of this socket reset its connection."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+
+
+@dataclass(slots=True, eq=False)
+class ServerConnection:
+    """One accepted connection."""
+
+    sock: trio.socket.SocketType
+    opened_at: float
+    http: h11.Connection = field(default_factory=partial(h11.Connection, h11.SERVER))
+    uses: int = 0  # requests received
+    black_holed: bool = False  # a middlebox has dropped its state: nothing passes any more
+    scope: trio.CancelScope = field(default_factory=trio.CancelScope)
+
+
+@dataclass(slots=True, frozen=True)
+class ReceivedRequest:
+    """A request that has been received completely."""
+
+    target: str
+    headers: dict[str, str]
+    first_byte_at: float
