--- a/wickspring/common/messages/datagrams.py
+++ b/wickspring/common/messages/datagrams.py
@@ -1,4 +1,4 @@
-"""Messages between data planes over UDP: SWIM probes, and news of endpoints.
+"""Messages between data planes over UDP: SWIM probes, and changes of endpoints.
 
 Each carries the address of its sender, which the receiver compares with where the datagram came from.
 """
--- a/wickspring/common/messages/from_data_plane.py
+++ b/wickspring/common/messages/from_data_plane.py
@@ -18,7 +18,7 @@
 
     request_number: int
     tenant: str
-    is_retry: bool  # the client was refused before and comes back when it was told to
+    is_retry: bool  # the client was refused before and has come back
     epoch: int  # of the view by which the receiver was chosen: the fencing token
 
 
--- a/wickspring/controlplane/replication/paxos.py
+++ b/wickspring/controlplane/replication/paxos.py
@@ -2,7 +2,7 @@
 
 The algorithm is that of Lamport, "Paxos Made Simple" (2001), with the reconfiguration of "Vertical Paxos and
 Primary-Backup Replication" (Lamport, Malkhi, Zhou, 2009): the voters of one view choose the next, and the
-slot of the decree is the epoch. A ballot is prepared, then accepted. Invariants:
+slot of the instance is the epoch. A ballot is prepared, then accepted. Invariants:
 
 * What is agreed is a view **and the state it starts with**: the replica of highest rank among the promises.
 * Promises suffice when they are a majority of the voters with at least one member of the chain among them: a
--- a/wickspring/controlplane/replication/peers.py
+++ b/wickspring/controlplane/replication/peers.py
@@ -52,7 +52,7 @@
 
 
 class PeerListener(Protocol):
-    """Who is told of what happens on the connections to other nodes."""
+    """Receives the events of connections to other nodes."""
 
     def on_peer_connected(self, address: str) -> None:
         """Handle that a connection to a node is up."""
--- a/wickspring/controlplane/replication/replica.py
+++ b/wickspring/controlplane/replication/replica.py
@@ -33,7 +33,7 @@
 
 
 class CommitOutcome(IntEnum):
-    """The outcome of an update: whether its sender may be told that it is kept."""
+    """The outcome of an update: whether its sender may take it for durable."""
 
     NOT_YET = 0  # not shown to be committed: it may be later, or never
     COMMITTED = 1  # on every replica of the view, or of an old version that changes nothing
--- a/wickspring/controlplane/storage_file.py
+++ b/wickspring/controlplane/storage_file.py
@@ -85,7 +85,7 @@
     def db(self) -> sqlite3.Connection:
         """Return the open file; raises sqlite3.OperationalError where it is closed."""
         if self._db is None:
-            raise sqlite3.OperationalError("the logbook is closed")
+            raise sqlite3.OperationalError("the store is closed")
         return self._db
 
     @property
--- a/wickspring/controlplane/storage_legacy.py
+++ b/wickspring/controlplane/storage_legacy.py
@@ -44,7 +44,7 @@
         _checksum(f"{endpoint_id} {state}".encode()) != expected for endpoint_id, state, expected in rows
     )
     if len(rows) != stored or damaged:
-        raise CorruptStoreError("the leaving servers are not whole")
+        raise CorruptStoreError("the departures are incomplete")
     return {str(endpoint_id): int(state) for endpoint_id, state, _ in rows}
 
 
--- a/wickspring/controlplane/storage_records.py
+++ b/wickspring/controlplane/storage_records.py
@@ -141,20 +141,20 @@
     accepted = msgpack.unpackb(parts["accepted"])
     durable["accepted"] = accepted
     if accepted is not None and not Replica.unpack(accepted[3]).config.complete:
-        raise CorruptStoreError("the accepted view's state is not whole")
+        raise CorruptStoreError("the accepted view's state is incomplete")
     return durable, replica
 
 
 def _decode_replica(records: Records) -> Replica:
     epoch, version, digest, history_seal, departures_seal = msgpack.unpackb(records.parts["config"])
     if [len(records.history), _history_checksum(records.history)] != history_seal:
-        raise CorruptStoreError("the history is not whole")
+        raise CorruptStoreError("the history is incomplete")
     history = sorted(records.history.items())
     config = Config.unpack([epoch, version, records.parts["document"], digest, history, b""])
     replica = Replica(config, dict(records.departures))
     departures_are_complete = [len(replica.departures), replica.departures_checksum] == departures_seal
     if not config.complete or not departures_are_complete:
-        raise CorruptStoreError("the copy is not whole")
+        raise CorruptStoreError("the replica is incomplete")
     return replica
 
 
--- a/wickspring/dataplane/policy/endpoint_selection.py
+++ b/wickspring/dataplane/policy/endpoint_selection.py
@@ -73,7 +73,7 @@
     # Membership.
 
     def update(self, now: float, endpoint: Endpoint, fresh: bool = True) -> bool:
-        """Take in what is reported of an endpoint; return whether others are to be told.
+        """Record what is reported of an endpoint; return whether it is to be passed on.
 
         A report that is not fresh, from a control plane that may not know who has ended, brings no
         unresponsive endpoint back.
--- a/wickspring/dataplane/server.py
+++ b/wickspring/dataplane/server.py
@@ -32,7 +32,7 @@
     ready = started.ready
     if front is None or ready is None:
         raise GatewayError(
-            ErrorDetail(ErrorKind.BAD_SETTINGS, "bind: a pilot needs front_http and ready_addr")
+            ErrorDetail(ErrorKind.BAD_SETTINGS, "bind: a data plane needs front_http and ready_addr")
         )
     async with trio.open_nursery() as nursery:
         data_plane = DataPlane(settings, nursery, seed)
