--- a/tests/controlplane/test_isolated_endpoints.py
+++ b/tests/controlplane/test_isolated_endpoints.py
@@ -23,7 +23,7 @@
 from wickspring.common.endpoints import GONE, READY
 from wickspring.common.messages import EndpointsLost, EndpointSnapshot, Message, QuotaTotal
 from wickspring.controlplane.endpoint_registry import EndpointRegistry
-from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
+from wickspring.dataplane.endpoint_table import EndpointTable
 
 
 def test_heartbeats_are_redirected_only_to_reachable_nodes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -101,7 +101,7 @@
 
 
 def test_incomplete_snapshots_bring_no_endpoint_back() -> None:
-    endpoints = EndpointSelector("a", 1)
+    endpoints = EndpointTable()
     endpoints.update(0.0, ready_endpoint("i1", 4))
     endpoints.mark_unresponsive(["i1"])
     assert (
--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -19,6 +19,7 @@
 from wickspring.controlplane.load_tracker import MAX_ADVISED, LoadTracker
 from wickspring.controlplane.process import ControlPlane
 from wickspring.controlplane.replication.view import View
+from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.dataplane.policy.endpoint_selection import AttemptResult, EndpointSelector
 
 
@@ -26,13 +27,19 @@
     return [Endpoint(f"i{n}", "s", f"10.0.0.{n}:80", zone, 2) for n in range(count)]
 
 
+def endpoint_table(endpoints: list[Endpoint]) -> EndpointTable:
+    table = EndpointTable()
+    for endpoint in endpoints:
+        table.update(0.0, endpoint)
+    return table
+
+
 def mean_wait_ms(is_advised: bool, seed: int) -> float:
     """Return the mean wait, ms, of requests of 8 data planes to 12 endpoints that are two thirds busy."""
     random, endpoints = Random(seed), ready_endpoints(12)
-    load_tracker, data_planes = LoadTracker(seed), [EndpointSelector("a", seed + n) for n in range(8)]
-    for data_plane in data_planes:
-        for endpoint in endpoints:
-            data_plane.update(0.0, endpoint)
+    load_tracker = LoadTracker(seed)
+    tables = [endpoint_table(endpoints) for _ in range(8)]
+    data_planes = [EndpointSelector(table, "a", seed + n) for n, table in enumerate(tables)]
     free = {endpoint.id: [0.0, 0.0] for endpoint in endpoints}  # when each slot is free
     ends: list[tuple[float, int, str]] = []
     now, waited, work = 0.0, list[float](), 100.0
@@ -41,7 +48,7 @@
         while ends and ends[0][0] <= now:
             at, whose, id_ = heapq.heappop(ends)
             ratio = data_planes[whose].attempt_ended(
-                at, data_planes[whose].candidates[id_], round(at * 1e6), "r", AttemptResult.SUCCESS
+                at, tables[whose].candidates[id_], round(at * 1e6), "r", AttemptResult.SUCCESS
             )
             load_tracker.request_ended(at, f"p{whose}", id_, ratio)
         number = random.randrange(8)
@@ -82,10 +89,9 @@
 
 
 def test_a_data_plane_leaves_out_endpoints_that_it_knows_to_be_unfit() -> None:
-    selector = EndpointSelector("a", 1, has_idle_connection=lambda id_: id_ != "i1")
-    for endpoint in ready_endpoints(4):
-        selector.update(0.0, endpoint)
-    selector.mark_departures({"i0": DRAINING})
+    table = endpoint_table(ready_endpoints(4))
+    selector = EndpointSelector(table, "a", 1, has_idle_connection=lambda id_: id_ != "i1")
+    table.mark_departures({"i0": DRAINING})
     offers = [("i0", 0.5), ("i1", 1.0), ("i2", 1.2), ("i9", 0.1)]
     chosen = selector.pick(1.0, "s", "r", set(), offers)
     # i1 is to be connected to, i0 departs, i9 is not known
@@ -95,10 +101,9 @@
 
 
 def test_an_overloaded_endpoint_is_not_taken_for_a_dead_one() -> None:
-    selector = EndpointSelector("a", 1)
-    for endpoint in ready_endpoints(2):
-        selector.update(0.0, endpoint)
-    busy, dead = selector.candidates["i0"], selector.candidates["i1"]
+    table = endpoint_table(ready_endpoints(2))
+    selector = EndpointSelector(table, "a", 1)
+    busy, dead = table.candidates["i0"], table.candidates["i1"]
     for number, candidate in enumerate((busy, dead)):
         selector.attempt_started(10.0, candidate, number)
     selector.attempt_started(10.0, busy, 9)
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -11,6 +11,7 @@
 from wickspring.common.quota_rule import quota_ceiling
 from wickspring.common.routing_table import Route, Tenant
 from wickspring.controlplane.quota_counter import QuotaCounter
+from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.dataplane.policy.attempts import AttemptOutcome, Attempts
 from wickspring.dataplane.policy.endpoint_selection import AttemptResult, EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
@@ -124,32 +125,34 @@
 
 
 def test_what_leaves_is_never_chosen_again_whatever_is_told_after() -> None:
-    selector = EndpointSelector("a", 1)
+    table = EndpointTable()
+    selector = EndpointSelector(table, "a", 1)
     for number in range(3):
-        selector.update(0.0, server(number))
-    selector.mark_departures({"i0": DRAINING})
-    selector.update(1.0, server(0, seq=9))  # a late report that it is ready
-    selector.update(1.0, server(1, state=DRAINING, seq=2))
-    selector.update(2.0, server(1, seq=1))
+        table.update(0.0, server(number))
+    table.mark_departures({"i0": DRAINING})
+    table.update(1.0, server(0, seq=9))  # a late report that it is ready
+    table.update(1.0, server(1, state=DRAINING, seq=2))
+    table.update(2.0, server(1, seq=1))
     picks = [selector.pick(3.0, "s", "r", set()) for _ in range(50)]
     assert {pick.endpoint.id for pick in picks if pick is not None} == {"i2"}
     assert selector.pick(3.0, "s", "r", {"i2"}) is None
-    assert not selector.accepts("i0") and not selector.accepts("i1")
+    assert not table.accepts("i0") and not table.accepts("i1")
 
 
 def test_the_failing_and_the_silent_are_passed_over_while_others_do() -> None:
-    selector = EndpointSelector("a", 2)
+    table = EndpointTable()
+    selector = EndpointSelector(table, "a", 2)
     for number in range(4):
-        selector.update(0.0, server(number))
-    for number, candidate in enumerate(selector.candidates.values()):
+        table.update(0.0, server(number))
+    for number, candidate in enumerate(table.candidates.values()):
         result = AttemptResult.SUCCESS if number else AttemptResult.FAILURE
         selector.attempt_started(0.0, candidate, number)
         selector.attempt_ended(100.0, candidate, number, "r", result)
-    unresponsive = selector.candidates["i1"]
+    unresponsive = table.candidates["i1"]
     selector.attempt_started(100.0, unresponsive, 9)
     chosen = [selected.endpoint.id for _ in range(200) if (selected := selector.pick(600.0, "s", "r", set()))]
     assert chosen.count("i0") == 0 and chosen.count("i1") < 10
-    assert selector.pick(100.0, "s", "r", {"i1", "i2", "i3"}) is selector.candidates["i0"]  # better than none
+    assert selector.pick(100.0, "s", "r", {"i1", "i2", "i3"}) is table.candidates["i0"]  # better than none
 
 
 def route(pure: bool, max_attempts: int = 2) -> Route:
--- a/wickspring/dataplane/control_client/client.py
+++ b/wickspring/dataplane/control_client/client.py
@@ -36,7 +36,7 @@
 from wickspring.dataplane.control_client.listener import ControlListener
 from wickspring.dataplane.control_client.load_client import LoadClient
 from wickspring.dataplane.control_client.quota_client import QuotaClient
-from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
+from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.net.clock import Clock
 
 COMPARE_MS = 2000.0  # between comparisons of endpoints with the control plane's
@@ -52,7 +52,7 @@
         clock: Clock,
         nursery: trio.Nursery,
         random: Random,
-        endpoints: EndpointSelector,
+        endpoints: EndpointTable,
         listener: ControlListener,
     ) -> None:
         self.data_plane_count = 0  # as the control plane counts them; 0: not reported yet
--- a/wickspring/dataplane/control_client/endpoint_sync.py
+++ b/wickspring/dataplane/control_client/endpoint_sync.py
@@ -9,7 +9,7 @@
 from wickspring.common.messages import EndpointRecord, EndpointSnapshot, RequestFullState
 from wickspring.dataplane.control_client.connections import ControlPlaneConnections, status_of
 from wickspring.dataplane.control_client.listener import ControlListener
-from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
+from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.net.clock import Clock
 
 
@@ -21,7 +21,7 @@
         clock: Clock,
         random: Random,
         connections: ControlPlaneConnections,
-        endpoints: EndpointSelector,
+        endpoints: EndpointTable,
         listener: ControlListener,
     ) -> None:
         self.complete_from: set[str] = set()  # nodes that have sent all endpoints they know
--- a/wickspring/dataplane/policy/endpoint_selection.py
+++ b/wickspring/dataplane/policy/endpoint_selection.py
@@ -1,18 +1,18 @@
-"""Choosing the endpoint of an attempt, by what this data plane has observed and what it has been told.
+"""Endpoint selection: the endpoint of an attempt, by observed latencies and the control plane's advice.
 
 The control plane's advice comes first. Without it a few endpoints are drawn, most of them in the own zone,
 and the one of lowest cost is chosen (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing",
-2001). One that fails is ejected for a time that doubles with each failure. No I/O; times are milliseconds.
+2001). One that fails is ejected for a time that doubles with each failure. Which endpoints there are is known
+to `wickspring.dataplane.endpoint_table`. No I/O; times are milliseconds.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass, field, replace
+from collections.abc import Callable, Sequence
 from enum import Enum
 from random import Random
 
-from wickspring.common.endpoints import READY, Endpoint, endpoints_digest
+from wickspring.dataplane.endpoint_table import EndpointTable, KnownEndpoint
 
 LOCAL_SAMPLE_SIZE = 4  # endpoints drawn in the own zone
 REMOTE_SAMPLE_SIZE = 2  # endpoints drawn in other zones
@@ -43,103 +43,25 @@
     REJECTED = "rejected"  # the endpoint answered without executing the request
 
 
-@dataclass(slots=True, eq=False)
-class EndpointState:
-    """One endpoint as this data plane knows it."""
-
-    endpoint: Endpoint
-    in_flight: dict[int, float] = field(default_factory=dict)  # attempt number to start time, oldest first
-    latency_ratio: float = 1.0  # its latency by the typical latency of the routes, moving average
-    failures: int = 0  # in a row
-    ejected_until: float = 0.0
-    unresponsive: bool = False
-    last_response_at: float = 0.0
-
-
 class EndpointSelector:
-    """The endpoints of all services, and the choice among them."""
+    """Chooses among the endpoints of a table, and records in it how attempts ended."""
 
     def __init__(
-        self, zone: str, seed: int, has_idle_connection: Callable[[str], bool] = lambda _: True
+        self,
+        table: EndpointTable,
+        zone: str,
+        seed: int,
+        has_idle_connection: Callable[[str], bool] = lambda _: True,
     ) -> None:
         self.zone = zone
         self.random = Random(seed)
         self.has_idle_connection = has_idle_connection
-        self.candidates: dict[str, EndpointState] = {}
-        self.services: dict[str, dict[str, EndpointState]] = {}  # the endpoints that accept new requests
-        self.departures: dict[str, int] = {}  # endpoint id to DRAINING or GONE
         self.typical_ms: dict[str, float] = {}  # moving average of the latency of a route
-
-    # Membership.
-
-    def update(self, now: float, endpoint: Endpoint, fresh: bool = True) -> bool:
-        """Record what is reported of an endpoint; return whether it is to be passed on.
-
-        A report that is not fresh, from a control plane that may not know who has ended, brings no
-        unresponsive endpoint back.
-        """
-        known = self.candidates.get(endpoint.id)
-        if known is None:
-            self.candidates[endpoint.id] = known = EndpointState(endpoint, last_response_at=now)
-            self._place(known)
-            return True
-        previous = known.endpoint
-        changed = (known.unresponsive and fresh) or endpoint.state > previous.state
-        if endpoint.sequence >= previous.sequence or endpoint.state > previous.state:
-            state = max(endpoint.state, previous.state)  # never back from draining or gone
-            known.endpoint = endpoint if endpoint.state == state else replace(endpoint, state=state)
-            if previous.service != endpoint.service:
-                self.services.get(previous.service, {}).pop(endpoint.id, None)
-        known.unresponsive = known.unresponsive and not fresh
-        self._place(known)
-        return changed
-
-    def mark_departures(self, departures: dict[str, int]) -> dict[str, int]:
-        """Take in which endpoints drain or are gone, for good; return those for whom that is new."""
-        known = self.departures
-        changes = {name: state for name, state in departures.items() if known.get(name, READY) < state}
-        known.update(changes)
-        for endpoint_id in changes.keys() & self.candidates.keys():
-            self._place(self.candidates[endpoint_id])
-        return changes
-
-    def mark_unresponsive(self, endpoint_ids: Iterable[str]) -> None:
-        """Take in whose heartbeats the control plane no longer receives."""
-        for endpoint_id in endpoint_ids:
-            if endpoint_id in self.candidates:
-                self.candidates[endpoint_id].unresponsive = True
-
-    def _place(self, candidate: EndpointState) -> None:
-        endpoint = candidate.endpoint
-        accepting = self.services.setdefault(endpoint.service, {})
-        if max(endpoint.state, self.departures.get(endpoint.id, READY)) == READY:
-            accepting[endpoint.id] = candidate
-        else:
-            accepting.pop(endpoint.id, None)
-
-    def accepts(self, endpoint_id: str) -> bool:
-        """Return whether an endpoint accepts new requests."""
-        known = self.candidates.get(endpoint_id)
-        return known is not None and endpoint_id in self.services.get(known.endpoint.service, ())
-
-    def digest(self) -> int:
-        """Return a number that two processes share if they know the same endpoints."""
-        known = self.candidates.items()
-        return endpoints_digest(
-            state.endpoint for name, state in known if not state.unresponsive and self.accepts(name)
-        )
-
-    def forget(self, now: float, after_ms: float) -> None:
-        """Forget departed and unresponsive endpoints that have nothing in flight."""
-        for endpoint_id, candidate in list(self.candidates.items()):
-            unused = candidate.unresponsive or not self.accepts(endpoint_id)
-            if unused and not candidate.in_flight and now - candidate.last_response_at > after_ms:
-                self.services.get(candidate.endpoint.service, {}).pop(endpoint_id, None)
-                del self.candidates[endpoint_id]
+        self._table = table
 
     # Selection.
 
-    def cost(self, now: float, candidate: EndpointState, typical_ms: float) -> float:
+    def cost(self, now: float, candidate: KnownEndpoint, typical_ms: float) -> float:
         """Return about how long a response takes, as a multiple of the typical latency."""
         endpoint = candidate.endpoint
         in_flight = candidate.in_flight
@@ -161,12 +83,12 @@
 
     def pick(
         self, now: float, service: str, route: str, tried: set[str], advice: Advice = ()
-    ) -> EndpointState | None:
+    ) -> KnownEndpoint | None:
         """Choose an endpoint that has not been tried, of the advised ones (id and cost) if possible.
 
         Of advised endpoints of equal cost the first is taken, of others one at random.
         """
-        accepting = self.services.get(service, {})
+        accepting = self._table.services.get(service, {})
         advised = self._pick_advised(now, accepting, tried, advice) if advice else None
         if advised is not None:
             return advised
@@ -181,8 +103,8 @@
         return sample[costs.index(min(costs))]
 
     def _pick_advised(
-        self, now: float, accepting: dict[str, EndpointState], tried: set[str], advice: Advice
-    ) -> EndpointState | None:
+        self, now: float, accepting: dict[str, KnownEndpoint], tried: set[str], advice: Advice
+    ) -> KnownEndpoint | None:
         best = None
         lowest_cost = float("inf")
         for endpoint_id, cost in advice:
@@ -196,7 +118,7 @@
                 lowest_cost = cost
         return best
 
-    def _sample(self, states: list[EndpointState]) -> list[EndpointState]:
+    def _sample(self, states: list[KnownEndpoint]) -> list[KnownEndpoint]:
         local = [state for state in states if state.endpoint.zone == self.zone]
         remote = [state for state in states if state.endpoint.zone != self.zone]
         sample = self.random.sample(local, min(LOCAL_SAMPLE_SIZE, len(local)))
@@ -205,12 +127,12 @@
 
     # Observation.
 
-    def attempt_started(self, now: float, candidate: EndpointState, number: int) -> None:
+    def attempt_started(self, now: float, candidate: KnownEndpoint, number: int) -> None:
         """Record an attempt as in flight."""
         candidate.in_flight[number] = now
 
     def attempt_ended(
-        self, now: float, candidate: EndpointState, number: int, route: str, result: AttemptResult
+        self, now: float, candidate: KnownEndpoint, number: int, route: str, result: AttemptResult
     ) -> float:
         """Record how an attempt ended.
 
@@ -228,7 +150,7 @@
         self._eject(now, candidate)
         return -1.0
 
-    def _record_success(self, now: float, candidate: EndpointState, route: str, latency_ms: float) -> float:
+    def _record_success(self, now: float, candidate: KnownEndpoint, route: str, latency_ms: float) -> float:
         candidate.last_response_at = now
         candidate.failures = 0
         candidate.ejected_until = 0.0
@@ -240,7 +162,7 @@
         candidate.latency_ratio += (ratio - candidate.latency_ratio) / SMOOTHING
         return ratio
 
-    def _eject(self, now: float, candidate: EndpointState) -> None:
+    def _eject(self, now: float, candidate: KnownEndpoint) -> None:
         candidate.failures = min(MAX_EJECTION_DOUBLINGS, candidate.failures + 1)
         ejection_ms = EJECTION_MS * 2.0 ** (candidate.failures - 1) * self.random.uniform(*EJECTION_JITTER)
         candidate.ejected_until = now + ejection_ms
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -27,6 +27,7 @@
 from wickspring.connections.limits import ConnectionLimits
 from wickspring.dataplane.control_client.client import ControlClient
 from wickspring.dataplane.control_client.listener import UsageReports
+from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.dataplane.gossip import GossipNode
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
@@ -86,8 +87,9 @@
         self.patience = Patience()
         self._ready = False
         self._pool_entries: dict[str, _PoolEntry] = {}
-        self.endpoints = EndpointSelector(
-            settings.zone, self.random.getrandbits(32), self._has_idle_connection
+        self.endpoints = EndpointTable()
+        self.endpoint_selector = EndpointSelector(
+            self.endpoints, settings.zone, self.random.getrandbits(32), self._has_idle_connection
         )
         rules = settings.guarantees
         self.quota = QuotaPolicy(rules.quota_window_s, rules.quota_excess, rules.quota_slack)
@@ -122,6 +124,7 @@
             timers=self.timers,
             random=self.random,
             endpoints=self.endpoints,
+            endpoint_selector=self.endpoint_selector,
             quota=self.quota,
             config=self.control_client.config,
             quota_client=self.control_client.quota,
--- a/wickspring/dataplane/request/forwarding.py
+++ b/wickspring/dataplane/request/forwarding.py
@@ -5,8 +5,9 @@
 from functools import partial
 
 from wickspring.common.settings import parse_address
+from wickspring.dataplane.endpoint_table import KnownEndpoint
 from wickspring.dataplane.policy.attempts import FINAL_RESPONSE_MARGIN_MS, AttemptOutcome
-from wickspring.dataplane.policy.endpoint_selection import AttemptResult, EndpointState
+from wickspring.dataplane.policy.endpoint_selection import AttemptResult
 from wickspring.dataplane.request.hedging import Hedger, RetryBudgets
 from wickspring.dataplane.request.model import Request, RequestContext
 from wickspring.dataplane.request.response import Responder
@@ -60,20 +61,20 @@
         if attempts.sent == 1:
             self._hedger.schedule(request)
 
-    def _choose(self, request: Request, now: float) -> EndpointState | None:
+    def _choose(self, request: Request, now: float) -> KnownEndpoint | None:
         attempts = request.attempts
         advice = () if attempts.sent else request.advice or ()
-        return self._context.endpoints.pick(
+        return self._context.endpoint_selector.pick(
             now, attempts.service, attempts.route.name, attempts.tried, advice
         )
 
-    def _exchange(self, request: Request, candidate: EndpointState, now: float) -> Exchange:
+    def _exchange(self, request: Request, candidate: KnownEndpoint, now: float) -> Exchange:
         """Return the exchange of an attempt, and have it counted as in flight."""
         context = self._context
         attempts = request.attempts
         endpoint = candidate.endpoint
         number = MAX_ATTEMPTS_PER_REQUEST * request.number + attempts.sent
-        context.endpoints.attempt_started(now, candidate, number)
+        context.endpoint_selector.attempt_started(now, candidate, number)
         load_owner = context.load_client.request_started(attempts.service, endpoint.id)
         left_ms = max(1, int(attempts.deadline + FINAL_RESPONSE_MARGIN_MS - now))
         headers = [*request.headers, ("X-Deadline-Ms", str(left_ms)), ("X-Target-Instance", endpoint.id)]
@@ -110,7 +111,7 @@
             pools.idle_close = min(pools.idle_close, 1000.0 * KEEP_ALIVE_SHARE * int(seconds))
 
     def _on_attempt_end(
-        self, request: Request, candidate: EndpointState, number: int, load_owner: str, reply: Reply
+        self, request: Request, candidate: KnownEndpoint, number: int, load_owner: str, reply: Reply
     ) -> None:
         """Record how an attempt ended, and go on from there."""
         context = self._context
@@ -119,7 +120,7 @@
         attempts.finish(outcome)
         result = _ENDPOINT_RESULTS.get(reply.status, AttemptResult.FAILURE)
         now = context.clock.now()
-        ratio = context.endpoints.attempt_ended(now, candidate, number, attempts.route.name, result)
+        ratio = context.endpoint_selector.attempt_ended(now, candidate, number, attempts.route.name, result)
         if load_owner:
             context.load_client.request_finished(load_owner, candidate.endpoint.id, ratio)
         context.event_counts[f"attempts[{outcome.value}]"] += 1
--- a/wickspring/dataplane/request/hedging.py
+++ b/wickspring/dataplane/request/hedging.py
@@ -61,7 +61,7 @@
         route = attempts.route
         if not route.pure or route.max_attempts <= 1 or request.feed is not None:
             return
-        at = attempts.hedge_at(self._context.endpoints.typical_ms.get(route.name, 0.0))
+        at = attempts.hedge_at(self._context.endpoint_selector.typical_ms.get(route.name, 0.0))
         if at < attempts.deadline:
             request.cancel_hedge = self._context.timers.at(at, partial(self._on_timer, request)).cancel
 
@@ -72,7 +72,7 @@
         if not attempts.may_send(now) or request.streaming_attempt:
             return
         available = self._budgets.available(attempts.service, now)
-        other = context.endpoints.pick(now, attempts.service, attempts.route.name, attempts.tried)
+        other = context.endpoint_selector.pick(now, attempts.service, attempts.route.name, attempts.tried)
         if available >= HEDGE_BUDGET_RESERVE and other is not None:
             context.event_counts["hedged"] += 1
             self._send(request)
--- a/wickspring/dataplane/request/model.py
+++ b/wickspring/dataplane/request/model.py
@@ -13,6 +13,7 @@
 from wickspring.dataplane.control_client.config_sync import ConfigSync
 from wickspring.dataplane.control_client.load_client import LoadClient
 from wickspring.dataplane.control_client.quota_client import QuotaClient
+from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.dataplane.policy.attempts import Attempts
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
@@ -123,7 +124,8 @@
     clock: Clock
     timers: Timers
     random: Random
-    endpoints: EndpointSelector
+    endpoints: EndpointTable
+    endpoint_selector: EndpointSelector
     quota: QuotaPolicy
     config: ConfigSync
     quota_client: QuotaClient
--- a/wickspring/lab/experiments/capacity_steps.py
+++ b/wickspring/lab/experiments/capacity_steps.py
@@ -32,6 +32,7 @@
 from wickspring.controlplane.endpoint_registry import EndpointRegistry
 from wickspring.controlplane.load_tracker import LoadTracker
 from wickspring.controlplane.quota_counter import QuotaCounter
+from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
 from wickspring.lab.simulation.generated_config import ConfigSize, generate_config
@@ -154,11 +155,11 @@
     return registry
 
 
-def _selector(endpoints: list[Endpoint]) -> EndpointSelector:
-    selector = EndpointSelector("a", 1)
+def _table(endpoints: list[Endpoint]) -> EndpointTable:
+    table = EndpointTable()
     for endpoint in endpoints:
-        selector.update(0.0, endpoint)
-    return selector
+        table.update(0.0, endpoint)
+    return table
 
 
 def _advise(registry: EndpointRegistry, load_tracker: LoadTracker, service: str) -> None:
@@ -169,8 +170,8 @@
     load_tracker.advise(0.0, "a", ready)
 
 
-def _selector_digest(selector: EndpointSelector) -> int:
-    return selector.digest()
+def _table_digest(table: EndpointTable) -> int:
+    return table.digest()
 
 
 def endpoint_steps(count: int) -> dict[str, float]:
@@ -178,16 +179,17 @@
     endpoints = generate_endpoints(count)
     service = endpoints[0].service
     registry = _registry(endpoints)
-    selector = _selector(endpoints)
+    table = _table(endpoints)
+    selector = EndpointSelector(table, "a", 1)
     load_tracker = LoadTracker(1)
     packed = [endpoint.pack(0.0) for endpoint in endpoints]
     return {
         "whole_bytes": float(len(msgpack.packb(["whole", packed, {}]))),
         "core_digest_ms": took_ms(lambda: endpoints_digest(registry.present())),
-        "ingress_digest_ms": took_ms(lambda: _selector_digest(selector)),
+        "ingress_digest_ms": took_ms(lambda: _table_digest(table)),
         "advice_ms": took_ms(lambda: _advise(registry, load_tracker, service)),
         "sweep_ms": took_ms(lambda: registry.expire(1.0)),
-        "ingress_mb": held_mb(lambda: _selector(generate_endpoints(count))),
+        "ingress_mb": held_mb(lambda: _table(generate_endpoints(count))),
         "core_mb": held_mb(lambda: _registry(generate_endpoints(count))),
         "pick_us": took_us(lambda: selector.pick(0.0, service, "r", set()), calls=50),
     }
