--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -128,7 +128,7 @@
 
 
 class Doubled(Simulation):
-    """Requests with two ids: which of them would a server go by?"""
+    """Requests with two ids, either of which an endpoint could go by."""
 
     async def client(self, number: int) -> None:
         for first, second in (("a", "b"), ("a", "a"), ("c", "a")):
--- a/wickspring/dataplane/control_client/client.py
+++ b/wickspring/dataplane/control_client/client.py
@@ -111,18 +111,14 @@
                 self.quota.on_owner_moved(message.request_number)
             case EndpointAdvice():
                 self.load.on_advice(message)
-            case EndpointsChanged():
-                self.endpoint_sync.on_changes(message.endpoints)
-            case EndpointsDeparting():
-                self.endpoint_sync.on_departures(message.states)
             case EndpointsLost():
                 self.endpoint_sync.on_unresponsive(message.endpoint_ids)
-            case EndpointSnapshot():
-                self.endpoint_sync.on_snapshot(connection.peer_address, message)
             case DataPlanePeers():
                 self._listener.on_data_planes(message.ips)
             case ConfigOffer():
                 self.config.offer(message, by_control_plane=True)
+            case EndpointsChanged() | EndpointsDeparting() | EndpointSnapshot():
+                self.endpoint_sync.on_message(connection.peer_address, message)
             case ClusterView():
                 self._on_cluster_view(connection, message)
             case ControlPlaneHeartbeatReply():
@@ -135,12 +131,8 @@
         match message:
             case ConfigOffer():
                 self.config.offer(message, by_control_plane=False)
-            case EndpointSnapshot():
-                self.endpoint_sync.on_snapshot(connection.peer_address, message)
-            case EndpointsChanged():
-                self.endpoint_sync.on_changes(message.endpoints)
-            case EndpointsDeparting():
-                self.endpoint_sync.on_departures(message.states)
+            case EndpointsChanged() | EndpointsDeparting() | EndpointSnapshot():
+                self.endpoint_sync.on_message(connection.peer_address, message)
             case _:
                 assert_never(message)
 
--- a/wickspring/dataplane/control_client/endpoint_sync.py
+++ b/wickspring/dataplane/control_client/endpoint_sync.py
@@ -3,15 +3,25 @@
 from __future__ import annotations
 
 from random import Random
+from typing import TypeAlias, assert_never
 
 from wickspring.common.config_status import QuorumContact
 from wickspring.common.endpoints import Endpoint
-from wickspring.common.messages import EndpointRecord, EndpointSnapshot, RequestFullState
+from wickspring.common.messages import (
+    EndpointRecord,
+    EndpointsChanged,
+    EndpointsDeparting,
+    EndpointSnapshot,
+    RequestFullState,
+)
 from wickspring.dataplane.control_client.connections import ControlPlaneConnections, status_of
 from wickspring.dataplane.control_client.listener import ControlListener
 from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.net.clock import Clock
 
+# What both control-plane nodes and other data planes report of endpoints.
+EndpointMessage: TypeAlias = EndpointsChanged | EndpointsDeparting | EndpointSnapshot
+
 
 class EndpointSync:
     """Keeps the endpoints up to date."""
@@ -31,6 +41,18 @@
         self._endpoints = endpoints
         self._listener = listener
 
+    def on_message(self, sender: str, message: EndpointMessage) -> None:
+        """Take in a message about endpoints; `sender` is the IP of the process that sent it."""
+        match message:
+            case EndpointsChanged():
+                self.on_changes(message.endpoints)
+            case EndpointsDeparting():
+                self.on_departures(message.states)
+            case EndpointSnapshot():
+                self._on_snapshot(sender, message)
+            case _:
+                assert_never(message)
+
     def on_changes(self, records: list[EndpointRecord]) -> None:
         """Take in changed endpoints, and have those passed on that were not known."""
         now = self._clock.now()
@@ -52,7 +74,7 @@
         """Take in endpoints whose heartbeats the control plane no longer receives."""
         self._endpoints.mark_unresponsive(endpoint_ids)
 
-    def on_snapshot(self, sender: str, snapshot: EndpointSnapshot) -> None:
+    def _on_snapshot(self, sender: str, snapshot: EndpointSnapshot) -> None:
         """Take in all endpoints that a process knows."""
         now = self._clock.now()
         fresh = snapshot.is_recent
