--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -23,12 +23,12 @@
 def counted(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """Count broken invariants as `python -O` does, so that what follows the check is seen."""
 
-    def holds(condition: bool, name: str) -> bool:
+    def check_invariant(condition: bool, name: str) -> bool:
         if not condition:
             invariants.broken[name] += 1
         return condition
 
-    monkeypatch.setattr("wickspring.core.reducer.holds", holds)
+    monkeypatch.setattr("wickspring.core.reducer.check_invariant", check_invariant)
     invariants.broken.clear()
     yield
     invariants.broken.clear()
@@ -188,7 +188,7 @@
 
 
 def test_invariants_are_asserted_in_debug_builds() -> None:
-    assert invariants.holds(True, "fine")
+    assert invariants.check_invariant(True, "fine")
     with pytest.raises(AssertionError, match="not fine"):
-        invariants.holds(False, "not fine")
+        invariants.check_invariant(False, "not fine")
     assert KIND.effect is Effect.SAFE
--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -221,9 +221,13 @@
     "sent again after a reset": (0, TWICE, [(AttemptOutcome, "not_executed", property(resent))]),
     "a cut answer that looks whole": (63, OTHER, [(Http1Connection, "end", whole_whatever)]),
     "refused though it may have run": (0, "what may have run is not refused", [REFUSES]),
-    "refused, without the invariant": (0, REFUSED, [REFUSES, (response, "holds", by_place)]),
+    "refused, without the invariant": (0, REFUSED, [REFUSES, (response, "check_invariant", by_place)]),
     "left over for the next": (0, "no bytes are left over", [LEFT_OVER, BY_PLACE]),
-    "left over, without the invariant": (0, OTHER, [LEFT_OVER, BY_PLACE, (upstream, "holds", by_place)]),
+    "left over, without the invariant": (
+        0,
+        OTHER,
+        [LEFT_OVER, BY_PLACE, (upstream, "check_invariant", by_place)],
+    ),
     "unsent until all is written": (82, REFUSED, [(UpstreamConnection, "written", Http1Link.written)]),
     "a flowing answer ended by another try": (
         34,
--- a/wickspring/controlplane/replication/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -48,7 +48,7 @@
     View,
 )
 from wickspring.controlplane.replication.view_change import ViewChange
-from wickspring.core.invariants import holds
+from wickspring.core.invariants import check_invariant
 
 
 @dataclass(slots=True)
@@ -238,10 +238,10 @@
         """Record that a state is committed."""
         committed = self.committed.config
         if state.config.rank > committed.rank:
-            holds(state.config.version >= committed.version, "what is committed never goes back")
+            check_invariant(state.config.version >= committed.version, "what is committed never goes back")
             same_version = state.config.version == committed.version
             same_text = state.config.digest == committed.digest
-            holds(not same_version or same_text, "a committed version keeps its text")
+            check_invariant(not same_version or same_text, "a committed version keeps its text")
         if self.committed.merge(state):
             self.effects.newly_committed = True
 
@@ -249,11 +249,11 @@
 
     def install(self, now: float, view: View, state: Replica | None) -> None:
         """Install a view; as a member of its chain only together with the state it goes on from."""
-        holds(view.epoch > self.view.epoch, "views only go forward")
+        check_invariant(view.epoch > self.view.epoch, "views only go forward")
         if state is not None:
             self.replica.merge(state)
         has_state = self.replica.config.epoch == view.epoch
-        holds(self.me not in view.chain or has_state, "no view without its state")
+        check_invariant(self.me not in view.chain or has_state, "no view without its state")
         self.view = view
         self.dirty = True
         self.views_installed += 1
--- a/wickspring/controlplane/replication/next_view.py
+++ b/wickspring/controlplane/replication/next_view.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection, Mapping
 
 from wickspring.controlplane.replication.view import ClusterObservation, FaultTolerance, Member, View
-from wickspring.core.invariants import holds
+from wickspring.core.invariants import check_invariant
 
 
 class _VoterSelection:
@@ -120,7 +120,7 @@
     """Return the view that should follow; with the same voters and chain where nothing should change."""
     voters = _next_voters(view, observation, tolerance)
     chain = _next_chain(view, voters, observation, tolerance)
-    holds(set(chain) <= set(voters), "the chain is a subset of the voters")
+    check_invariant(set(chain) <= set(voters), "the chain is a subset of the voters")
     return View(view.epoch + 1, voters, chain)
 
 
--- a/wickspring/controlplane/replication/paxos.py
+++ b/wickspring/controlplane/replication/paxos.py
@@ -20,7 +20,7 @@
 
 from wickspring.controlplane.replication.replica import Replica
 from wickspring.controlplane.replication.view import Member, View
-from wickspring.core.invariants import holds
+from wickspring.core.invariants import check_invariant
 
 
 class Ballot(NamedTuple):
@@ -137,13 +137,13 @@
 
     def accept(self, slot: int, ballot: Ballot, value: Value) -> None:
         """Accept a value."""
-        holds(value.state.config.complete, "a view can start with the state that is accepted")
+        check_invariant(value.state.config.complete, "a view can start with the state that is accepted")
         self._raise_promise(slot, ballot, "nothing is accepted below a promise")
         self.accepted_slot = slot
         self.accepted = AcceptedValue(ballot, value)
 
     def _raise_promise(self, slot: int, ballot: Ballot, invariant: str) -> None:
-        holds((self.promised_slot, self.promised_ballot) <= (slot, ballot), invariant)
+        check_invariant((self.promised_slot, self.promised_ballot) <= (slot, ballot), invariant)
         self.promised_slot = slot
         self.promised_ballot = ballot
 
--- a/wickspring/controlplane/replication/replica.py
+++ b/wickspring/controlplane/replication/replica.py
@@ -23,7 +23,7 @@
 from typing import Any, Self
 
 from wickspring.common.digest import DIGEST_SIZE, digest_of
-from wickspring.core.invariants import holds
+from wickspring.core.invariants import check_invariant
 
 MAX_HISTORY = 512  # versions before the present one whose digests are kept
 MAX_DEPARTURES = 4096  # departing endpoints that are remembered
@@ -85,7 +85,7 @@
 
     def successor(self, version: int, document: bytes, epoch: int) -> Config:
         """Return the configuration that an update with a higher version makes."""
-        holds(version > self.version, "versions only rise within an epoch")
+        check_invariant(version > self.version, "versions only rise within an epoch")
         history = self.history
         if self.version:
             history = (*history, (self.version, self.digest))
@@ -166,7 +166,7 @@
     def adopt_config(self, other: Config) -> bool:
         """Adopt a configuration of higher rank; True where that changed this replica."""
         if other.rank == self.config.rank:
-            holds(other.digest == self.config.digest, "one epoch and version is one text")
+            check_invariant(other.digest == self.config.digest, "one epoch and version is one text")
         if other.rank <= self.config.rank or not other.complete:
             return False
         self.config = other
--- a/wickspring/controlplane/replication/update_passing.py
+++ b/wickspring/controlplane/replication/update_passing.py
@@ -17,7 +17,7 @@
 from wickspring.controlplane.replication.messages import Pass, Passed
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import Member
-from wickspring.core.invariants import holds
+from wickspring.core.invariants import check_invariant
 
 if TYPE_CHECKING:
     from wickspring.controlplane.replication.chain import ReplicationChain
@@ -100,7 +100,7 @@
         fresh = [pending for pending in self.pending.values() if pending.sequence == NO_PASS]
         if chain.frozen or self.passing is not None or not fresh:
             return
-        holds(chain.replica.config.epoch == chain.view.epoch, "a head holds the state of its view")
+        check_invariant(chain.replica.config.epoch == chain.view.epoch, "a head holds the state of its view")
         self.sequence += 1
         for pending in fresh:
             chain.dirty |= chain.replica.apply(pending.update, chain.view.epoch)
--- a/wickspring/controlplane/replication/view_change.py
+++ b/wickspring/controlplane/replication/view_change.py
@@ -27,7 +27,7 @@
 from wickspring.controlplane.replication.next_view import differs, next_view
 from wickspring.controlplane.replication.paxos import Ballot, Proposal, Value
 from wickspring.controlplane.replication.view import Member
-from wickspring.core.invariants import holds
+from wickspring.core.invariants import check_invariant
 
 if TYPE_CHECKING:
     from wickspring.controlplane.replication.chain import ReplicationChain
@@ -144,10 +144,10 @@
             view = next_view(chain.view, observation, chain.tolerance)
             value = Value(view, proposal.state.with_epoch(proposal.slot))
         proposal.value = value
-        holds(
+        check_invariant(
             value.view.epoch == proposal.slot == value.state.config.epoch, "a view has the epoch of its state"
         )
-        holds(bool(value.view.chain) and value.state.config.complete, "somebody has the state")
+        check_invariant(bool(value.view.chain) and value.state.config.complete, "somebody has the state")
         for voter in chain.view.voters:
             known_identity = b"" if voter == chain.me else proposal.promises.get(voter, b"")
             state = value.state.abbreviated_for(known_identity)
--- a/wickspring/controlplane/storage_records.py
+++ b/wickspring/controlplane/storage_records.py
@@ -21,7 +21,7 @@
 from wickspring.controlplane.replication.replica import Config, Replica
 from wickspring.controlplane.storage_file import is_refusal
 from wickspring.controlplane.storage_legacy import CorruptStoreError
-from wickspring.core.invariants import holds
+from wickspring.core.invariants import check_invariant
 
 CHECKSUM_SIZE = 16  # bytes
 SEALED_PARTS = ("chain", "accepted", "config", "document")
@@ -91,7 +91,7 @@
 
 def _check_document(config: Config) -> None:
     expected = digest_of(config.document) if config.version else b""
-    if not holds(config.complete and config.digest == expected, "what is saved is complete"):
+    if not check_invariant(config.complete and config.digest == expected, "what is saved is complete"):
         raise ValueError(f"r{config.version} is not complete")
 
 
--- a/wickspring/core/invariants.py
+++ b/wickspring/core/invariants.py
@@ -8,8 +8,12 @@
 """How often each invariant was found broken in this process."""
 
 
-def holds(condition: bool, name: str) -> bool:
-    """Check one invariant; the caller must still do the safe thing where it does not hold."""
+def check_invariant(condition: bool, name: str) -> bool:
+    """Return whether an invariant holds; the caller must do what is safe where it does not.
+
+    Raises:
+        AssertionError: it does not hold, in a debug build. Under `python -O` it is counted in `broken`.
+    """
     assert condition, name
     if not condition:
         broken[name] += 1
--- a/wickspring/core/reducer.py
+++ b/wickspring/core/reducer.py
@@ -27,7 +27,7 @@
     Uploaded,
     Verdict,
 )
-from wickspring.core.invariants import holds
+from wickspring.core.invariants import check_invariant
 from wickspring.policy import Policy
 
 OVERDUE = 10.0  # ms before the deadline at which a request still open is failed by the sweep
@@ -180,7 +180,7 @@
         return pending is not None and not pending.over and attempt in pending.out
 
     def _arrived(self, now: float, request: api.Request, call_id: str) -> api.Request | None:
-        if not holds(request.request not in self.pending, "request number used once"):
+        if not check_invariant(request.request not in self.pending, "request number used once"):
             return None
         kind = self.settings.classes[request.class_index]
         pending = Pending(request, kind, call_id, until=request.deadline)
@@ -249,7 +249,7 @@
                     for number in list(pending.out):
                         self._stop(now, api.Cancel(pending.request.request, number))
                 else:
-                    holds(False, "answered before the deadline")
+                    check_invariant(False, "answered before the deadline")
                 self._answer(pending, Verdict.FAILED)
                 self._queue.append(api.Withdrawn(pending.request.request))
 
@@ -262,7 +262,9 @@
             pending = self.pending.get(action.request)
             if pending is None or pending.over:
                 return
-            if isinstance(action, api.Refuse) and holds(pending.may_refuse(), "refusal of what never ran"):
+            if isinstance(action, api.Refuse) and check_invariant(
+                pending.may_refuse(), "refusal of what never ran"
+            ):
                 self._answer(pending, Verdict.REFUSED, action.retry_after)
             else:
                 self._answer(pending, Verdict.FAILED)
@@ -284,8 +286,8 @@
             or pending.over
             or number >= self.settings.most_attempts
             or pending.flows
-            or not holds(self._may_repeat(now, pending, entry), "no forbidden copy")
-            or not holds(entry.readiness is api.Readiness.READY, "nothing new to a draining server")
+            or not check_invariant(self._may_repeat(now, pending, entry), "no forbidden copy")
+            or not check_invariant(entry.readiness is api.Readiness.READY, "nothing new to a draining server")
         ):
             moot, over = api.Status.MOOT, pending.over
             self._queue.append(api.Outcome(send.request, number, send.server, moot, over, 0.0, (), 0.0, 0))
@@ -332,7 +334,7 @@
     def _answer(
         self, pending: Pending, verdict: Verdict, retry_after: float = 0.0, body: bytes = b""
     ) -> None:
-        if holds(not pending.over, "one final answer"):
+        if check_invariant(not pending.over, "one final answer"):
             self._close(pending, verdict.value)
             self._effects.append(Answer(pending.request.request, verdict, retry_after, body))
 
--- a/wickspring/dataplane/policy/attempts.py
+++ b/wickspring/dataplane/policy/attempts.py
@@ -12,7 +12,7 @@
 
 from wickspring.common.errors import ErrorKind
 from wickspring.common.routing_table import Route
-from wickspring.core.invariants import holds
+from wickspring.core.invariants import check_invariant
 
 FINAL_RESPONSE_MARGIN_MS = 12.0  # before a client's deadline, at which the final response is sent
 MIN_ATTEMPT_MS = 25.0  # that must be left before the deadline for a further attempt to be of use
@@ -62,15 +62,15 @@
     def start(self, endpoint_id: str) -> None:
         """Record an attempt as sent."""
         repeatable = self.route.pure or (self.not_executed and self.in_flight == 0)
-        holds(repeatable, "what may run once is out once")
-        holds(not self.body_streamed, "a body that is not held goes out once")
+        check_invariant(repeatable, "what may run once is out once")
+        check_invariant(not self.body_streamed, "a body that is not held goes out once")
         self.tried.add(endpoint_id)
         self.in_flight += 1
         self.sent += 1
 
     def finish(self, outcome: AttemptOutcome) -> None:
         """Record how an attempt ended."""
-        holds(self.in_flight > 0, "a try ends once")
+        check_invariant(self.in_flight > 0, "a try ends once")
         self.in_flight -= 1
         self.not_executed = self.not_executed and outcome.not_executed
         self.timed_out = self.timed_out or outcome is AttemptOutcome.TIMED_OUT
--- a/wickspring/dataplane/request/response.py
+++ b/wickspring/dataplane/request/response.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind
-from wickspring.core.invariants import holds
+from wickspring.core.invariants import check_invariant
 from wickspring.dataplane.request.model import Request, RequestContext
 from wickspring.dataplane.upstream import SEAL_HEADER, BufferedResponse, ResponseHead, end_to_end_headers
 from wickspring.net.calls import Client, retry_after
@@ -37,7 +37,7 @@
     def write(self, data: bytes) -> None:
         """Pass a part of the body on."""
         waits = self.client.number == self.request.number
-        if self._is_current() and holds(waits, "whom an answer is passed on to waits for it"):
+        if self._is_current() and check_invariant(waits, "whom an answer is passed on to waits for it"):
             self.client.write(data)
 
     async def room(self) -> bool:
@@ -62,7 +62,7 @@
         self._finish(request)
         self._context.event_counts["answered"] += 1
         sealed = any(name == SEAL_HEADER and value for name, value in response.pairs)
-        holds(sealed or not 200 <= response.code < 300, "a success bears its seal")
+        check_invariant(sealed or not 200 <= response.code < 300, "a success bears its seal")
         if isinstance(client, Http1Connection):
             client.answer(response.code, "", response.body, end_to_end_headers(response.pairs))
 
@@ -119,7 +119,7 @@
         attempts = request.attempts
         not_executed = attempts.not_executed and attempts.in_flight == 0
         truthful = not_executed or ERROR_RESPONSES[kind].status not in NOT_EXECUTED_STATUSES
-        if not holds(truthful, "what may have run is not refused"):
+        if not check_invariant(truthful, "what may have run is not refused"):
             kind = ErrorKind.MAY_HAVE_RUN
         client = request.waiting_client()
         self._finish(request)
--- a/wickspring/dataplane/upstream.py
+++ b/wickspring/dataplane/upstream.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from wickspring.core.invariants import holds
+from wickspring.core.invariants import check_invariant
 from wickspring.interface import Status
 from wickspring.net.upstream.carrier import Job, Reply, Sink
 from wickspring.net.upstream.http1 import AnswerReader, Http1Link
@@ -137,7 +137,7 @@
 
     def begin(self, job: Job) -> None:
         """Write the job; nothing is left over of what came before."""
-        holds(not self.reader.http.trailing_data[0], "no bytes are left over for the next request")
+        check_invariant(not self.reader.http.trailing_data[0], "no bytes are left over for the next request")
         if self.link is not None:
             self._taken_before = self.link.taken
         super().begin(job)
