--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -69,7 +69,9 @@
     front = Core()
     assert front.request(send(0)) == [core.StartAttempt(1, 0, S[0], 4000.0)]
     front.now += 50
-    assert front.feed(ended(Status.OK, body=b"x")) == [core.Answer(1, core.Verdict.SERVED, 0.0, b"x")]
+    assert front.feed(ended(Status.OK, body=b"x")) == [
+        core.SendResponse(1, core.ResponseKind.SERVED, 0.0, b"x")
+    ]
     outcome = front.told[-1]
     assert isinstance(outcome, api.Outcome)
     assert (outcome.over, outcome.elapsed, outcome.server) == (True, 50.0, S[0])
@@ -82,7 +84,7 @@
     front.request(send(0), send(1), api.Refuse(1, 5.0))
     assert front.feed(ended(Status.OK), [api.Fail(1), api.Refuse(1, 1.0)]) == []
     assert front.feed(ended(Status.OK, 1)) == []
-    assert front.reducer.tally["refused"] == 1
+    assert front.reducer.counters["refused"] == 1
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED])
@@ -90,7 +92,7 @@
     front = Core(effect=Effect.UNSAFE)
     front.request(send(0))
     effects = front.feed(ended(status), [send(1)], [api.Refuse(1, 5.0)])
-    assert effects == [core.Answer(1, core.Verdict.FAILED)]
+    assert effects == [core.SendResponse(1, core.ResponseKind.FAILED)]
     assert set(invariants.broken) == {"no forbidden copy", "refusal of what never ran"}
     moot = front.told[-1]
     assert isinstance(moot, api.Outcome)
@@ -160,30 +162,30 @@
     assert front.feed(api.Withdrawn(1), [api.Cancel(1, 0)]) == [core.StopAttempt(1, 0)]
     assert front.feed(api.Withdrawn(1), [api.Fail(1)]) == []
     assert front.reducer.pending == {}
-    assert front.reducer.tally == {"taken": 1, "attempts": 1, "withdrawn": 1}
+    assert front.reducer.counters == {"taken": 1, "attempts": 1, "withdrawn": 1}
 
 
 def test_unsafe_request_sent_again_under_its_id_does_not_run_twice() -> None:
     front = Core(effect=Effect.UNSAFE)
-    front.feed(core.Arrived(api.Request(1, 0, 0, 7, 4000.0, 1.0, 2, 0), "id"), [send(0)])
+    front.feed(core.RequestArrived(api.Request(1, 0, 0, 7, 4000.0, 1.0, 2, 0), "id"), [send(0)])
     front.feed(api.Withdrawn(1), [api.Cancel(1, 0)])
     told = len(front.told)
-    again = core.Arrived(api.Request(2, 0, 0, 7, 4000.0, 1.0, 2, 0), "id")
-    assert front.feed(again, [api.Send(2, S[1], 0.0)]) == [core.Answer(2, core.Verdict.FAILED)]
+    again = core.RequestArrived(api.Request(2, 0, 0, 7, 4000.0, 1.0, 2, 0), "id")
+    assert front.feed(again, [api.Send(2, S[1], 0.0)]) == [core.SendResponse(2, core.ResponseKind.FAILED)]
     assert len(front.told) == told  # it takes nothing from the quota either
     front.now += 10_000
-    front.feed(core.Sweep())
-    late = core.Arrived(api.Request(3, 0, 0, 7, 20_000.0, 1.0, 2, 0), "id")
+    front.feed(core.SweepDue())
+    late = core.RequestArrived(api.Request(3, 0, 0, 7, 20_000.0, 1.0, 2, 0), "id")
     assert front.feed(late, [api.Send(3, S[1], 0.0)]) == [core.StartAttempt(3, 0, S[1], 20_000.0)]
 
 
 def test_sweep_fails_what_the_module_forgot() -> None:
     front = Core()
     front.request()
-    assert front.feed(core.Sweep()) == []
+    assert front.feed(core.SweepDue()) == []
     front.now = 4000.0 - OVERDUE + 1
-    assert front.feed(core.Sweep()) == [core.Answer(1, core.Verdict.FAILED)]
-    assert front.feed(core.Sweep()) == []
+    assert front.feed(core.SweepDue()) == [core.SendResponse(1, core.ResponseKind.FAILED)]
+    assert front.feed(core.SweepDue()) == []
     assert invariants.broken["answered before the deadline"] == 1
 
 
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -328,16 +328,18 @@
 def test_the_state_goes_over_whole() -> None:
     old, new = reducer(), reducer()
     for number in range(600):  # more than one message holds
-        old.reduce(1.0, core.Arrived(api.Request(number, 0, 0, number, 4000.0, 1.0, 2, 0), f"id{number}"))
+        old.reduce(
+            1.0, core.RequestArrived(api.Request(number, 0, 0, number, 4000.0, 1.0, 2, 0), f"id{number}")
+        )
     server = next(iter(old.policy.servers.values()))
     server.fails, server.shun_until, server.pace.mean, server.pace.at = 3, 99.0, 0.7, 5.0
-    parts = list(succession.tell(old))
+    parts = list(succession.export_state(old))
     assert len(parts) > 2 and [part.last for part in parts] == [False] * (len(parts) - 1) + [True]
     for part in parts:
         sent = handover._decoder.decode(handover._encode(part))
         assert isinstance(sent, succession.State)
         assert len(handover._encode(part)) < handover.MOST_MESSAGE
-        succession.adopt(new, sent)
+        succession.import_state(new, sent)
     assert list(new.policy.accounts) == list(old.policy.accounts)
     for customer, account in new.policy.accounts.items():
         told = old.policy.accounts[customer]
@@ -352,15 +354,15 @@
     old, new = Reducer(settings), Reducer(settings)
     for one in (old, new):
         one.reduce(0.0, listed(1, 2))
-    old.reduce(1.0, core.Arrived(api.Request(1, 0, 0, 7, 4000.0, 1.0, 2, 0), "x"))
-    for part in succession.tell(old):
-        succession.adopt(new, part)
-    effects = new.reduce(2.0, core.Arrived(api.Request(5, 0, 0, 7, 4000.0, 1.0, 2, 0), "x"))
-    assert [type(effect) for effect in effects] == [core.Answer]
-    assert not new.tally["attempts"]
-    later = new.reduce(9000.0, core.Sweep())
+    old.reduce(1.0, core.RequestArrived(api.Request(1, 0, 0, 7, 4000.0, 1.0, 2, 0), "x"))
+    for part in succession.export_state(old):
+        succession.import_state(new, part)
+    effects = new.reduce(2.0, core.RequestArrived(api.Request(5, 0, 0, 7, 4000.0, 1.0, 2, 0), "x"))
+    assert [type(effect) for effect in effects] == [core.SendResponse]
+    assert not new.counters["attempts"]
+    later = new.reduce(9000.0, core.SweepDue())
     assert not later
-    effects = new.reduce(9001.0, core.Arrived(api.Request(6, 0, 0, 7, 12000.0, 1.0, 2, 0), "x"))
+    effects = new.reduce(9001.0, core.RequestArrived(api.Request(6, 0, 0, 7, 12000.0, 1.0, 2, 0), "x"))
     assert core.StartAttempt in [type(effect) for effect in effects]
 
 
@@ -369,8 +371,8 @@
     name = Gateway.entry(1).server
     old.policy.servers[name].fails = 4
     new.reduce(3.0, listed(1, kind=api.ListKind.CHANGES, started_at=2.0))
-    for part in succession.tell(old):
-        succession.adopt(new, part)
+    for part in succession.export_state(old):
+        succession.import_state(new, part)
     assert new.policy.servers[name].fails == 0
 
 
--- a/tests/net/test_http1.py
+++ b/tests/net/test_http1.py
@@ -177,7 +177,7 @@
                 await trio.sleep(0.005)
             await client.stream.aclose()
             await here.owed_none()
-            assert here.runtime.reducer.tally["withdrawn"] == 1
+            assert here.runtime.reducer.counters["withdrawn"] == 1
             assert here.tally_adds_up()
 
     run(main)
--- a/tests/net/test_http2.py
+++ b/tests/net/test_http2.py
@@ -70,7 +70,7 @@
                 await trio.sleep(0.005)
             client.http.reset_stream(doomed, ErrorCodes.CANCEL)
             await client.flush()
-            while not here.runtime.reducer.tally["withdrawn"]:
+            while not here.runtime.reducer.counters["withdrawn"]:
                 await trio.sleep(0.005)
             gate.set()
             for stream in others:
@@ -83,7 +83,7 @@
             assert runs["slow-doomed"] == 1
             assert set(runs.values()) == {1}
             assert doomed not in client.ended
-            tally = here.runtime.reducer.tally
+            tally = here.runtime.reducer.counters
             assert (tally["served"], tally["withdrawn"], tally["failed"]) == (6, 1, 1)
             assert here.tally_adds_up()
 
--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -122,7 +122,7 @@
             assert got.startswith(b"HTTP/1.1 200")
             assert len(here.servers[0].seen) == 1
             await here.owed_none()
-            assert here.runtime.reducer.tally["failed"] == 1 and here.tally_adds_up()
+            assert here.runtime.reducer.counters["failed"] == 1 and here.tally_adds_up()
 
     run(main)
 
@@ -318,7 +318,7 @@
         api.ServerEntry(b"b", 0, 0, api.Readiness.READY, 1.0, 0.0),
     ]
     one.reduce(0.0, api.ServerList(api.ListKind.COMPLETE, tuple(entries)))
-    effects = one.reduce(1.0, core.Arrived(api.Request(1, 0, 0, 7, 4000.0, 1.0, 2, 0), "x"))
+    effects = one.reduce(1.0, core.RequestArrived(api.Request(1, 0, 0, 7, 4000.0, 1.0, 2, 0), "x"))
     (start,) = [effect for effect in effects if isinstance(effect, core.StartAttempt)]
     return one, start
 
@@ -334,37 +334,39 @@
 @pytest.mark.parametrize(
     ("kind", "status", "verdict"),
     [
-        (api.Effect.UNSAFE, api.Status.CONNECT_FAILED, core.Verdict.REFUSED),
-        (api.Effect.UNSAFE, api.Status.RESET, core.Verdict.FAILED),
-        (api.Effect.SAFE, api.Status.RESET, core.Verdict.REFUSED),
-        (api.Effect.KEYED, api.Status.FULL, core.Verdict.REFUSED),
+        (api.Effect.UNSAFE, api.Status.CONNECT_FAILED, core.ResponseKind.REFUSED),
+        (api.Effect.UNSAFE, api.Status.RESET, core.ResponseKind.FAILED),
+        (api.Effect.SAFE, api.Status.RESET, core.ResponseKind.REFUSED),
+        (api.Effect.KEYED, api.Status.FULL, core.ResponseKind.REFUSED),
     ],
 )
-def test_one_that_took_more_is_the_last(kind: api.Effect, status: api.Status, verdict: core.Verdict) -> None:
+def test_one_that_took_more_is_the_last(
+    kind: api.Effect, status: api.Status, verdict: core.ResponseKind
+) -> None:
     one, start = flowing(kind)
-    one.reduce(2.0, core.Flowing(1, start.attempt))
-    assert not [e for e in one.reduce(3000.0, core.Sweep()) if isinstance(e, core.Answer)]
+    one.reduce(2.0, core.RequestBodyCommitted(1, start.attempt))
+    assert not [e for e in one.reduce(3000.0, core.SweepDue()) if isinstance(e, core.SendResponse)]
     effects = one.reduce(9000.0, core.AttemptEnded(1, start.attempt, status))  # no deadline while it flows
-    (answer,) = [effect for effect in effects if isinstance(effect, core.Answer)]
-    assert answer.verdict is verdict
+    (answer,) = [effect for effect in effects if isinstance(effect, core.SendResponse)]
+    assert answer.kind is verdict
     assert not [effect for effect in effects if isinstance(effect, core.StartAttempt)]
 
 
 def test_a_long_body_has_its_time_from_its_last_byte() -> None:
     one, start = flowing(api.Effect.UNSAFE)
-    one.reduce(2.0, core.Flowing(1, start.attempt))
-    one.reduce(9000.0, core.Uploaded(1, 12_000.0))
-    assert not one.reduce(11_000.0, core.Sweep())
-    kinds = [type(effect) for effect in one.reduce(11_995.0, core.Sweep())]
-    assert kinds == [core.StopAttempt, core.Answer]
+    one.reduce(2.0, core.RequestBodyCommitted(1, start.attempt))
+    one.reduce(9000.0, core.RequestBodySent(1, 12_000.0))
+    assert not one.reduce(11_000.0, core.SweepDue())
+    kinds = [type(effect) for effect in one.reduce(11_995.0, core.SweepDue())]
+    assert kinds == [core.StopAttempt, core.SendResponse]
 
 
 def test_only_one_of_two_answers_is_passed_on() -> None:
     one, start = flowing(api.Effect.SAFE)
     pending = one.pending[1]
     pending.out[7] = pending.out[start.attempt]
-    first = one.reduce(2.0, core.Begun(1, 7))
-    assert core.PassOn(1, 7) in first and core.StopAttempt(1, start.attempt) in first
-    assert not one.reduce(3.0, core.Begun(1, start.attempt))
+    first = one.reduce(2.0, core.ResponseStreamReady(1, 7))
+    assert core.StartStreamedResponse(1, 7) in first and core.StopAttempt(1, start.attempt) in first
+    assert not one.reduce(3.0, core.ResponseStreamReady(1, start.attempt))
     ended = one.reduce(9000.0, core.AttemptEnded(1, 7, api.Status.OK))
-    assert ended == [core.EndAnswer(1, True)] and one.tally["served"] == 1
+    assert ended == [core.EndStreamedResponse(1, True)] and one.counters["served"] == 1
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -372,16 +372,16 @@
     policy, send = out[0]
     policy.handle(3.0, api.Outcome(send.request, 0, send.server, api.Status.OK, True, 1.0, (), 0.0, 0))
     index = policies.index(policy)
-    assert [one.free(4.0, "cap 0 7 0 2") for one in held] == [index == 0, index == 1]
+    assert [one.may_take(4.0, "cap 0 7 0 2") for one in held] == [index == 0, index == 1]
 
 
 def test_with_counts_off_nothing_is_told_and_nobody_s_silence_is_taken_for_a_word() -> None:
     for tells in (True, False):
         one = Shares(make_settings(gateways=2), Bounds(), 0.0, -60_000.0, 1, tells)
-        one.sent_on(7, 3, 2.0, 1000.0, 0, 2)
+        one.record_usage(7, 3, 2.0, 1000.0, 0, 2)
         one.on_messages(10.0, "b", 1, 1.0, ShareMessages())
         assert bool(one.messages_to(11.0, "b", 1).sums) is tells
-        assert one.hears(12.0, 0, 2) is tells
+        assert one.receives_all_counts(12.0, 0, 2) is tells
         assert one.peer_slots(12.0) == [1] * tells
 
 
--- a/tests/routing/test_silence.py
+++ b/tests/routing/test_silence.py
@@ -124,7 +124,7 @@
 
 def test_what_waits_for_room_goes_by_worth_and_the_rest_is_refused(gateway: Build) -> None:
     # In a lost room's seconds a third of the requests found none; the cheapest went as often as the dearest.
-    kinds = (replace(KIND, worth=1.0), replace(KIND, worth=3.0))
+    kinds = (replace(KIND, value=1.0), replace(KIND, value=3.0))
     front = gateway(servers=1, gateways=1, plan=ROOMY, classes=kinds, may_probe=False)
     sends: list[api.Send] = []
     while len(sends) < 40:
--- a/tests/support/ingress.py
+++ b/tests/support/ingress.py
@@ -62,7 +62,7 @@
 
     def tally_adds_up(self) -> bool:
         """Check that every request taken has had exactly one end."""
-        tally, ends = self.runtime.reducer.tally, ("served", "refused", "failed", "withdrawn", "rejected")
+        tally, ends = self.runtime.reducer.counters, ("served", "refused", "failed", "withdrawn", "rejected")
         return tally["taken"] == sum(tally[end] for end in ends)
 
 
--- a/tests/support/policy_gateway.py
+++ b/tests/support/policy_gateway.py
@@ -18,17 +18,17 @@
     ceiling_burst=0.0,
     ceiling_slack=0.0,
     price=1.0,
-    over_worth=0.0,
-    over_cost=1.0,
+    over_quota_value=0.0,
+    over_quota_cost=1.0,
 )
 KIND = api.ClassSettings(
     effect=api.Effect.SAFE,
     group=api.Group.ALL,
     repeat_window=5000.0,
-    aim=1000.0,
+    target_latency=1000.0,
     deadline=4000.0,
-    worth=1.0,
-    late_worth=0.0,
+    value=1.0,
+    late_value=0.0,
     stream=False,
 )
 
--- a/wickspring/config.py
+++ b/wickspring/config.py
@@ -268,10 +268,10 @@
         effect=get.effect(f"{at}.Effect"),
         group=get.group(f"{at}.Group"),
         repeat_window=get.number(f"{at}.Window"),
-        aim=get.number(f"{at}.Promise", least=0.001),
+        target_latency=get.number(f"{at}.Promise", least=0.001),
         deadline=get.number(f"{at}.Deadline"),
-        worth=get.number(f"{at}.Worth"),
-        late_worth=get.number(f"{at}.LateWorth"),
+        value=get.number(f"{at}.Worth"),
+        late_value=get.number(f"{at}.LateWorth"),
         stream=get.flag(f"{at}.Stream"),
         name=get.pairs.get(f"{at}.Name", ""),
     )
@@ -286,8 +286,8 @@
         ceiling_burst=get.number(f"{at}.NeverOverDepth"),
         ceiling_slack=get.number(f"{at}.HardSlack"),
         price=get.number(f"{at}.WorthFactor"),
-        over_worth=get.number(f"{at}.ExtraWorth"),
-        over_cost=get.number(f"{at}.OverCost"),
+        over_quota_value=get.number(f"{at}.ExtraWorth"),
+        over_quota_cost=get.number(f"{at}.OverCost"),
         name=get.pairs.get(f"{at}.Name", ""),
     )
 
--- a/wickspring/connections/pools.py
+++ b/wickspring/connections/pools.py
@@ -174,9 +174,9 @@
         idle_close: float,
         look: Look,
         seed: int,
-        shared: api.Shared | None = None,
+        shared: api.PeerState | None = None,
     ) -> None:
-        self.shared = shared or api.Shared()  # with the other gateways: dials at one server
+        self.shared = shared or api.PeerState()  # with the other gateways: dials at one server
         self.limits, self.idle_close, self.look = limits, idle_close, look
         self.random = Random(seed)
         self.hazards = Hazards()
@@ -536,7 +536,7 @@
             return False
         full = pool.dialing >= at_once or self.dialing >= self.window.size
         held = full or not pool.bucket.has(now) or not self._bucket.has(now)
-        held = held or not self.shared.free(now, pool.dials)
+        held = held or not self.shared.may_take(now, pool.dials)
         self.tally["dials_held"] += held
         return not held
 
--- a/wickspring/core/effects.py
+++ b/wickspring/core/effects.py
@@ -11,7 +11,7 @@
 from wickspring import interface as api
 
 
-class Verdict(Enum):
+class ResponseKind(Enum):
     """The kinds of final answer."""
 
     SERVED = "served"
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Arrived:
+class RequestArrived:
     """A client's request, with the id that the client gave it."""
 
     request: api.Request
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Flowing:
+class RequestBodyCommitted:
     """An attempt is about to take what is not held of a body: no other can follow it."""
 
     request: int
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Uploaded:
+class RequestBodySent:
     """The last byte of a long body has come and is written; the client's time runs from here."""
 
     request: int
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Begun:
+class ResponseStreamReady:
     """A good answer longer than what is held has come as far as that."""
 
     request: int
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Sweep:
+class SweepDue:
     """Time to look for requests that were not answered before their deadline."""
 
 
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PassOn:
+class StartStreamedResponse:
     """Begin the final answer with what has come of an attempt's, and pass on the rest as it comes."""
 
     request: int
@@ -97,30 +97,38 @@
 
 
 @dataclass(slots=True, frozen=True)
-class EndAnswer:
+class EndStreamedResponse:
     """The answer that was passed on has ended, whole or not; the client must see which."""
 
     request: int
-    whole: bool
+    complete: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class SendResponse:
     """Give the client its final answer."""
 
     request: int
-    verdict: Verdict
+    kind: ResponseKind
     retry_after: float = 0.0
     body: bytes = b""
 
 
-Event = api.Event | Arrived | Flowing | Uploaded | Begun | AttemptEnded | Sweep
+Event = (
+    api.Event
+    | RequestArrived
+    | RequestBodyCommitted
+    | RequestBodySent
+    | ResponseStreamReady
+    | AttemptEnded
+    | SweepDue
+)
 Effect = (
     StartAttempt
     | StopAttempt
-    | PassOn
-    | EndAnswer
-    | Answer
+    | StartStreamedResponse
+    | EndStreamedResponse
+    | SendResponse
     | api.SetTimer
     | api.Probe
     | api.Count
--- a/wickspring/core/reducer.py
+++ b/wickspring/core/reducer.py
@@ -12,20 +12,20 @@
 
 from wickspring import interface as api
 from wickspring.core.effects import (
-    Answer,
-    Arrived,
     AttemptEnded,
-    Begun,
     Effect,
-    EndAnswer,
+    EndStreamedResponse,
     Event,
-    Flowing,
-    PassOn,
+    RequestArrived,
+    RequestBodyCommitted,
+    RequestBodySent,
+    ResponseKind,
+    ResponseStreamReady,
+    SendResponse,
     StartAttempt,
+    StartStreamedResponse,
     StopAttempt,
-    Sweep,
-    Uploaded,
-    Verdict,
+    SweepDue,
 )
 from wickspring.core.invariants import check_invariant
 from wickspring.policy import Policy
@@ -72,12 +72,12 @@
 class Reducer:
     """State of one ingress; feed it events, carry out what it returns, in order."""
 
-    def __init__(self, settings: api.Settings, shared: api.Shared | None = None) -> None:
+    def __init__(self, settings: api.Settings, shared: api.PeerState | None = None) -> None:
         self.settings = settings
         self.policy = Policy(settings, shared)
         self.pending: dict[int, Pending] = {}
         self.entries: dict[api.ServerId, api.ServerEntry] = {}
-        self.tally: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
         self._open: dict[str, int] = {}  # call ids of pending requests
         self._unsafe: dict[str, float] = {}  # call ids that may have run and must not again, until when
         self._elsewhere: dict[str, float] = {}  # call ids under way at the process before this, until when
@@ -88,7 +88,7 @@
         """Take one event in and return the effects that it asks for."""
         effects: list[Effect] = []
         self._effects = effects
-        if isinstance(event, Sweep):
+        if isinstance(event, SweepDue):
             self._sweep(now)
         else:
             noted = self._note(now, event)
@@ -129,19 +129,26 @@
     # Events: note what the rules hang on, then let the module decide.
 
     def _note(
-        self, now: float, event: api.Event | Arrived | Flowing | Uploaded | Begun | AttemptEnded
+        self,
+        now: float,
+        event: api.Event
+        | RequestArrived
+        | RequestBodyCommitted
+        | RequestBodySent
+        | ResponseStreamReady
+        | AttemptEnded,
     ) -> api.Event | None:
         if isinstance(event, AttemptEnded):
             return self._ended(now, event)
-        if isinstance(event, Flowing | Begun):
+        if isinstance(event, RequestBodyCommitted | ResponseStreamReady):
             return self._streams(now, event)
-        if isinstance(event, Uploaded):
+        if isinstance(event, RequestBodySent):
             held = self.pending.get(event.request)
             if held is not None:
                 held.until = math.inf if held.passes is not None else event.deadline
                 held.whole_at = now
             return None
-        if isinstance(event, Arrived):
+        if isinstance(event, RequestArrived):
             return self._arrived(now, event.request, event.call_id)
         if isinstance(event, api.Request):
             return self._arrived(now, event, "")
@@ -157,7 +164,9 @@
             self._list(event)
         return event
 
-    def _streams(self, now: float, event: Flowing | Begun) -> api.StreamStarted | None:
+    def _streams(
+        self, now: float, event: RequestBodyCommitted | ResponseStreamReady
+    ) -> api.StreamStarted | None:
         """Give a request over to one attempt: the others stop, and the module leaves it alone."""
         pending = self.pending.get(event.request)
         if pending is None or pending.over or event.attempt not in pending.out or pending.passes is not None:
@@ -166,11 +175,11 @@
         for number in [number for number in pending.out if number != event.attempt]:
             self._stop(now, api.Cancel(event.request, number))
         pending.until = math.inf
-        if isinstance(event, Flowing):
+        if isinstance(event, RequestBodyCommitted):
             pending.flows = True
         else:
             pending.passes, pending.passes_from = event.attempt, now
-            self._effects.append(PassOn(event.request, event.attempt))
+            self._effects.append(StartStreamedResponse(event.request, event.attempt))
         server = pending.out[event.attempt].entry.server
         return api.StreamStarted(event.request, event.attempt, server) if first else None
 
@@ -185,19 +194,19 @@
         kind = self.settings.classes[request.class_index]
         pending = Pending(request, kind, call_id, until=request.deadline)
         self.pending[request.request] = pending
-        self.tally["taken"] += 1
+        self.counters["taken"] += 1
         if call_id in self._open or self._elsewhere.get(call_id, 0.0) > now:
             # Whoever says another's id: what was asked first goes on unharmed, and ticket servers, which know
             # requests by their ids, never see two under one.
-            self._answer(pending, Verdict.REJECTED)
+            self._answer(pending, ResponseKind.REJECTED)
             return None
         if call_id:
             self._open[call_id] = request.request
         if call_id in self._unsafe:
             # Every try of a client has an id of its own, so this is one request sent again on its way here,
             # as HTTP/2 libraries do after a reset. The first may have run, though nobody waits for it now.
-            self.tally["sent_again"] += 1
-            self._answer(pending, Verdict.FAILED)
+            self.counters["sent_again"] += 1
+            self._answer(pending, ResponseKind.FAILED)
             return None
         return request
 
@@ -220,9 +229,9 @@
         if pending.passes == event.attempt and not pending.over:
             whole = event.status is api.Status.OK
             self._close(pending, "served" if whole else "failed")
-            self._effects.append(EndAnswer(event.request, whole))
+            self._effects.append(EndStreamedResponse(event.request, whole))
         elif event.status is api.Status.OK and not pending.over:
-            self._answer(pending, Verdict.SERVED, body=event.body)
+            self._answer(pending, ResponseKind.SERVED, body=event.body)
         over = pending.over
         self._forget(pending)
         return api.Outcome(
@@ -250,7 +259,7 @@
                         self._stop(now, api.Cancel(pending.request.request, number))
                 else:
                     check_invariant(False, "answered before the deadline")
-                self._answer(pending, Verdict.FAILED)
+                self._answer(pending, ResponseKind.FAILED)
                 self._queue.append(api.Withdrawn(pending.request.request))
 
     # Actions of the module.
@@ -265,9 +274,9 @@
             if isinstance(action, api.Refuse) and check_invariant(
                 pending.may_refuse(), "refusal of what never ran"
             ):
-                self._answer(pending, Verdict.REFUSED, action.retry_after)
+                self._answer(pending, ResponseKind.REFUSED, action.retry_after)
             else:
-                self._answer(pending, Verdict.FAILED)
+                self._answer(pending, ResponseKind.FAILED)
             self._forget(pending)
         elif isinstance(action, api.Cancel):
             self._stop(now, action)
@@ -293,7 +302,7 @@
             self._queue.append(api.Outcome(send.request, number, send.server, moot, over, 0.0, (), 0.0, 0))
             return
         pending.out[number] = Attempt(entry, now)
-        self.tally["attempts"] += 1
+        self.counters["attempts"] += 1
         if pending.kind.effect is api.Effect.UNSAFE and pending.call_id:
             self._unsafe[pending.call_id] = max(pending.request.deadline, now + pending.kind.deadline)
         until = pending.request.deadline
@@ -332,15 +341,15 @@
     # Ends.
 
     def _answer(
-        self, pending: Pending, verdict: Verdict, retry_after: float = 0.0, body: bytes = b""
+        self, pending: Pending, kind: ResponseKind, retry_after: float = 0.0, body: bytes = b""
     ) -> None:
         if check_invariant(not pending.over, "one final answer"):
-            self._close(pending, verdict.value)
-            self._effects.append(Answer(pending.request.request, verdict, retry_after, body))
+            self._close(pending, kind.value)
+            self._effects.append(SendResponse(pending.request.request, kind, retry_after, body))
 
     def _close(self, pending: Pending, word: str) -> None:
         pending.over = True
-        self.tally[word] += 1
+        self.counters[word] += 1
         self._forget(pending)
 
     def _forget(self, pending: Pending) -> None:
--- a/wickspring/core/succession.py
+++ b/wickspring/core/succession.py
@@ -102,26 +102,26 @@
     last: bool = False
 
 
-class Client(msgspec.Struct, tag="client", array_like=True, frozen=True):
+class ClientConnection(msgspec.Struct, tag="client", array_like=True, frozen=True):
     """A client's connection, which comes with it, and what has been read of its next request."""
 
     ahead: bytes = b""
 
 
-class Moved(msgspec.Struct, tag="moved", array_like=True, frozen=True):
+class MaintenanceChanged(msgspec.Struct, tag="moved", array_like=True, frozen=True):
     """A ticket server has been taken out, or put back at a time."""
 
     server: bytes
     back: float | None = None
 
 
-class Held(msgspec.Struct, tag="held", array_like=True, frozen=True):
+class DescriptorsHeld(msgspec.Struct, tag="held", array_like=True, frozen=True):
     """How many descriptors the old process still holds."""
 
     descriptors: int
 
 
-Message = Hello | Welcome | Serving | State | Client | Moved | Held
+Message = Hello | Welcome | Serving | State | ClientConnection | MaintenanceChanged | DescriptorsHeld
 
 
 def _plans(policy: Policy) -> dict[int, int]:
@@ -149,7 +149,7 @@
     )
 
 
-def tell(reducer: Reducer) -> Iterator[State]:
+def export_state(reducer: Reducer) -> Iterator[State]:
     """Return the state in parts; the last one says so."""
     policy = reducer.policy
     plans = _plans(policy)
@@ -189,7 +189,7 @@
     )
 
 
-def adopt(reducer: Reducer, state: State) -> None:
+def import_state(reducer: Reducer, state: State) -> None:
     """Take a part of the old process's state in; what does not fit the settings here is passed over."""
     policy, settings = reducer.policy, reducer.settings
     for told in state.accounts:
--- a/wickspring/interface.py
+++ b/wickspring/interface.py
@@ -70,10 +70,10 @@
     effect: Effect
     group: Group
     repeat_window: float
-    aim: float
+    target_latency: float
     deadline: float
-    worth: float
-    late_worth: float
+    value: float
+    late_value: float
     stream: bool
     name: str = ""
 
@@ -89,8 +89,8 @@
     ceiling_burst: float
     ceiling_slack: float
     price: float
-    over_worth: float
-    over_cost: float
+    over_quota_value: float
+    over_quota_cost: float
     name: str = ""
 
 
@@ -238,10 +238,10 @@
     servers: tuple[tuple[ServerId, float], ...]
 
 
-class Shared:
+class PeerState:
     """What gateways share where they talk (`shared/shares.py`). This one shares and bounds nothing."""
 
-    def free(self, now: float, name: str) -> bool:
+    def may_take(self, now: float, name: str) -> bool:
         """Tell whether a right of a budget may be spent; without a budget of that name it may."""
         return True
 
@@ -252,24 +252,24 @@
     def release(self, now: float, name: str) -> None:
         """Free one whose use is over."""
 
-    def cap(self, request: Request) -> str:
+    def concurrency_budget(self, request: Request) -> str:
         """Name the budget of a customer's attempts out at once; empty where they are not held by rights."""
         return ""
 
-    def sent_on(
+    def record_usage(
         self, customer: int, window: int, units: float, until: float, first: int, spread: int
     ) -> None:
         """Note units sent on in a customer's window, which ends then."""
 
-    def others(self, customer: int, window: int) -> float:
+    def peer_usage(self, customer: int, window: int) -> float:
         """Return the units that others have told to be sent on in a window."""
         return 0.0
 
-    def hears(self, now: float, first: int, spread: int) -> bool:
+    def receives_all_counts(self, now: float, first: int, spread: int) -> bool:
         """Tell whether all the others of a customer's set of gateways have been heard of late."""
         return False
 
-    def judged(self, now: float, server: ServerId, started: float, good: bool) -> None:
+    def record_outcome(self, now: float, server: ServerId, started: float, good: bool) -> None:
         """Note how an attempt at a server ended."""
 
 
--- a/wickspring/lab/simulation/ingress_site.py
+++ b/wickspring/lab/simulation/ingress_site.py
@@ -35,7 +35,7 @@
 SWEEP_MS, POOL_SWEEP_MS, REPORT_MS = 100.0, 250.0, 500.0
 TAIL_MS = 4000.0  # after the last arrival, until all is answered
 UNBOUNDED = 1e6
-STATUS = {core.Verdict.SERVED: 200, core.Verdict.REFUSED: 429, core.Verdict.FAILED: 502}
+STATUS = {core.ResponseKind.SERVED: 200, core.ResponseKind.REFUSED: 429, core.ResponseKind.FAILED: 502}
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
@@ -98,7 +98,7 @@
         self._news: deque[core.Event] = deque()
         self._busy = False
         jitter = site.random.random()
-        site.timeline.every(SWEEP_MS, jitter, lambda: self.dispatch(core.Sweep()))
+        site.timeline.every(SWEEP_MS, jitter, lambda: self.dispatch(core.SweepDue()))
         site.timeline.every(POOL_SWEEP_MS, jitter, lambda: self._perform(self.pools.sweep(self.now)))
 
     @property
@@ -138,13 +138,13 @@
         )
         self.asked[request.request] = asked
         asked.sent = self.site.timeline.now
-        self.dispatch(core.Arrived(request, one.call_id))
+        self.dispatch(core.RequestArrived(request, one.call_id))
 
     def _effect(self, effect: core.Effect) -> None:
         site, timeline = self.site, self.site.timeline
-        if isinstance(effect, core.Answer):
-            body = effect.body if effect.verdict is core.Verdict.SERVED else b""
-            self.asked[effect.request].answers.append((timeline.now, STATUS[effect.verdict], body))
+        if isinstance(effect, core.SendResponse):
+            body = effect.body if effect.kind is core.ResponseKind.SERVED else b""
+            self.asked[effect.request].answers.append((timeline.now, STATUS[effect.kind], body))
         elif isinstance(effect, core.StartAttempt):
             one = self.asked[effect.request].plan
             once = site.scenario.shape.kind[one.kind].effect == "once"
@@ -368,7 +368,7 @@
     tally: Counter[str] = Counter()
     for gateway in site.gateways:
         tally.update(gateway.pools.tally)
-        tally.update(gateway.reducer.tally)
+        tally.update(gateway.reducer.counters)
     result.gateway = {name: float(value) for name, value in tally.items()}
     result.gateway["server_line_most"] = float(max(one.most_waiting for one in site.servers.values()))
     result.instances = len(site.gateways)
--- a/wickspring/lab/simulation/large_peers.py
+++ b/wickspring/lab/simulation/large_peers.py
@@ -151,14 +151,16 @@
         fleet, now = self.fleet, self.fleet.now
         window = int(now / WINDOW_MS)
         until = (window + 1) * WINDOW_MS
-        self.participant.shares.sent_on(firm.customer, window, float(units), until, firm.first, firm.spread)
+        self.participant.shares.record_usage(
+            firm.customer, window, float(units), until, firm.first, firm.spread
+        )
         for attempt in range(3):
             if attempt and not self.participant.shares.take(now, "retries"):
                 break
             fleet.spends += [now] if attempt else []
             server = self._choose(now)
             good = server not in fleet.bad
-            self.participant.shares.judged(now, server, 0.0, good)
+            self.participant.shares.record_outcome(now, server, 0.0, good)
             if good:
                 fleet.served += 1
                 return
--- a/wickspring/net/calls.py
+++ b/wickspring/net/calls.py
@@ -9,7 +9,7 @@
 from urllib.parse import parse_qs
 
 from wickspring import interface as api
-from wickspring.core.effects import Verdict
+from wickspring.core.effects import ResponseKind
 from wickspring.net.sockets import DEFER_S as DEFER_S
 from wickspring.tenants import PlanBook
 
@@ -109,7 +109,12 @@
         """End the answer; one that is not whole must be seen to be so."""
 
 
-STATUS = {Verdict.SERVED: 200, Verdict.REFUSED: 429, Verdict.FAILED: 502, Verdict.REJECTED: 409}
+STATUS = {
+    ResponseKind.SERVED: 200,
+    ResponseKind.REFUSED: 429,
+    ResponseKind.FAILED: 502,
+    ResponseKind.REJECTED: 409,
+}
 
 
 def retry_after(milliseconds: float) -> str:
--- a/wickspring/net/handover.py
+++ b/wickspring/net/handover.py
@@ -231,7 +231,7 @@
                     await channel.send(part)
                 nursery.start_soon(self._give, channel)
                 log.info("succeeded")
-            elif isinstance(message, succession.Moved):
+            elif isinstance(message, succession.MaintenanceChanged):
                 self.ingress.moved(message.server, message.back)
 
     async def _give(self, channel: Channel) -> None:
@@ -239,11 +239,11 @@
         held = -1
         while True:
             if held != (held := self.ingress.holds()):
-                await channel.send(succession.Held(held))
+                await channel.send(succession.DescriptorsHeld(held))
             while self.ingress.gives() and (taken := self.ingress.take_client()) is not None:
                 sock, ahead = taken
                 try:
-                    await channel.send(succession.Client(ahead), sock.fileno())
+                    await channel.send(succession.ClientConnection(ahead), sock.fileno())
                 except HandoverError:
                     self.ingress.adopt_client(sock, ahead)
                     raise
@@ -257,7 +257,7 @@
         """Tell a successor of a server taken out or put back here."""
         if self.channel is not None:
             with suppress(HandoverError):
-                await self.channel.send(succession.Moved(server, back))
+                await self.channel.send(succession.MaintenanceChanged(server, back))
 
 
 class Successor:
@@ -328,15 +328,15 @@
         try:
             while (got := await channel.receive()) is not None:
                 message, socks = got
-                if isinstance(message, succession.Client) and socks:
+                if isinstance(message, succession.ClientConnection) and socks:
                     self.ingress.adopt_client(socks.pop(0), message.ahead)
                 elif isinstance(message, succession.State):
                     self.ingress.adopt(message)
                     if message.last:
                         self._whole.set()
-                elif isinstance(message, succession.Moved):
+                elif isinstance(message, succession.MaintenanceChanged):
                     self.ingress.moved(message.server, message.back)
-                elif isinstance(message, succession.Held):
+                elif isinstance(message, succession.DescriptorsHeld):
                     self.ingress.peer_holds(message.descriptors)
                 for sock in socks:
                     sock.close()
@@ -353,4 +353,4 @@
         """Tell the old process of a server taken out or put back here."""
         if self.channel is not None:
             with suppress(HandoverError):
-                await self.channel.send(succession.Moved(server, back))
+                await self.channel.send(succession.MaintenanceChanged(server, back))
--- a/wickspring/net/runtime.py
+++ b/wickspring/net/runtime.py
@@ -180,7 +180,7 @@
             call.first,
             call.repeat,
         )
-        self.dispatch(core.Arrived(request, call.call_id))
+        self.dispatch(core.RequestArrived(request, call.call_id))
 
     def leave(self, number: int) -> None:
         """Forget a client that has gone away: it is owed no answer."""
@@ -251,16 +251,16 @@
             self._dispatching = False
 
     def _perform(self, effect: core.Effect) -> None:
-        if isinstance(effect, core.Answer):
+        if isinstance(effect, core.SendResponse):
             self._answer(effect)
-        elif isinstance(effect, core.PassOn):
+        elif isinstance(effect, core.StartStreamedResponse):
             self._clients[effect.request][1].begin(self._passing[effect.request])
-        elif isinstance(effect, core.EndAnswer):
+        elif isinstance(effect, core.EndStreamedResponse):
             self._passing.pop(effect.request, None)
             self._no_feed(effect.request)
             passed = self._clients.pop(effect.request, None)
             if passed is not None:
-                passed[1].end(effect.whole)
+                passed[1].end(effect.complete)
         elif isinstance(effect, core.StartAttempt):
             self._start(effect)
         elif isinstance(effect, core.StopAttempt):
@@ -275,13 +275,13 @@
             self._probe(effect)
         # api.FollowList: the watch of discovery is always open
 
-    def _answer(self, answer: core.Answer) -> None:
+    def _answer(self, answer: core.SendResponse) -> None:
         client = self._clients.pop(answer.request, None)
         self._no_feed(answer.request)
         if client is None:
             return
-        advice = retry_after(answer.retry_after) if answer.verdict is core.Verdict.REFUSED else ""
-        client[1].answer(STATUS[answer.verdict], advice, answer.body)
+        advice = retry_after(answer.retry_after) if answer.kind is core.ResponseKind.REFUSED else ""
+        client[1].answer(STATUS[answer.kind], advice, answer.body)
 
     def _start(self, start: core.StartAttempt) -> None:
         client = self._clients.get(start.request)
@@ -320,20 +320,20 @@
     def _flows(self, job: Job, start: core.StartAttempt) -> bool:
         """Note that an attempt takes what is not held of a body; False where it may not any more."""
         if job.timer is not None and job.timer.action is not None:
-            self.dispatch(core.Flowing(start.request, start.attempt))
+            self.dispatch(core.RequestBodyCommitted(start.request, start.attempt))
             job.untimed()
         return self.reducer.owns(start.request, start.attempt)
 
     def _uploaded(self, job: Job, start: core.StartAttempt, budget: float) -> None:
         deadline = job.until = self.clock.now() + budget - TRANSIT_MS - SWEEP_MS  # the sweep sees to it
-        self.dispatch(core.Uploaded(start.request, deadline))
+        self.dispatch(core.RequestBodySent(start.request, deadline))
 
     def _begins(self, start: core.StartAttempt, length: int | None) -> Client | None:
         """Begin a long answer; None where another attempt's has won, or nobody waits for it."""
         if start.request not in self._clients or start.request in self._passing:
             return None
         self._passing[start.request] = length
-        self.dispatch(core.Begun(start.request, start.attempt))
+        self.dispatch(core.ResponseStreamReady(start.request, start.attempt))
         client = self._clients.get(start.request)
         if client is None or not self.reducer.owns(start.request, start.attempt):
             self._passing.pop(start.request, None)
@@ -380,7 +380,7 @@
     # Upkeep.
 
     def _sweep(self) -> None:
-        self.dispatch(core.Sweep())
+        self.dispatch(core.SweepDue())
         self.later(SWEEP_MS, self._sweep)
 
     def _read_tenants(self) -> None:
@@ -401,7 +401,7 @@
             "connections": len(self.connections),
             **self.upstream.report(),
             "cpu_s": time.process_time(),
-            **self.reducer.tally,
+            **self.reducer.counters,
             **{f"let_go[{reason}]": times for reason, times in self.let_go.items()},
             **{f"broken[{name.replace(' ', '_')}]": times for name, times in broken.items()},
         }
--- a/wickspring/net/server.py
+++ b/wickspring/net/server.py
@@ -194,7 +194,7 @@
 
     def tell(self) -> list[State]:
         """Return the state in parts."""
-        return list(succession.tell(self.runtime.reducer))
+        return list(succession.export_state(self.runtime.reducer))
 
     def gives(self) -> bool:
         """Tell whether client connections are to go: from SIGTERM on."""
@@ -215,7 +215,7 @@
 
     def adopt(self, state: State) -> None:
         """Take a part of the old process's state in."""
-        succession.adopt(self.runtime.reducer, state)
+        succession.import_state(self.runtime.reducer, state)
 
     def moved(self, server: api.ServerId, back: float | None) -> None:
         """Apply a server's removal or return, made at the other process's admin API."""
@@ -307,7 +307,7 @@
                 from wickspring.net.notify import Notifier  # paid for only where somebody listens
 
                 notifier, state = Notifier(instance.notify, instance.token), {"READY": "1"}
-                nursery.start_soon(notifier.repeat, runtime.reducer.tally, state)
+                nursery.start_soon(notifier.repeat, runtime.reducer.counters, state)
 
             async def end() -> None:
                 await drain(runtime, operated.fronts)
--- a/wickspring/net/upstream/manager.py
+++ b/wickspring/net/upstream/manager.py
@@ -73,7 +73,7 @@
         entry: Callable[[api.ServerId], api.ServerEntry | None],
         make: Callable[[Upstream, Conn], Carrier],
         expect: Callable[[api.ServerId], int] = lambda _: 1,
-        shared: api.Shared | None = None,
+        shared: api.PeerState | None = None,
     ) -> None:
         self.settings, self.limits = settings, limits
         self.clock, self.timers, self.nursery = clock, timers, nursery
--- a/wickspring/peer_state/budget_rights.py
+++ b/wickspring/peer_state/budget_rights.py
@@ -58,7 +58,7 @@
         return now - self.refused_at < REFUSAL_MEMORY_MS
 
 
-class BudgetRights(api.Shared):
+class BudgetRights(api.PeerState):
     """One data plane's rights of all budgets."""
 
     def __init__(self, settings: api.Settings, bounds: Bounds, started: float, seed: int) -> None:
@@ -114,7 +114,7 @@
         place = (slot - first) % self.slots
         return budgets.part_of(terms.rights, spread, place, name) if place < spread else 0
 
-    def cap(self, request: api.Request) -> str:
+    def concurrency_budget(self, request: api.Request) -> str:
         """Name the budget of a customer's concurrent attempts; empty where its plan has none by rights."""
         if not self.bounds.capped_plans or self.settings.plans[request.plan_index].most_open <= 0:
             return ""
@@ -144,7 +144,7 @@
 
     # Spending.
 
-    def free(self, now: float, name: str) -> bool:
+    def may_take(self, now: float, name: str) -> bool:
         """Tell whether a right may be spent; what no budget bounds always may."""
         terms = self.terms(name)
         if terms is None:
--- a/wickspring/peer_state/shares.py
+++ b/wickspring/peer_state/shares.py
@@ -59,7 +59,7 @@
 
     # Counts.
 
-    def sent_on(
+    def record_usage(
         self, customer: int, window: int, units: float, until: float, first: int, spread: int
     ) -> None:
         """Record units that were sent on in a customer's window, which ends at `until`."""
@@ -74,11 +74,11 @@
             del self._peer_slots[slot]
         return list(self._peer_slots)
 
-    def others(self, customer: int, window: int) -> float:
+    def peer_usage(self, customer: int, window: int) -> float:
         """Return the units that others have reported in a window."""
         return self.ledger.others(customer, window)
 
-    def hears(self, now: float, first: int, spread: int) -> bool:
+    def receives_all_counts(self, now: float, first: int, spread: int) -> bool:
         """Tell whether counts were lately received from all the others of a customer's set."""
         peers = counts.peer_slots(first, spread, self.slots, self.slot)
         received = self.last_received_at
@@ -86,7 +86,7 @@
 
     # Failure reports.
 
-    def judged(self, now: float, server: api.ServerId, started: float, good: bool) -> None:
+    def record_outcome(self, now: float, server: api.ServerId, started: float, good: bool) -> None:
         """Record how an attempt at a server ended."""
         self.judge.record(now, server_name(server), started, good)
 
--- a/wickspring/policy.py
+++ b/wickspring/policy.py
@@ -42,8 +42,8 @@
 class Policy:
     """Decides for one gateway. Feed it each event with the time; carry out the actions in order."""
 
-    def __init__(self, settings: api.Settings, shared: api.Shared | None = None) -> None:
-        self.settings, self.shared = settings, shared or api.Shared()
+    def __init__(self, settings: api.Settings, shared: api.PeerState | None = None) -> None:
+        self.settings, self.shared = settings, shared or api.PeerState()
         self.now = LONG_AGO
         self.actions: list[api.Action] = []
         self.servers: dict[api.ServerId, Server] = {}
@@ -63,7 +63,9 @@
         self.units = 0.0  # mean of the requests'
         self.room = Room()  # for attempts
         self.streams: dict[tuple[int, int], Server] = {}  # attempts whose bytes flow, which need none
-        self.aim = sum(kind.aim for kind in settings.classes) / max(1, len(settings.classes))  # mean, ms
+        self.aim = sum(kind.target_latency for kind in settings.classes) / max(
+            1, len(settings.classes)
+        )  # mean, ms
         self.full = [0.0 for _ in settings.plans]  # part of each plan's attempts that were turned away
         self.retries = RETRY_MOST / 2
         self.sizes = Sizes()  # answer times by size
@@ -97,7 +99,7 @@
 
     def _request(self, request: api.Request) -> None:
         account = self.accounts.pop(request.customer, None)
-        account = account or opened(request, self.settings, self.now, self.shared.cap(request))
+        account = account or opened(request, self.settings, self.now, self.shared.concurrency_budget(request))
         self.accounts[request.customer] = account  # the longest unused come first, and are dropped
         kind = self.settings.classes[request.class_index]
         held = self.held[request.request] = Held(request, kind, account, self.now)
@@ -105,7 +107,7 @@
         account.units = request.units
         self.units += (request.units - self.units) / (UNITS_MEMORY if self.units else 1.0)
         account.refill(self.now)
-        others, window = self.shared.others, account.window
+        others, window = self.shared.peer_usage, account.window
         account.hear(others(account.customer, window), others(account.customer, window - 1))
         while (oldest := next(iter(self.accounts.values()))).at < self.now - ACCOUNT_LIFE:
             del self.accounts[oldest.customer]
@@ -193,7 +195,7 @@
         Where all others of the customer's set tell what they send on, it is what they have left.
         """
         account = held.account
-        if self.shared.hears(self.now, account.first, account.spread):
+        if self.shared.receives_all_counts(self.now, account.first, account.spread):
             account.heard_at, may = self.now, account.room(False) >= held.request.units
         else:
             may = account.room_alone() >= held.request.units and not self._hot(account, 1.0)
@@ -204,12 +206,14 @@
 
     def _admit(self, held: Held, seen: bool = False) -> bool:
         account = held.account
-        if not self.shared.free(self.now, account.cap) if account.cap else account.at_cap(self.now):
+        if not self.shared.may_take(self.now, account.cap) if account.cap else account.at_cap(self.now):
             self._refuse(held)
             return False
         units, until = held.request.units, self.now + account.window_left
         account.pay(units, seen)
-        self.shared.sent_on(account.customer, account.window, units, until, account.first, account.spread)
+        self.shared.record_usage(
+            account.customer, account.window, units, until, account.first, account.spread
+        )
         self._send(held)
         return True
 
@@ -297,15 +301,15 @@
 
     def _send(self, held: Held) -> None:
         number, attempt = held.request.request, len(held.tried)
-        may = attempt < self.settings.most_attempts and self.shared.free(self.now, held.account.cap)
+        may = attempt < self.settings.most_attempts and self.shared.may_take(self.now, held.account.cap)
         server = self._choose(held) if may else None
         if server is None:
             if held.request.repeat and not held.tried:
                 self._refuse(held)  # first tries before repeats while there is no room
             elif not held.open and not held.waiting:
                 held.waiting = True
-                until = max(self.now, held.arrived + HOLD_SHARE * held.kind.aim)
-                heappush(self.line, (-held.kind.worth, until, number))
+                until = max(self.now, held.arrived + HOLD_SHARE * held.kind.target_latency)
+                heappush(self.line, (-held.kind.value, until, number))
                 heappush(self.due, (until, number))
             return
         held.tried.append(server.entry.server)
@@ -323,7 +327,7 @@
 
     def _patience(self, held: Held) -> float:
         """Return for how long an attempt may go unanswered before it is looked into."""
-        aim, answer = min(held.kind.aim, held.request.deadline - held.arrived), self.answer_ms
+        aim, answer = min(held.kind.target_latency, held.request.deadline - held.arrived), self.answer_ms
         usual = max(answer[held.request.class_index], self.sizes.usual(held.request.units))
         return max(QUIET_SHARE * aim, QUIET_ANSWERS * usual)
 
@@ -337,7 +341,7 @@
         if held is None:
             return
         if outcome.status in (Status.OK, Status.CANCELLED):
-            taken, answered = outcome.elapsed / held.kind.aim, outcome.status is Status.OK
+            taken, answered = outcome.elapsed / held.kind.target_latency, outcome.status is Status.OK
             server.pace.learn(self.now, taken, answered, self.room.delay, 1.0 - self.lone)
         held.open.pop(outcome.attempt, None)
         held.unclear |= not outcome.status.never_ran
@@ -365,7 +369,7 @@
 
     def _learn_delay(self, held: Held, elapsed: float) -> None:
         fair = len(self.ready) / max(1, self.settings.gateways)
-        self.room.learn(self.now, elapsed / held.kind.aim, len(self.attempts), fair)
+        self.room.learn(self.now, elapsed / held.kind.target_latency, len(self.attempts), fair)
 
     def _again(self, held: Held, free: bool) -> None:
         """Try once more where class, budget and time allow; else give the final answer."""
@@ -447,7 +451,7 @@
         """Shun what fails, longer with each failure in a row; cancelled attempts tell nothing."""
         if status not in (Status.CANCELLED, Status.MOOT, Status.FULL):
             entry, good = server.entry, status is Status.OK
-            self.shared.judged(self.now, entry.server, entry.started_at, good)
+            self.shared.record_outcome(self.now, entry.server, entry.started_at, good)
         if status is Status.OK:
             server.heard_at, server.fails, server.shun_until = self.now, 0, LONG_AGO
         elif status is Status.FULL:
@@ -463,7 +467,7 @@
         if full:
             server.shun_part[-1 - plan] = self.now + SHUN_MS * SHUN_MOST
             if min(self.full) > FULL_PART:  # full to one plan alone is that plan's throttle
-                self._learn_delay(held, held.kind.aim)
+                self._learn_delay(held, held.kind.target_latency)
         elif outcome.status is Status.OK:
             self._learn_delay(held, outcome.elapsed)
             server.shun_part.pop(index, None)
@@ -492,11 +496,11 @@
                 continue
             if self.now >= held.request.deadline - MARGIN:
                 if held.open:  # no answer within the client's time tells of delay as an answer does
-                    self._learn_delay(held, held.kind.aim)
+                    self._learn_delay(held, held.kind.target_latency)
                 self._give_up(held)
             elif stalled:
                 heappush(self.due, (self.now + MARGIN, number))
-            elif held.waiting and self.now >= held.arrived + HOLD_SHARE * held.kind.aim:
+            elif held.waiting and self.now >= held.arrived + HOLD_SHARE * held.kind.target_latency:
                 self._give_up(held)
             elif held.open:
                 self._check(held)
