--- a/wickspring/controlplane/data_plane_messages.py
+++ b/wickspring/controlplane/data_plane_messages.py
@@ -61,12 +61,8 @@
                 self._on_request_finished(session, message)
             case DataPlaneHeartbeat():
                 self._on_heartbeat(session, message)
-            case QuotaSpent():
-                self._quota.record_spent(session.name, message.tenant)
-            case QuotaRefund():
-                self._quota.give_back(session.name, message.tenant)
-            case UsageReport():
-                self._quota.receive_usage_report(session.name, message)
+            case QuotaSpent() | QuotaRefund() | UsageReport():
+                self._on_usage(session, message)
             case RequestFullState():
                 self._view.send(session)
                 self._endpoints.send_snapshot(session)
@@ -75,6 +71,16 @@
             case _:
                 assert_never(message)
 
+    def _on_usage(self, session: PeerSession, message: QuotaSpent | QuotaRefund | UsageReport) -> None:
+        """Handle what a data plane reports of a tenant's usage."""
+        match message:
+            case QuotaSpent():
+                self._quota.record_spent(session.name, message.tenant)
+            case QuotaRefund():
+                self._quota.give_back(session.name, message.tenant)
+            case UsageReport():
+                self._quota.receive_usage_report(session.name, message)
+
     def connected(self, session: PeerSession, hello: Hello) -> None:
         """Send a new data plane the view, some other data planes, the endpoints and the configuration."""
         self._data_planes.add(session)
--- a/wickspring/controlplane/replication/catch_up.py
+++ b/wickspring/controlplane/replication/catch_up.py
@@ -11,7 +11,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from wickspring.controlplane.replication.messages import CommittedState, Fetch, InstallView
+from wickspring.controlplane.replication.messages import CatchUpMessage, CommittedState, Fetch, InstallView
 from wickspring.controlplane.replication.view import Member
 
 if TYPE_CHECKING:
@@ -33,6 +33,16 @@
         other._last_sent_at = dict(self._last_sent_at)
         return other
 
+    def receive(self, now: float, sender: str, message: CatchUpMessage) -> None:
+        """Handle a request for a full state, or the state or view that another node has sent."""
+        match message:
+            case Fetch():
+                self.on_fetch(sender, message)
+            case CommittedState():
+                self.on_committed_state(message)
+            case InstallView():
+                self.on_install_view(now, sender, message)
+
     def tick(self, now: float) -> None:
         """Send the view, or what is committed, to reachable nodes that have not got it."""
         chain = self._chain
--- a/wickspring/controlplane/replication/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -21,7 +21,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from random import Random
-from typing import Any, ClassVar, Self
+from typing import Any, ClassVar, Self, assert_never
 
 from wickspring.controlplane.replication.catch_up import CatchUp
 from wickspring.controlplane.replication.messages import (
@@ -199,26 +199,14 @@
     def receive(self, now: float, sender: str, message: ReplicationMessage) -> None:
         """Handle a message of another node, or of this one to itself."""
         match message:
-            case Pass():
-                self.updates.on_pass(now, sender, message)
-            case Passed():
-                self.updates.on_passed(now, sender, message)
-            case Fetch():
-                self.catch_up.on_fetch(sender, message)
-            case CommittedState():
-                self.catch_up.on_committed_state(message)
-            case InstallView():
-                self.catch_up.on_install_view(now, sender, message)
-            case Prepare():
-                self.view_change.on_prepare(now, sender, message)
-            case Promise():
-                self.view_change.on_promise(now, sender, message)
-            case Accept():
-                self.view_change.on_accept(now, sender, message)
-            case Accepted():
-                self.view_change.on_accepted(now, sender, message)
-            case Outbid():
-                self.view_change.on_outbid(now, message)
+            case Pass() | Passed():
+                self.updates.receive(now, sender, message)
+            case Fetch() | CommittedState() | InstallView():
+                self.catch_up.receive(now, sender, message)
+            case Prepare() | Promise() | Accept() | Accepted() | Outbid():
+                self.view_change.receive(now, sender, message)
+            case _:
+                assert_never(message)
 
     def submit(self, now: float, ticket: int, update: Update) -> None:
         """Take an update, or a read, at the head; elsewhere its outcome is NOT_YET at once."""
--- a/wickspring/controlplane/replication/messages.py
+++ b/wickspring/controlplane/replication/messages.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, ClassVar
+from typing import Any, ClassVar, TypeAlias
 
 from wickspring.controlplane.replication.paxos import AcceptedValue, Ballot
 from wickspring.controlplane.replication.replica import Replica
@@ -211,9 +211,10 @@
         return Outbid(int(fields[0]), Ballot.unpack(fields[1]))
 
 
-ReplicationMessage = (
-    Pass | Passed | Fetch | CommittedState | InstallView | Prepare | Promise | Accept | Accepted | Outbid
-)
+UpdatePassingMessage: TypeAlias = Pass | Passed
+CatchUpMessage: TypeAlias = Fetch | CommittedState | InstallView
+ViewChangeMessage: TypeAlias = Prepare | Promise | Accept | Accepted | Outbid
+ReplicationMessage: TypeAlias = UpdatePassingMessage | CatchUpMessage | ViewChangeMessage
 
 _DECODERS: dict[str, Callable[[list[Any]], ReplicationMessage]] = {
     Pass.KIND: Pass.decode,
--- a/wickspring/controlplane/replication/node.py
+++ b/wickspring/controlplane/replication/node.py
@@ -60,7 +60,7 @@
 
 
 class ReplicationNode:
-    """This node's part in the replication group.
+    """One member of the replication group: runs the chain, and saves its state.
 
     `run` and `send_heartbeats` are tasks for as long as the process lives. `stopping` is set by the process
     when it is about to end.
--- a/wickspring/controlplane/replication/update_passing.py
+++ b/wickspring/controlplane/replication/update_passing.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Self
 
 from wickspring.common.digest import digest_of
-from wickspring.controlplane.replication.messages import Pass, Passed
+from wickspring.controlplane.replication.messages import Pass, Passed, UpdatePassingMessage
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import Member
 from wickspring.core.invariants import check_invariant
@@ -127,7 +127,10 @@
         chain.send(successor.address, Pass(chain.view, sequence, abbreviated))
 
     def _confirm(self, sequence: int, state: Replica) -> None:
-        """A state is stored here and at all that follow: tell the predecessor, or the updates' senders."""
+        """Confirm that this node and all its successors store a state.
+
+        The confirmation goes to the predecessor; at the head, to the senders of the updates.
+        """
         chain = self._chain
         chain.mark_committed(state)
         self.passing = None
@@ -143,6 +146,14 @@
             outcome = chain.committed.config.outcome_of(pending.update.version, pending.digest)
             chain.effects.outcomes.append((ticket, outcome))
 
+    def receive(self, now: float, sender: str, message: UpdatePassingMessage) -> None:
+        """Handle a pass from the predecessor, or a confirmation from the successor."""
+        match message:
+            case Pass():
+                self.on_pass(now, sender, message)
+            case Passed():
+                self.on_passed(now, sender, message)
+
     def on_pass(self, now: float, sender: str, message: Pass) -> None:
         """Store a state and pass it on, in its view where that is newer."""
         chain = self._chain
--- a/wickspring/controlplane/replication/view_change.py
+++ b/wickspring/controlplane/replication/view_change.py
@@ -23,6 +23,7 @@
     Prepare,
     Promise,
     ReplicationMessage,
+    ViewChangeMessage,
 )
 from wickspring.controlplane.replication.next_view import differs, next_view
 from wickspring.controlplane.replication.paxos import Ballot, Proposal, Value
@@ -83,6 +84,20 @@
         if now - self._wanted_since >= STABLE_MS + TURN_MS * (self._place_in_turn() + self.turn):
             self._propose(now)
 
+    def receive(self, now: float, sender: str, message: ViewChangeMessage) -> None:
+        """Handle a message of the Paxos instance that decides on the next view."""
+        match message:
+            case Prepare():
+                self.on_prepare(now, sender, message)
+            case Promise():
+                self.on_promise(now, sender, message)
+            case Accept():
+                self.on_accept(now, sender, message)
+            case Accepted():
+                self.on_accepted(now, sender, message)
+            case Outbid():
+                self.on_outbid(now, message)
+
     def _is_wanted(self, now: float) -> bool:
         chain = self._chain
         if chain.frozen:
