--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -252,7 +252,7 @@
         await system.commit_config(CONTROL_PLANES[0], 1)
         await system.wait_until(
             lambda: (
-                data_plane.control_client.informed
+                data_plane.control_client.is_synchronized
                 and data_plane.control_client.config.routing_table.version == 1
             )
         )
@@ -298,7 +298,7 @@
 def decoder_of(one: dict[str, Any]) -> messages.MessageDecoder[Any]:
     """Return the decoder of the direction that a fixture was recorded in."""
     decoders = DECODERS[one["from"], one["to"], one["transport"]]
-    is_reply = one["kind"] in decoders[-1].kinds
+    is_reply = one["kind"] in decoders[-1].message_types
     if one["kind"] == "cores":
         is_reply = len(one["message"]) > 1
     return decoders[-1] if is_reply else decoders[0]
@@ -314,12 +314,12 @@
             continue
         decoder = decoder_of(one)
         message = decoder.decode(unpacked(one))
-        assert message is not None and type(message) is decoder.kinds[one["kind"]]
+        assert message is not None and type(message) is decoder.message_types[one["kind"]]
         assert message.wire_name == one["kind"]
         assert message.encode().hex() == one["bytes"]
         found[decoder].add(one["kind"])
     for decoder, kinds in found.items():
-        assert kinds == set(decoder.kinds) - NEVER_SENT.get(decoder, set())
+        assert kinds == set(decoder.message_types) - NEVER_SENT.get(decoder, set())
 
 
 def test_a_message_that_is_cut_short_is_refused_by_its_decoder() -> None:
--- a/tests/common/test_decoding.py
+++ b/tests/common/test_decoding.py
@@ -74,7 +74,7 @@
 
 def test_settings_are_parsed_and_errors_name_the_field() -> None:
     read = settings.parse_settings(SETTINGS)
-    assert read.is_first_start and read.talk_port == 7340 and read.guarantees.drain_s == 2.5
+    assert read.is_first_start and read.peer_port == 7340 and read.guarantees.drain_s == 2.5
     assert read.seed_ips() == ["10.1.0.33", "10.2.0.25"]
     for wrong, name in (
         (SETTINGS.replace("guarantees.drain_s=2.5", "guarantees.drain_s=soon"), "drain_s"),
@@ -92,7 +92,7 @@
     assert validate_config(body).ok == 7
     routing_table = build_routing_table(body)
     deep, flat = routing_table.route("h.example", "/a/b/c?x=/a/"), routing_table.route("H.example:80", "/a/c")
-    assert deep is not None and deep.name == "r2" and not deep.pure and deep.services == (("t", 1.0),)
+    assert deep is not None and deep.name == "r2" and not deep.idempotent and deep.services == (("t", 1.0),)
     assert flat is not None and flat.name == "r1" and flat.services == (("s", 9.0), ("t", 1.0))
     assert routing_table.route("h.example", "/b/") is None and routing_table.route("other", "/a/") is None
     assert (
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -90,7 +90,7 @@
         except GatewayError as error:
             assert error.detail.kind is ErrorKind.BAD_SETTINGS and error.detail.reason
         else:
-            assert 0 < read.talk_port < 65536
+            assert 0 < read.peer_port < 65536
             assert all(parse_address(one) for one in read.seed_addrs)
 
 
--- a/tests/controlplane/test_isolated_endpoints.py
+++ b/tests/controlplane/test_isolated_endpoints.py
@@ -103,7 +103,7 @@
 def test_incomplete_snapshots_bring_no_endpoint_back() -> None:
     endpoints = EndpointTable()
     endpoints.update(0.0, ready_endpoint("i1", 4))
-    endpoints.mark_unresponsive(["i1"])
+    endpoints.record_unresponsive(["i1"])
     assert (
         not endpoints.update(1.0, ready_endpoint("i1", 9), fresh=False)
         and endpoints.candidates["i1"].unresponsive
@@ -112,7 +112,7 @@
         endpoints.update(1.0, ready_endpoint("i2", 9), fresh=False)
         and not endpoints.candidates["i2"].unresponsive
     )
-    endpoints.mark_departures({"i2": GONE})
+    endpoints.record_departures({"i2": GONE})
     endpoints.update(2.0, ready_endpoint("i2", 99))
     assert not endpoints.accepts("i2")
     assert endpoints.update(3.0, ready_endpoint("i1", 10)) and not endpoints.candidates["i1"].unresponsive
--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -91,7 +91,7 @@
 def test_a_data_plane_leaves_out_endpoints_that_it_knows_to_be_unfit() -> None:
     table = endpoint_table(ready_endpoints(4))
     selector = EndpointSelector(table, "a", 1, has_idle_connection=lambda id_: id_ != "i1")
-    table.mark_departures({"i0": DRAINING})
+    table.record_departures({"i0": DRAINING})
     offers = [("i0", 0.5), ("i1", 1.0), ("i2", 1.2), ("i9", 0.1)]
     chosen = selector.pick(1.0, "s", "r", set(), offers)
     # i1 is to be connected to, i0 departs, i9 is not known
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -265,7 +265,7 @@
         await system.start_data_plane(first)
         system.cut(second, reachable=(first,))
         isolated = await system.start_data_plane(second)
-        isolated.gossip.introduce([first])
+        isolated.gossip.join([first])
         await system.wait_until(lambda: isolated.control_client.config.routing_table.version == 1)
         state = isolated.state_digest()
         assert (state.config_version, state.config_digest) == (1, digest_of(config_text(1)))
--- a/tests/controlplane/test_quota_takeover.py
+++ b/tests/controlplane/test_quota_takeover.py
@@ -10,7 +10,7 @@
 
 from tests.dataplane.test_policy import EXCESS, SLACK, SPAN_S, most_in_a_span
 from tests.support.virtual_system import CONTROL_PLANES, DATA_PLANES, VirtualSystem, run_virtual_system
-from wickspring.common.connection import SILENCE_TIMEOUT_MS
+from wickspring.common.connection import RECEIVE_TIMEOUT_MS
 from wickspring.common.quota_rule import quota_ceiling
 from wickspring.common.routing_table import Tenant
 from wickspring.controlplane.maintenance import INTERVAL_MS
@@ -54,7 +54,7 @@
 
     def timed_out(self, now: float) -> bool:
         """Tell whether it has been cut off for so long that control planes notice."""
-        return self.cut_at is not None and now - self.cut_at >= SILENCE_TIMEOUT_MS
+        return self.cut_at is not None and now - self.cut_at >= RECEIVE_TIMEOUT_MS
 
 
 @dataclass
--- a/tests/dataplane/test_config_adoption.py
+++ b/tests/dataplane/test_config_adoption.py
@@ -78,24 +78,24 @@
         await replace_config(control_plane, 1)
         data_plane = await system.start_data_plane(DATA_PLANES[0])
         await system.wait_until(lambda: data_plane.control_client.config.routing_table.version == 1)
-        committed = data_plane.control_client.config.packed
+        committed = data_plane.control_client.config.compressed_document
         other = zlib.compress(config_text(1, "other"))
         connection = next(iter(control_plane.data_planes)).connection
         for status, by_control_plane in ((ConfigStatus.COMMITTED, True), (ConfigStatus.CURRENT, False)):
             offer = ConfigOffer(1, other, digest_of(config_text(1, "other")), status)
             data_plane.control_client.config.offer(offer, by_control_plane)
-            assert data_plane.control_client.config.packed == committed
+            assert data_plane.control_client.config.compressed_document == committed
         data_plane.control_client.on_message(
             connection, ConfigOffer(1, other, digest_of(config_text(1)), ConfigStatus.CURRENT)
         )
         # Refused: the text is not that of the digest.
-        assert data_plane.control_client.config.packed == committed
+        assert data_plane.control_client.config.compressed_document == committed
         data_plane.control_client.on_message(
             connection, ConfigOffer(1, other, digest_of(config_text(1, "other")), ConfigStatus.CURRENT)
         )
-        assert data_plane.control_client.config.packed == other
+        assert data_plane.control_client.config.compressed_document == other
         # Its control planes still have the committed one, and send it again.
-        await system.wait_until(lambda: data_plane.control_client.config.packed == committed)
+        await system.wait_until(lambda: data_plane.control_client.config.compressed_document == committed)
 
     run_virtual_system(monkeypatch, two_texts)
     assert events.count("config_digest_mismatch") == 2
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -109,7 +109,7 @@
         budget = random.choice(budgets)
         budget.record_first(now)
         firsts.append(now)
-        if random.random() < 0.6 and budget.take(now, data_plane_count):
+        if random.random() < 0.6 and budget.try_acquire(now, data_plane_count):
             retries.append(now)
     for start in range(0, 50_000, 500):
 
@@ -129,7 +129,7 @@
     selector = EndpointSelector(table, "a", 1)
     for number in range(3):
         table.update(0.0, server(number))
-    table.mark_departures({"i0": DRAINING})
+    table.record_departures({"i0": DRAINING})
     table.update(1.0, server(0, seq=9))  # a late report that it is ready
     table.update(1.0, server(1, state=DRAINING, seq=2))
     table.update(2.0, server(1, seq=1))
--- a/wickspring/common/bootstrap.py
+++ b/wickspring/common/bootstrap.py
@@ -32,10 +32,10 @@
             if name not in lines:
                 raise settings_error(f"{name} is missing")
         peer_port = lines["port_range"].split(",")[0]
-        self.talk = listen(parse_address(f"{lines['ip']}:{peer_port}"), defer=False)
-        self.front = _listen_if_set(lines, "bind.front_http")
-        self.ready = _listen_if_set(lines, "bind.ready_addr")
-        self.control = _listen_if_set(lines, "bind.control_addr")
+        self.peer_listener = listen(parse_address(f"{lines['ip']}:{peer_port}"), defer=False)
+        self.client_listener = _listen_if_set(lines, "bind.front_http")
+        self.readiness_listener = _listen_if_set(lines, "bind.ready_addr")
+        self.api_listener = _listen_if_set(lines, "bind.control_addr")
         # Imported here: it loads msgspec, which takes longer than all of the above.
         from wickspring.common.settings import parse_settings
 
--- a/wickspring/common/connection.py
+++ b/wickspring/common/connection.py
@@ -1,7 +1,7 @@
 """Connections between processes of the system: msgpack messages, one after another, over TCP.
 
 A message is an array whose first element is its name (`common.messages`). The side that connects also
-reconnects: it closes a connection on which nothing has arrived for `SILENCE_TIMEOUT_MS`, since after a
+reconnects: it closes a connection on which nothing has arrived for `RECEIVE_TIMEOUT_MS`, since after a
 network partition the bytes under way may arrive seconds late or never.
 """
 
@@ -24,8 +24,8 @@
 MAX_MESSAGE_BYTES = 4 << 20  # of one message, and of all that waits to be read
 MAX_REASON_CHARACTERS = 120  # of a reason in the log
 CONNECT_TIMEOUT_MS = 400.0
-SILENCE_TIMEOUT_MS = 1300.0  # without a message, after which the other side counts as unreachable
-SILENCE_CHECKS_PER_TIMEOUT = 4
+RECEIVE_TIMEOUT_MS = 1300.0  # without a message, after which the other side counts as unreachable
+LIVENESS_CHECKS_PER_TIMEOUT = 4
 HEARTBEAT_MS = 420.0  # between two heartbeats, several of which fit into the timeout
 RECONNECT_DELAY_MS = (120.0, 320.0)  # drawn evenly between the two
 ACCEPT_RETRY_S = 0.02  # after an error such as running out of descriptors
@@ -59,9 +59,9 @@
 
     @property
     def live(self) -> bool:
-        """Tell whether the connection is open and something has arrived within `SILENCE_TIMEOUT_MS`."""
+        """Tell whether the connection is open and something has arrived within `RECEIVE_TIMEOUT_MS`."""
         silence_ms = self.clock.now() - self.last_received_at_ms
-        return not self.link.broken and silence_ms < SILENCE_TIMEOUT_MS
+        return not self.link.broken and silence_ms < RECEIVE_TIMEOUT_MS
 
     def send(self, message: Message) -> None:
         """Send a message; on a broken connection it is dropped."""
@@ -201,7 +201,7 @@
         self.connection = connection
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(_close_when_silent, connection)
+                nursery.start_soon(_close_after_receive_timeout, connection)
                 self._on_connect(connection)
                 await self._read(connection)
                 nursery.cancel_scope.cancel()
@@ -211,8 +211,8 @@
             self._on_disconnect(self)
 
 
-async def _close_when_silent(connection: PeerConnection) -> None:
-    interval_s = SILENCE_TIMEOUT_MS / 1000.0 / SILENCE_CHECKS_PER_TIMEOUT
+async def _close_after_receive_timeout(connection: PeerConnection) -> None:
+    interval_s = RECEIVE_TIMEOUT_MS / 1000.0 / LIVENESS_CHECKS_PER_TIMEOUT
     while connection.live:
         await trio.sleep(interval_s)
     connection.close()
--- a/wickspring/common/messages/base.py
+++ b/wickspring/common/messages/base.py
@@ -37,17 +37,17 @@
     """Turns unpacked arrays into the messages of one direction."""
 
     def __init__(self, kinds: Iterable[type[MessageT]]) -> None:
-        self._kinds: dict[str, type[MessageT]] = {}
+        self._types_by_name: dict[str, type[MessageT]] = {}
         for kind in kinds:
             name = str(kind.__struct_config__.tag)
-            if name in self._kinds:
+            if name in self._types_by_name:
                 raise ValueError(f"two kinds of messages named {name!r} in one direction")
-            self._kinds[name] = kind
+            self._types_by_name[name] = kind
 
     @property
-    def kinds(self) -> dict[str, type[MessageT]]:
+    def message_types(self) -> dict[str, type[MessageT]]:
         """Return the classes of this direction by their names on the wire."""
-        return dict(self._kinds)
+        return dict(self._types_by_name)
 
     def decode(self, wire_message: WireMessage) -> MessageT | None:
         """Return the message, or None where its name is not known in this direction.
@@ -57,5 +57,5 @@
             IndexError: the array is empty.
             TypeError: the name cannot be one.
         """
-        kind = self._kinds.get(wire_message[0])
+        kind = self._types_by_name.get(wire_message[0])
         return None if kind is None else msgspec.convert(wire_message, kind)
--- a/wickspring/common/routing_table.py
+++ b/wickspring/common/routing_table.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-_SAFE_TO_RETRY = "pure"  # the value of `route_kind`
+_IDEMPOTENT = "pure"  # the value of `route_kind`, whose words are those of the document
 
 
 @dataclass(slots=True, frozen=True)
@@ -20,7 +20,7 @@
 
     name: str
     prefix: str
-    pure: bool  # a request may run more than once
+    idempotent: bool  # a request may run more than once (RFC 9110, section 9.2.2)
     timeout_s: float
     target_s: float  # latency that is aimed at
     priority: int
@@ -126,7 +126,7 @@
     return Route(
         name=rule["name"],
         prefix=rule["pattern"]["path_prefix"],
-        pure=rule["route_kind"] == _SAFE_TO_RETRY,
+        idempotent=rule["route_kind"] == _IDEMPOTENT,
         timeout_s=float(effect["timeout_s"]),
         target_s=float(rule["target_s"]),
         priority=int(rule.get("priority", 0)),
--- a/wickspring/common/settings.py
+++ b/wickspring/common/settings.py
@@ -86,7 +86,7 @@
     guarantees: Guarantees = Guarantees()
 
     @property
-    def talk_port(self) -> int:
+    def peer_port(self) -> int:
         """The port for connections between processes of the system; the same on all machines."""
         return int(self.port_range.split(",")[0])
 
@@ -135,7 +135,7 @@
     for address in (bind.front_http, bind.ready_addr, bind.control_addr, *settings.seed_addrs):
         if address:
             parse_address(address)
-    if not 0 < settings.talk_port <= MAX_PORT:
+    if not 0 < settings.peer_port <= MAX_PORT:
         raise ValueError("port_range: not a port")
     if settings.config_mode != CONFIG_MODE:
         raise ValueError(f"config_mode: {settings.config_mode!r} is not known, only {CONFIG_MODE!r}")
--- a/wickspring/controlplane/process.py
+++ b/wickspring/controlplane/process.py
@@ -160,9 +160,11 @@
     serve_peer = control_plane.peer_server.serve
     nursery.start_soon(api_server.timers.run)
     nursery.start_soon(control_plane.replication.run)
-    nursery.start_soon(partial(accept_connections, started.talk, control_plane.clock, nursery, serve_peer))
+    nursery.start_soon(
+        partial(accept_connections, started.peer_listener, control_plane.clock, nursery, serve_peer)
+    )
     nursery.start_soon(control_plane.replication.send_heartbeats)
     nursery.start_soon(control_plane.maintenance.run)
     api_server.tidy()
-    if started.control is not None:
-        nursery.start_soon(accept, started.control, api_server, serve_http)
+    if started.api_listener is not None:
+        nursery.start_soon(accept, started.api_listener, api_server, serve_http)
--- a/wickspring/controlplane/replication/peers.py
+++ b/wickspring/controlplane/replication/peers.py
@@ -73,7 +73,7 @@
         listener: PeerListener,
     ) -> None:
         self._ip = settings.ip
-        self._port = settings.talk_port
+        self._port = settings.peer_port
         self._clock = clock
         self._nursery = nursery
         self._random = random
--- a/wickspring/dataplane/control_client/client.py
+++ b/wickspring/dataplane/control_client/client.py
@@ -79,7 +79,7 @@
         return self.config.status(self.in_contact)
 
     @property
-    def informed(self) -> bool:
+    def is_synchronized(self) -> bool:
         """Whether a configuration and the endpoints of most control-plane members are known."""
         member_count = len(self.connections.members) or len(self._settings.seed_addrs)
         if not self.config.routing_table.version:
--- a/wickspring/dataplane/control_client/config_sync.py
+++ b/wickspring/dataplane/control_client/config_sync.py
@@ -24,7 +24,7 @@
     """Keeps the configuration up to date."""
 
     def __init__(self, clock: Clock, listener: ControlListener) -> None:
-        self.packed = b""  # the compressed document of the adopted configuration
+        self.compressed_document = b""  # the compressed document of the adopted configuration
         self.routing_table = RoutingTable()
         self.adoption = ConfigAdoption(clock.now())
         self._clock = clock
@@ -66,11 +66,11 @@
             logs.log_event("config_unusable", version=copy.version, reason=repr(error))
             self.adoption.discard(copy)
             return
-        self.packed = copy.packed
+        self.compressed_document = copy.compressed_document
         self.adoption.adopted(copy)
         logs.log_event("config_adopted", version=copy.version, status=copy.status.label)
         self._listener.on_routing_table(self.routing_table)
-        self._listener.on_informed()
+        self._listener.on_state_received()
 
     def status(self, in_contact: bool) -> ConfigStatus:
         """Return what this data plane may say of its configuration to others."""
@@ -80,7 +80,7 @@
 
 def _read(copy: ConfigCopy) -> RoutingTable:
     """Return the routing table of a document; raise one of `_DOCUMENT_ERRORS` where it is damaged."""
-    document = zlib.decompress(copy.packed)
+    document = zlib.decompress(copy.compressed_document)
     if digest_of(document) != copy.digest:
         raise ValueError("not the text of its digest")
     return build_routing_table(document)
--- a/wickspring/dataplane/control_client/connections.py
+++ b/wickspring/dataplane/control_client/connections.py
@@ -83,7 +83,7 @@
 
     def _start_client(self, ip: str) -> ReconnectingClient:
         client = ReconnectingClient(
-            (ip, self._settings.talk_port),
+            (ip, self._settings.peer_port),
             self._handler,
             CONTROL_PLANE_MESSAGES,
             self._clock,
--- a/wickspring/dataplane/control_client/endpoint_sync.py
+++ b/wickspring/dataplane/control_client/endpoint_sync.py
@@ -66,24 +66,24 @@
 
     def on_departures(self, departures: dict[str, int]) -> None:
         """Take in endpoints that drain or are gone, and have those passed on that were not known."""
-        changes = self._endpoints.mark_departures(departures)
+        changes = self._endpoints.record_departures(departures)
         if changes:
             self._listener.on_new_departures(changes)
 
     def on_unresponsive(self, endpoint_ids: list[str]) -> None:
         """Take in endpoints whose heartbeats the control plane no longer receives."""
-        self._endpoints.mark_unresponsive(endpoint_ids)
+        self._endpoints.record_unresponsive(endpoint_ids)
 
     def _on_snapshot(self, sender: str, snapshot: EndpointSnapshot) -> None:
         """Take in all endpoints that a process knows."""
         now = self._clock.now()
         fresh = snapshot.is_recent
-        self._endpoints.mark_departures(snapshot.departures)
+        self._endpoints.record_departures(snapshot.departures)
         if fresh or self._connections.best_contact() < QuorumContact.STABLE:  # else another knows better
             for record in snapshot.endpoints:
                 self._endpoints.update(now, Endpoint.from_record(record, now), fresh)
         self.complete_from.add(sender)
-        self._listener.on_informed()
+        self._listener.on_state_received()
 
     def complete_from_majority(self, member_count: int) -> bool:
         """Return whether a majority of so many members has sent all endpoints."""
--- a/wickspring/dataplane/control_client/listener.py
+++ b/wickspring/dataplane/control_client/listener.py
@@ -29,5 +29,5 @@
     def on_data_planes(self, ips: list[str]) -> None:
         """Contact other data planes that the control plane has named."""
 
-    def on_informed(self) -> None:
+    def on_state_received(self) -> None:
         """Take note that a configuration or a complete list of endpoints has come."""
--- a/wickspring/dataplane/control_client/quota_client.py
+++ b/wickspring/dataplane/control_client/quota_client.py
@@ -36,7 +36,7 @@
         self._listener = listener
         self._pending: dict[int, _PendingAdd] = {}
 
-    def add(self, tenant: str, is_repeat: bool, on_reply: QuotaReplyHandler) -> int:
+    def add(self, tenant: str, is_retry: bool, on_reply: QuotaReplyHandler) -> int:
         """Add a unit to a tenant's count.
 
         Return a number to `abandon` the add by, or 0 where the owner is not in reach.
@@ -46,7 +46,7 @@
             return 0
         number = next(self._numbers)
         self._pending[number] = _PendingAdd(client, on_reply)
-        client.send(AddQuota(number, tenant, is_repeat, self._connections.epoch))
+        client.send(AddQuota(number, tenant, is_retry, self._connections.epoch))
         return number
 
     def abandon(self, number: int, on_late_reply: QuotaReplyHandler) -> None:
--- a/wickspring/dataplane/endpoint_table.py
+++ b/wickspring/dataplane/endpoint_table.py
@@ -56,7 +56,7 @@
         self._place(known)
         return changed
 
-    def mark_departures(self, departures: dict[str, int]) -> dict[str, int]:
+    def record_departures(self, departures: dict[str, int]) -> dict[str, int]:
         """Record which endpoints drain or are gone, for good; return those whose departure was not known."""
         known = self.departures
         changes = {name: state for name, state in departures.items() if known.get(name, READY) < state}
@@ -65,7 +65,7 @@
             self._place(self.candidates[endpoint_id])
         return changes
 
-    def mark_unresponsive(self, endpoint_ids: Iterable[str]) -> None:
+    def record_unresponsive(self, endpoint_ids: Iterable[str]) -> None:
         """Record endpoints whose heartbeats the control plane no longer receives."""
         for endpoint_id in endpoint_ids:
             if endpoint_id in self.candidates:
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -113,7 +113,7 @@
         """How many data planes have not failed, this one among them."""
         return self.members.size
 
-    def introduce(self, ips: list[str]) -> None:
+    def join(self, ips: list[str]) -> None:
         """Probe these data planes, which a control plane has named."""
         for ip in ips:
             if ip != self.ip and self.members.info_of(ip) is None:
@@ -244,7 +244,9 @@
     def _suspicions(self, ip: str) -> list[MemberSuspicion]:
         """Return the suspicions to send to a member, always with the one against itself if there is one."""
         return [
-            MemberSuspicion(suspicion.name, suspicion.incarnation, suspicion.heartbeat, suspicion.accuser)
+            MemberSuspicion(
+                suspicion.name, suspicion.incarnation, suspicion.heartbeat, suspicion.suspected_by
+            )
             for suspicion in self.members.take_suspicions(ip, MAX_SUSPICIONS)
         ]
 
--- a/wickspring/dataplane/policy/attempts.py
+++ b/wickspring/dataplane/policy/attempts.py
@@ -57,20 +57,23 @@
         exhausted = self.sent >= self.route.max_attempts or self.deadline - now < MIN_ATTEMPT_MS
         if self.ended or self.body_streamed or exhausted:
             return False
-        return self.route.pure or (self.not_executed and self.in_flight == 0)
+        return self._is_safe_to_send
+
+    @property
+    def _is_safe_to_send(self) -> bool:
+        return self.route.idempotent or (self.not_executed and self.in_flight == 0)
 
     def start(self, endpoint_id: str) -> None:
         """Record an attempt as sent."""
-        repeatable = self.route.pure or (self.not_executed and self.in_flight == 0)
-        check_invariant(repeatable, "what may run once is out once")
-        check_invariant(not self.body_streamed, "a body that is not held goes out once")
+        check_invariant(self._is_safe_to_send, "a request that is not idempotent has one attempt in flight")
+        check_invariant(not self.body_streamed, "a streamed body is sent once")
         self.tried.add(endpoint_id)
         self.in_flight += 1
         self.sent += 1
 
     def finish(self, outcome: AttemptOutcome) -> None:
         """Record how an attempt ended."""
-        check_invariant(self.in_flight > 0, "a try ends once")
+        check_invariant(self.in_flight > 0, "an attempt ends once")
         self.in_flight -= 1
         self.not_executed = self.not_executed and outcome.not_executed
         self.timed_out = self.timed_out or outcome is AttemptOutcome.TIMED_OUT
--- a/wickspring/dataplane/policy/config_adoption.py
+++ b/wickspring/dataplane/policy/config_adoption.py
@@ -22,11 +22,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigCopy:
-    """A copy of the configuration as it was offered; `packed` is its compressed document."""
+    """A copy of the configuration as it was offered."""
 
     version: int
     digest: bytes
-    packed: bytes
+    compressed_document: bytes  # zlib
     status: ConfigStatus
 
 
@@ -85,7 +85,7 @@
         if version and committed == (self.version, self.digest):
             self.status = ConfigStatus.COMMITTED
         elif not self.version and pending is not None and committed == (pending.version, pending.digest):
-            return ConfigCopy(version, digest, pending.packed, ConfigStatus.CURRENT)
+            return ConfigCopy(version, digest, pending.compressed_document, ConfigStatus.CURRENT)
         return None
 
     def fallback(self, now: float) -> ConfigCopy | None:
--- a/wickspring/dataplane/policy/retry_budget.py
+++ b/wickspring/dataplane/policy/retry_budget.py
@@ -56,8 +56,8 @@
         slack = SLACK_SHARE * self.slack / (data_plane_count or DEFAULT_DATA_PLANE_COUNT)
         return slack + EARNED_SHARE * self.ratio * self.first_attempts - self.retries
 
-    def take(self, now: float, data_plane_count: int) -> bool:
-        """Take one further attempt; return False where none is available."""
+    def try_acquire(self, now: float, data_plane_count: int) -> bool:
+        """Take one further attempt from the budget; return False where none is available."""
         if self.available(now, data_plane_count) < 1.0:
             return False
         self._current_bucket(now).retries += 1
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -94,8 +94,8 @@
         rules = settings.guarantees
         self.quota = QuotaPolicy(rules.quota_window_s, rules.quota_excess, rules.quota_slack)
         self.control_client = ControlClient(settings, self.clock, nursery, self.random, self.endpoints, self)
-        self.datagrams = Udp(settings.ip, settings.talk_port)
-        address = settings.ip, settings.talk_port
+        self.datagrams = Udp(settings.ip, settings.peer_port)
+        address = settings.ip, settings.peer_port
         self.gossip = GossipNode(address, self.clock, nursery, self.random, self, self.datagrams)
         self.upstream = self._build_upstream()
         self.request_context = self._build_request_context()
@@ -164,7 +164,7 @@
         if context.can_route():
             self.admission.admit(incoming)
         else:
-            self.startup_queue.hold(incoming)
+            self.startup_queue.enqueue(incoming)
 
     def leave(self, number: int) -> None:
         """Note that a client has disconnected; an attempt that has been sent may still end."""
@@ -214,11 +214,11 @@
 
     def on_data_planes(self, ips: list[str]) -> None:
         """Contact other data planes that the control plane has named."""
-        self.gossip.introduce(ips)
+        self.gossip.join(ips)
 
-    def on_informed(self) -> None:
+    def on_state_received(self) -> None:
         """Admit the requests queued until the first configuration and endpoints were received."""
-        self.startup_queue.release()
+        self.startup_queue.admit_waiting()
 
     # `GossipHost`: what other data planes compare and fetch.
 
@@ -235,7 +235,7 @@
         own_version, own_digest = config.adoption.version, config.adoption.digest
         if own_version > version or (own_version == version and own_digest != digest):
             status = control_client.config_status
-            connection.send(ConfigOffer(own_version, config.packed, own_digest, status))
+            connection.send(ConfigOffer(own_version, config.compressed_document, own_digest, status))
         now = self.clock.now()
         candidates = self.endpoints.candidates.values()
         records = [
@@ -318,7 +318,7 @@
         control_client = self.control_client
         if not self.endpoints.services:
             return False
-        if control_client.informed:
+        if control_client.is_synchronized:
             return True
         if self.clock.now() - self.started_at <= READY_BY_ONE_MS:
             return False
--- a/wickspring/dataplane/request/admission.py
+++ b/wickspring/dataplane/request/admission.py
@@ -23,7 +23,7 @@
 from wickspring.net.http1_front import Http1Connection
 
 MAX_DEADLINE_MS = 600_000.0
-REPEAT_SHARE = 0.97  # of a route's longest deadline; a client that allows less has been here before
+RETRY_DEADLINE_SHARE = 0.97  # of a route's longest deadline; a client that allows less has been here before
 ADVICE_TIMEOUT_MS = 14.0  # for the control plane to say which endpoints are best
 MIN_ADVISED_SHARE = 0.7  # of the endpoints known here that the control plane must know, else it is ignored
 
@@ -68,7 +68,7 @@
         pairs = client.pairs() if isinstance(client, Http1Connection) else list(headers.items())
         request_id = self._request_id(incoming, pairs)
         deadline_ms = self._deadline_ms(incoming)
-        if not route.pure and request_id in context.unrepeatable_ids:
+        if not route.idempotent and request_id in context.non_idempotent_ids:
             raise RequestRefusedError(ErrorKind.IN_PROGRESS)
         wait_ms = min(deadline_ms, 1000.0 * route.timeout_s)
         attempts = self._attempts(route, wait_ms)
@@ -77,7 +77,7 @@
         request.host = host
         request.id = request_id
         request.tenant = tenant
-        request.is_repeat = self._is_repeat(route, deadline_ms)
+        request.is_retry = self._is_retry(route, deadline_ms)
         request.headers = [pair for pair in end_to_end_headers(pairs) if pair[0] not in _REPLACED_HEADERS]
         if tenant is not None:
             request.headers.append(("X-Tenant", tenant.name))
@@ -118,13 +118,13 @@
         weights = [weight for _, weight in services]
         return self._context.random.choices(names, weights)[0]
 
-    def _is_repeat(self, route: Route, deadline_ms: float) -> bool:
+    def _is_retry(self, route: Route, deadline_ms: float) -> bool:
         """Return whether the client has less time left than clients of the route have at first."""
         longest_ms = self._longest_deadline_ms.get(route.name, 0.0)
         if deadline_ms > longest_ms:
             self._longest_deadline_ms[route.name] = deadline_ms
             return False
-        return deadline_ms < REPEAT_SHARE * longest_ms
+        return deadline_ms < RETRY_DEADLINE_SHARE * longest_ms
 
     # Registration and advice.
 
@@ -132,8 +132,8 @@
         context = self._context
         attempts = request.attempts
         context.requests[request.number] = request
-        if not attempts.route.pure:
-            context.unrepeatable_ids.add(request.id)
+        if not attempts.route.idempotent:
+            context.non_idempotent_ids.add(request.id)
         incoming.client.accepted(request.number, request.wait_ms)
         timer = context.timers.at(attempts.deadline, partial(self._responder.on_deadline, request))
         request.cancel_deadline = timer.cancel
--- a/wickspring/dataplane/request/forwarding.py
+++ b/wickspring/dataplane/request/forwarding.py
@@ -53,7 +53,7 @@
         attempts = request.attempts
         now = self._context.clock.now()
         candidate = self._choose(request, now) if attempts.may_send(now) else None
-        if candidate is None or not self._budgets.pay(attempts, now):
+        if candidate is None or not self._budgets.try_acquire(attempts, now):
             self._responder.give_up(request)
             return
         attempts.start(candidate.endpoint.id)
@@ -81,7 +81,7 @@
         return Exchange(
             endpoint.id.encode(),
             parse_address(endpoint.address),
-            not attempts.route.pure,
+            not attempts.route.idempotent,
             attempts.deadline,
             id=request.id,
             host=request.host,
--- a/wickspring/dataplane/request/hedging.py
+++ b/wickspring/dataplane/request/hedging.py
@@ -33,13 +33,13 @@
         """Return how many further attempts may be sent to a service."""
         return self._of_service(service).available(now, self._context.data_plane_count())
 
-    def pay(self, attempts: Attempts, now: float) -> bool:
-        """Pay for the next attempt; a first one earns. Return False where the budget is exhausted."""
+    def try_acquire(self, attempts: Attempts, now: float) -> bool:
+        """Count the next attempt, a further one against the budget; return False where that is exhausted."""
         budget = self._of_service(attempts.service)
         if attempts.sent == 0:
             budget.record_first(now)
             return True
-        if budget.take(now, self._context.data_plane_count()):
+        if budget.try_acquire(now, self._context.data_plane_count()):
             return True
         self._context.event_counts["retry_budget_exhausted"] += 1
         return False
@@ -59,7 +59,7 @@
         """Set the timer of a hedged attempt for a request whose first attempt has just been sent."""
         attempts = request.attempts
         route = attempts.route
-        if not route.pure or route.max_attempts <= 1 or request.feed is not None:
+        if not route.idempotent or route.max_attempts <= 1 or request.feed is not None:
             return
         at = attempts.hedge_at(self._context.endpoint_selector.typical_ms.get(route.name, 0.0))
         if at < attempts.deadline:
--- a/wickspring/dataplane/request/model.py
+++ b/wickspring/dataplane/request/model.py
@@ -68,7 +68,7 @@
         "headers",
         "host",
         "id",
-        "is_repeat",
+        "is_retry",
         "method",
         "number",
         "quota_granted",
@@ -91,7 +91,7 @@
         self.host = ""
         self.id = ""
         self.tenant: Tenant | None = None
-        self.is_repeat = False  # its client has been here before, by the time that it has left
+        self.is_retry = False  # its client has been here before, by the time that it has left
         self.advice: list[tuple[str, float]] | None = None  # endpoints and costs; None: not received yet
         self.quota_granted = False
         self.streaming_attempt = 0  # number of the attempt whose response is being streamed
@@ -133,7 +133,7 @@
     upstream: Upstream
     data_plane_count: Callable[[], int]  # 0 where it is not known
     requests: dict[int, Request] = field(default_factory=dict)
-    unrepeatable_ids: set[str] = field(default_factory=set)  # of requests in progress
+    non_idempotent_ids: set[str] = field(default_factory=set)  # of requests in progress
     event_counts: Counter[str] = field(default_factory=Counter)
     _last_number: int = 0
 
--- a/wickspring/dataplane/request/quota_check.py
+++ b/wickspring/dataplane/request/quota_check.py
@@ -35,7 +35,7 @@
             self._grant(request)
             return
         self._context.quota.charge(self._context.clock.now(), tenant.name)
-        _PendingUnit(self, self._context, request, tenant).send()
+        _PendingQuotaUnit(self, self._context, request, tenant).send()
 
     def decide(self, request: Request, decision: QuotaDecision) -> None:
         """Carry out a decision on a request that has not ended meanwhile."""
@@ -52,7 +52,7 @@
         self._forwarder.send_if_ready(request)
 
 
-class _PendingUnit:
+class _PendingQuotaUnit:
     """One unit that its count's owner has been asked to add."""
 
     __slots__ = ("_cancel_timeout", "_checker", "_context", "_number", "_request", "_tenant")
@@ -70,23 +70,23 @@
         """Ask the owner; decide alone where none is in reach or none answers in time."""
         context = self._context
         request = self._request
-        self._number = context.quota_client.add(self._tenant.name, request.is_repeat, self._on_reply)
+        self._number = context.quota_client.add(self._tenant.name, request.is_retry, self._on_reply)
         if not self._number:
-            self._decide_alone()
+            self._decide_locally()
             return
         due = context.clock.now() + ADD_TIMEOUT_MS
-        self._cancel_timeout = context.timers.at(due, self._decide_alone).cancel
+        self._cancel_timeout = context.timers.at(due, self._decide_locally).cancel
 
     def _on_reply(self, total: int, limit: int, window_end_ms: float) -> None:
         self._cancel_timeout()
         if limit == NOT_OWNER_LIMIT:
-            self._decide_alone(answered=True)
+            self._decide_locally(answered=True)
             return
         now = self._context.clock.now()
         decision = self._context.quota.decide(now, self._tenant.name, total, limit, window_end_ms)
         self._checker.decide(self._request, decision)
 
-    def _decide_alone(self, answered: bool = False) -> None:
+    def _decide_locally(self, answered: bool = False) -> None:
         context = self._context
         context.event_counts["quota_decided_locally"] += 1
         data_planes = context.data_plane_count() or DEFAULT_DATA_PLANE_COUNT
--- a/wickspring/dataplane/request/response.py
+++ b/wickspring/dataplane/request/response.py
@@ -9,7 +9,7 @@
 from wickspring.common.errors import ERROR_RESPONSES, ErrorKind
 from wickspring.core.invariants import check_invariant
 from wickspring.dataplane.request.model import Request, RequestContext
-from wickspring.dataplane.upstream import SEAL_HEADER, BufferedResponse, ResponseHead, end_to_end_headers
+from wickspring.dataplane.upstream import SIGNATURE_HEADER, BufferedResponse, ResponseHead, end_to_end_headers
 from wickspring.net.calls import Client, retry_after
 from wickspring.net.http1_front import Http1Connection
 from wickspring.net.upstream.carrier import Sink
@@ -36,8 +36,10 @@
 
     def write(self, data: bytes) -> None:
         """Pass a part of the body on."""
-        waits = self.client.number == self.request.number
-        if self._is_current() and check_invariant(waits, "whom an answer is passed on to waits for it"):
+        if not self._is_current():
+            return
+        is_waiting = self.client.number == self.request.number
+        if check_invariant(is_waiting, "a streamed response goes to the client that waits for it"):
             self.client.write(data)
 
     async def room(self) -> bool:
@@ -61,8 +63,8 @@
         client = request.waiting_client()
         self._finish(request)
         self._context.event_counts["answered"] += 1
-        sealed = any(name == SEAL_HEADER and value for name, value in response.pairs)
-        check_invariant(sealed or not 200 <= response.code < 300, "a success bears its seal")
+        signed = any(name == SIGNATURE_HEADER and value for name, value in response.pairs)
+        check_invariant(signed or not 200 <= response.code < 300, "a success is signed")
         if isinstance(client, Http1Connection):
             client.answer(response.code, "", response.body, end_to_end_headers(response.pairs))
 
@@ -119,7 +121,7 @@
         attempts = request.attempts
         not_executed = attempts.not_executed and attempts.in_flight == 0
         truthful = not_executed or ERROR_RESPONSES[kind].status not in NOT_EXECUTED_STATUSES
-        if not check_invariant(truthful, "what may have run is not refused"):
+        if not check_invariant(truthful, "a request that may have run is not refused"):
             kind = ErrorKind.MAY_HAVE_RUN
         client = request.waiting_client()
         self._finish(request)
@@ -148,7 +150,7 @@
         request.cancel_deadline()
         request.cancel_hedge()
         self._context.requests.pop(request.number, None)
-        if not request.attempts.route.pure:  # a repeatable one may bear the id of one that is in progress
-            self._context.unrepeatable_ids.discard(request.id)
+        if not request.attempts.route.idempotent:  # an idempotent one may have the id of another in progress
+            self._context.non_idempotent_ids.discard(request.id)
         if request.feed is not None:
             request.feed.close()
--- a/wickspring/dataplane/request/startup_queue.py
+++ b/wickspring/dataplane/request/startup_queue.py
@@ -25,7 +25,7 @@
         self._started_at = context.clock.now()
         self._waiting: dict[int, IncomingRequest] = {}
 
-    def hold(self, incoming: IncomingRequest) -> None:
+    def enqueue(self, incoming: IncomingRequest) -> None:
         """Have a request wait; refuse it where the process has been up for long, or its body is long."""
         context = self._context
         if context.clock.now() - self._started_at > STARTUP_MS or incoming.feed is not None:
@@ -37,7 +37,7 @@
         self._waiting[number] = incoming
         context.timers.at(context.clock.now() + MAX_WAIT_MS, partial(self._on_timeout, number))
 
-    def release(self) -> None:
+    def admit_waiting(self) -> None:
         """Admit all waiting requests if it is known by now where requests go."""
         if not self._context.can_route():
             return
--- a/wickspring/dataplane/server.py
+++ b/wickspring/dataplane/server.py
@@ -28,15 +28,15 @@
 async def run(started: Bootstrap, seed: int, ended: trio.Event) -> None:
     """Run a data plane until `ended` is set; raise GatewayError where the settings name no listeners."""
     settings = started.settings
-    front = started.front
-    ready = started.ready
+    front = started.client_listener
+    ready = started.readiness_listener
     if front is None or ready is None:
         raise GatewayError(
             ErrorDetail(ErrorKind.BAD_SETTINGS, "bind: a data plane needs front_http and ready_addr")
         )
     async with trio.open_nursery() as nursery:
         data_plane = DataPlane(settings, nursery, seed)
-        data_plane.start(started.talk)
+        data_plane.start(started.peer_listener)
         probe = ReadinessProbe(data_plane, nursery, data_plane.memory_mb)
         nursery.start_soon(probe.timers.run)
         probe.tidy()
--- a/wickspring/dataplane/upstream.py
+++ b/wickspring/dataplane/upstream.py
@@ -1,6 +1,6 @@
 """Exchanges with endpoints: the shared connections, and what proves that a response is the endpoint's own.
 
-An endpoint names the attempt's id in its response and seals each success. A response without them, or one
+An endpoint names the attempt's id in its response and signs each success. A response without them, or one
 that could be spliced from two, is not believed, and its connection is closed (`docs/design/answers.md`).
 """
 
@@ -18,7 +18,7 @@
 from wickspring.net.upstream.http1 import AnswerReader, Http1Link
 
 ATTEMPT_ID_HEADER = "x-attempt-id"
-SEAL_HEADER = "x-server-seal"
+SIGNATURE_HEADER = "x-server-seal"  # the name is agreed with endpoints; its value is not checked here
 NOT_EXECUTED_HEADER = "x-not-executed"
 HOP_BY_HOP_HEADERS = frozenset(  # RFC 9110, section 7.6.1; the length is framed anew on each connection
     {
@@ -36,7 +36,7 @@
 )
 MISDIRECTED_REQUEST = 421  # RFC 9110, section 15.5.20: the endpoint is not who the request names
 BODILESS_STATUSES = (204, 304)
-_PROTECTED_HEADERS = frozenset({ATTEMPT_ID_HEADER, SEAL_HEADER})  # no connection may name these as its own
+_PROTECTED_HEADERS = frozenset({ATTEMPT_ID_HEADER, SIGNATURE_HEADER})  # never options of a connection
 _STATUS_LINE = re.compile(r"HTTP/[0-9.]+ [0-9]{3}")
 
 HeaderPairs = list[tuple[str, str]]
@@ -89,7 +89,7 @@
 
 
 def end_to_end_headers(pairs: HeaderPairs) -> HeaderPairs:
-    """Return the headers that are meant for the other end; attempt id and seal always are.
+    """Return the headers that are meant for the other end; attempt id and signature always are.
 
     The names come in lower case, as both ends' connections read them.
     """
@@ -115,7 +115,7 @@
     """Return whether a response is the endpoint's to this attempt, as far as its head can show.
 
     The response itself must tell its end: one that ends with its connection looks complete wherever it is
-    cut. A success must bear exactly one seal.
+    cut. A success must bear exactly one signature.
     """
     status = reader.code
     headers = dict(reader.pairs)
@@ -124,10 +124,10 @@
         return False
     if not answers_attempt(reader, exchange):
         return False
-    seals = [value for name, value in reader.pairs if name == SEAL_HEADER]
-    if len(seals) > 1:
+    signatures = [value for name, value in reader.pairs if name == SIGNATURE_HEADER]
+    if len(signatures) > 1:
         return False
-    return not (200 <= status < 300) or (any(seals) and "content-encoding" not in headers)
+    return not (200 <= status < 300) or (any(signatures) and "content-encoding" not in headers)
 
 
 class UpstreamConnection(Http1Link):
@@ -136,8 +136,8 @@
     _taken_before = 0  # bytes that the kernel had taken before the present job
 
     def begin(self, job: Job) -> None:
-        """Write the job; nothing is left over of what came before."""
-        check_invariant(not self.reader.http.trailing_data[0], "no bytes are left over for the next request")
+        """Write the job; nothing of an earlier response may be unread."""
+        check_invariant(not self.reader.http.trailing_data[0], "no bytes of an earlier response are unread")
         if self.link is not None:
             self._taken_before = self.link.taken
         super().begin(job)
--- a/wickspring/lab/simulation/gossip.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -185,7 +185,7 @@
             nursery.start_soon(data_plane.gossip.run)
         ips = list(self.group.data_planes)
         for data_plane in data_planes:
-            data_plane.gossip.introduce(self.random.sample(ips, min(INTRODUCTIONS, count)))
+            data_plane.gossip.join(self.random.sample(ips, min(INTRODUCTIONS, count)))
         self.result["all_know_all_s"] = await self.group.seconds_until(
             1.0, lambda data_plane: data_plane.gossip.members.size == count
         )
--- a/wickspring/lab/simulation/request_path/simulation.py
+++ b/wickspring/lab/simulation/request_path/simulation.py
@@ -124,7 +124,7 @@
                 self.ledger.fail("a client waits without end")
             await trio.sleep(LAST_EXECUTION_S)
             context = self.data_plane.request_context
-            if context.requests or context.unrepeatable_ids:
+            if context.requests or context.non_idempotent_ids:
                 self.ledger.fail("still owed", list(context.requests))
             nursery.cancel_scope.cancel()
 
--- a/wickspring/membership/swim.py
+++ b/wickspring/membership/swim.py
@@ -5,8 +5,8 @@
 indirectly through a few helpers, so that a path cut one way proves nothing; one that no helper reaches is
 suspected. The suspicion is piggybacked on later messages, and the suspect refutes it by a newer entry of its
 own, since whoever suspects it says so at the next exchange. A suspicion that is not refuted in time ends in
-"dead"; more accusers shorten that time, and a member whose local health is poor (late, or unanswered by
-everybody) gives the others more.
+"dead"; each further member that reports it shortens that time, and a member whose local health is poor
+(late, or unanswered by everybody) gives the others more.
 
 "Dead" withdraws nothing from a member: it says whom not to wait for. Rights and counts expire by their own
 times. Dead members are probed again now and then, so that the halves of a partition find each other.
@@ -67,7 +67,7 @@
     name: str
     incarnation: float
     heartbeat: int
-    accuser: str
+    suspected_by: str
 
 
 Info = TypeVar("Info", bound=MemberInfo)
@@ -79,7 +79,7 @@
 
     state: MemberState
     since: float
-    accusers: set[str] = field(default_factory=set)
+    suspected_by: set[str] = field(default_factory=set)
     last_contact_at: float = -math.inf
 
     def change_state(self, state: MemberState, now: float) -> None:
@@ -155,7 +155,7 @@
         dead = []
         for name, record in list(self._records.items()):
             if record.state is MemberState.SUSPECTED:
-                if now >= record.since + self._suspicion_timeout_s(len(record.accusers)):
+                if now >= record.since + self._suspicion_timeout_s(len(record.suspected_by)):
                     record.change_state(MemberState.DEAD, now)
                     dead.append(name)
             elif not record.active and now >= record.since + FORGET_S:
@@ -173,9 +173,9 @@
     def _worsen_local_health(self) -> None:
         self.local_health_score = min(MAX_LOCAL_HEALTH_SCORE, self.local_health_score + 1)
 
-    def _suspicion_timeout_s(self, accusers: int) -> float:
+    def _suspicion_timeout_s(self, confirmations: int) -> float:
         rounds = max(MIN_SUSPICION_ROUNDS, SUSPICION_ROUNDS_PER_LOG10 * math.log10(self.size + 1))
-        return self.period_s * rounds * (1.0 + 1.0 / max(1, accusers)) * (1 + self.local_health_score)
+        return self.period_s * rounds * (1.0 + 1.0 / max(1, confirmations)) * (1 + self.local_health_score)
 
     def next_probe_target(self) -> str | None:
         """Choose whom to probe in this round; None where nobody is known."""
@@ -219,7 +219,7 @@
         record = self._records[name]
         if record.state is not MemberState.ALIVE:
             record.change_state(MemberState.ALIVE, self.now)
-        record.accusers.clear()
+        record.suspected_by.clear()
         self._pending_suspicions.pop(name, None)
 
     # Suspicions.
@@ -242,9 +242,9 @@
             return
         if record.state is MemberState.ALIVE:
             record.change_state(MemberState.SUSPECTED, self.now)
-        if suspicion.accuser in record.accusers:
+        if suspicion.suspected_by in record.suspected_by:
             return
-        record.accusers.add(suspicion.accuser)
+        record.suspected_by.add(suspicion.suspected_by)
         sends = math.ceil(math.log2(len(self.entries) + 2))
         self._pending_suspicions[suspicion.name] = _PendingSuspicion(suspicion, sends)
         while len(self._pending_suspicions) > MAX_PENDING_SUSPICIONS:
