--- a/wickspring/ctl/__main__.py
+++ b/wickspring/ctl/__main__.py
@@ -14,6 +14,7 @@
 import fire
 import msgspec
 
+from wickspring.command_line.tables import format_table
 from wickspring.ctl.client import NoControlPlaneError, RefusedError, call, call_ok
 from wickspring.ctl.drills import DRILL_NAMES, describe_drills, stored_drill_name
 from wickspring.ctl.reports import (
@@ -25,7 +26,6 @@
     node_row,
     replica_rows,
 )
-from wickspring.ctl.tables import format_table
 
 DEFAULT_ADDRESSES = "127.0.1.1:8783,127.0.1.2:8783,127.0.1.3:8783"  # of a gateway started by `up`
 STATUS_COLUMNS = ("lighthouse", "state", "epoch", "held", "safe", "servers", "pilots")
