--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -118,6 +118,7 @@
     assert "wickspring.net.server" in loaded
     unwanted = {
         "click",
+        "fire",
         "rich",
         "rpds",
         "sqlite3",
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -9,11 +9,10 @@
 
 import msgspec
 import pytest
-from click.testing import CliRunner
 
+from tests.support.command_line import run_command
 from wickspring.config import build_settings, flatten
 from wickspring.lab.checks import rules
-from wickspring.lab.cli import lab
 from wickspring.lab.emulation import shape
 from wickspring.lab.experiments import scenario
 from wickspring.lab.experiments.run import run
@@ -88,7 +87,7 @@
 def test_a_fault_in_a_scenario_names_its_key(text: str, key: str, tmp_path: Path) -> None:
     path = tmp_path / "bad.toml"
     path.write_text('name = "bad"\nabout = ""\n' + text)
-    got = CliRunner().invoke(lab, ["run", str(path), "--out", str(tmp_path / "out")])
+    got = run_command("lab", "run", str(path), "--out", str(tmp_path / "out"))
     assert got.exit_code == 2
     assert "bad.toml" in got.stderr
     assert key in got.stderr
@@ -221,7 +220,7 @@
     path = tmp_path / "mine.toml"
     path.write_text(text.replace(old, new, 1))
     words = ["run", "steady", "--site", str(path), "--out", str(tmp_path / "out")]
-    got = CliRunner().invoke(lab, words)
+    got = run_command("lab", *words)
     assert got.exit_code == 2
     assert "mine.toml" in got.stderr
     assert key in got.stderr
@@ -299,7 +298,7 @@
 
 
 def test_a_calm_site_is_served(tmp_path: Path) -> None:
-    got = CliRunner().invoke(lab, ["run", "steady", "--seconds", "2", "--seed", "5", "--out", str(tmp_path)])
+    got = run_command("lab", "run", "steady", "--seconds", "2", "--seed", "5", "--out", str(tmp_path))
     assert got.exit_code == 0, got.output
     written = json.loads((tmp_path / "result.json").read_text())
     needed = (
@@ -324,10 +323,10 @@
     assert written["reuses"] > written["dials"]
     assert (tmp_path / "plot.png").stat().st_size > 10_000
     assert re.search(r"\| requests \| \d+ \|", (tmp_path / "report.md").read_text())
-    both = CliRunner().invoke(lab, ["compare", str(tmp_path), str(tmp_path)])
+    both = run_command("lab", "compare", str(tmp_path), str(tmp_path))
     assert both.exit_code == 0
     assert "1.000" in both.output
-    again = CliRunner().invoke(lab, ["report", str(tmp_path)])
+    again = run_command("lab", "report", str(tmp_path))
     assert again.exit_code == 0
 
 
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -6,18 +6,16 @@
 import threading
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
-from functools import partial
 from pathlib import Path
 
 import pytest
 import trio
-from click.testing import CliRunner
 
 from tests.agent.test_config import example
+from tests.support.command_line import run_command
 from tests.support.ingress import client1, request, site
 from tests.support.policy_gateway import Gateway, make_settings
 from wickspring import interface as api
-from wickspring.commands import top
 from wickspring.interface import ListKind, Readiness
 from wickspring.lab.emulation.site import free_port
 from wickspring.net import admin_api, listening
@@ -259,14 +257,13 @@
         text += f'listen = "127.0.0.1:{5000 + number}"\nadmin_addr = "127.0.0.1:{port}"\n'
     file.write_text(text)
     try:
-        run = partial(CliRunner().invoke, top)
-        assert run(["ready", str(file), "n0"]).exit_code == 0
-        assert run(["exclude", str(file), "s1", "n0"]).exit_code == 0
+        assert run_command("ready", str(file), "n0").exit_code == 0
+        assert run_command("exclude", str(file), "s1", "n0").exit_code == 0
         assert desk.calls == [("exclude", b"s1")]
-        assert run(["include", str(file), "x1", "n0"]).exit_code == 1
-        got = run(["ready", str(file)])
+        assert run_command("include", str(file), "x1", "n0").exit_code == 1
+        got = run_command("ready", str(file))
         assert got.exit_code == 1 and "did not follow: n1" in got.output
-        assert run(["ready", str(file), "n7"]).exit_code == 2
+        assert run_command("ready", str(file), "n7").exit_code == 2
     finally:
         ends[0]()
         thread.join()
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -14,12 +14,11 @@
 import msgspec
 import pytest
 import trio
-from click.testing import CliRunner
 
+from tests.support.command_line import run_command
 from tests.support.policy_gateway import make_settings
 from wickspring import config
 from wickspring import interface as api
-from wickspring.commands import top
 from wickspring.config import Bounds
 from wickspring.lab.emulation import peer_ingresses
 from wickspring.lab.emulation.site import free_port
@@ -445,7 +444,7 @@
     ):
         assert not [name for name in off if name == package or name.startswith(package + ".")]
     on = loaded("import wickspring.net.peers\n")
-    for package in ("rpds", "click", "rich", "sqlite3", "numpy", "cryptography", "wickspring.fleet"):
+    for package in ("rpds", "click", "fire", "rich", "sqlite3", "numpy", "cryptography", "wickspring.fleet"):
         assert package not in on
 
 
@@ -588,7 +587,7 @@
         old.terminate()
         assert old.wait(10) == 0
         logged(tmp_path, "peers", 2)
-        got = CliRunner().invoke(top, ["peers", "status", f"127.0.0.1:{place}", "--json"])
+        got = run_command("peers", "status", f"127.0.0.1:{place}", "--json")
         assert json.loads(got.output.partition("\n}")[0] + "}")["slot"] == 0
     finally:
         for process in (old, new):
@@ -650,12 +649,11 @@
 
     try:
         trio.run(main)
-        runner = CliRunner()
-        got = runner.invoke(top, ["peers", "status", f"127.0.0.1:{place}"])
+        got = run_command("peers", "status", f"127.0.0.1:{place}")
         assert "hall" in got.output
-        got = runner.invoke(top, ["peers", "status", str(peers), "--json"])
+        got = run_command("peers", "status", str(peers), "--json")
         assert '"slots"' in got.output
-        assert runner.invoke(top, ["peers", "status", "nowhere"]).exit_code == 2
+        assert run_command("peers", "status", "nowhere").exit_code == 2
     finally:
         process.terminate()
         assert process.wait(10) == 0
--- a/wickspring/commands/fleet/commands.py
+++ b/wickspring/commands/fleet/commands.py
@@ -1,4 +1,4 @@
-"""Commands for a fleet: what it is, what is to become of it, and how far that has come.
+"""The group `fleet` of the command line.
 
 Exit codes: 0 where all went well, 1 where some did not follow (or nobody answers), 2 where configuration or
 words are at fault, 3 where another operation holds the instances.
@@ -8,486 +8,284 @@
 
 import getpass
 import logging
-import secrets
-import time
-from collections.abc import Callable
+import os
 from pathlib import Path
-from typing import Any
 
-import click
 import msgspec
 import trio
 
 from wickspring import logs
 from wickspring.agent import wire
-from wickspring.commands import fail
+from wickspring.command_line.errors import CommandError, ExitCode
+from wickspring.command_line.tables import format_json
+from wickspring.commands.fleet.client import FleetClient
+from wickspring.commands.fleet.operations import OperationFollower, OperationOptions, choose, operate
+from wickspring.commands.fleet.output import (
+    HistoryEntry,
+    agents_line,
+    entry_table,
+    history_line,
+    status_table,
+)
 from wickspring.config import ConfigError
-from wickspring.fleet.file import Fleet, load_fleet
-from wickspring.fleet.model import Kind, Operation, Phase, Record, Step
-from wickspring.fleet.selector import SelectorError, parse
+from wickspring.fleet.file import load_fleet
+from wickspring.fleet.model import Kind, Operation, Record
 from wickspring.wire import WireError
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.4  # between two looks while following
-SILENT_S = 60.0  # without an agent that tells of the operation, following ends
-HELD = 3
-
-
-class Way:
-    """How agents are reached: the local sockets first, then by address."""
-
-    def __init__(self, fleet: Fleet, via: str | None) -> None:
-        self.fleet = fleet
-        self.agents = [fleet.agent(via)] if via else list(fleet.file.agent)
-        self.tls = None
-        tls = fleet.file.tls
-        if tls is not None and tls.cert and tls.key:
-            from wickspring.tls import Certificates
-
-            here = fleet.here
-            self.tls = Certificates(here / tls.ca, here / tls.cert, here / tls.key)
-
-    async def ask(self, message: wire.Message, only: str = "") -> wire.Answer:
-        """Ask the first agent that answers."""
-        faults = []
-        for agent in self.agents:
-            if only and agent.name != only:
-                continue
-            ways: list[tuple[str, Any]] = []
-            local = (self.fleet.here / agent.state / "local").resolve()
-            if local.exists():
-                ways.append((str(local), None))
-            if self.fleet.file.tls is None or self.tls is not None:
-                ways.append((agent.address, self.tls.client() if self.tls is not None else None))
-            if not ways:
-                faults.append(f"agent {agent.name}: no local socket, and tls.cert and tls.key are not set")
-            for address, tls in ways:
-                try:
-                    return await wire.exchange(address, f"agent {agent.name}", message, tls, agent.name)
-                except WireError as error:
-                    faults.append(str(error))
-        raise WireError("; ".join(faults) or f"no agent is called {only}")
-
-
-def common(command: Callable[..., None]) -> Callable[..., None]:
-    """Add the options that every command has."""
-    for option in (
-        click.option("--json", "as_json", is_flag=True, help="Print JSON."),
-        click.option("--via", help="Ask this agent; by default the first that answers."),
-        click.option(
-            "--fleet",
-            "file",
-            type=click.Path(path_type=Path),
-            default=Path("fleet.toml"),
-            envvar="WICKSPRING_FLEET",
-            show_default=True,
-            help="The fleet file.",
-        ),
-    ):
-        command = option(command)
-    return command
-
-
-def selection(command: Callable[..., None]) -> Callable[..., None]:
-    """Add the selection, and the options of operations."""
-    for option in (
-        click.argument("select", nargs=-1),
-        click.option("--dry-run", is_flag=True, help="Print the plan; nothing is done."),
-        click.option(
-            "--batch", type=click.IntRange(1), default=1, show_default=True, help="Instances at a time."
-        ),
-        click.option("--below-floor", is_flag=True, help="Have more down than the rules allow."),
-        click.option(
-            "--no-wait", is_flag=True, help="Leave once it has begun; `fleet follow` takes it up again."
-        ),
-        click.option("--by", default=getpass.getuser, help="Who asks, on a local socket."),
-    ):
-        command = option(command)
-    return common(command)
-
-
-def open_way(file: Path, via: str | None) -> Way:
-    """Read the fleet file."""
-    try:
-        return Way(load_fleet(file, configs=False), via)
-    except ConfigError as error:
-        raise fail(error, 2) from error
-
-
-def ask(way: Way, message: wire.Message, only: str = "") -> wire.Answer:
-    """Ask, or end with what is wrong."""
-    try:
-        return trio.run(way.ask, message, only)
-    except WireError as error:
-        raise fail(error) from error
-
-
-def show_json(value: Any) -> None:
-    """Print a value as JSON."""
-    click.echo(msgspec.json.format(msgspec.json.encode(value), indent=1).decode())
-
-
-def table(*columns: str) -> Any:
-    """Make a table."""
-    from rich.table import Table
+FLEET_VARIABLE = "WICKSPRING_FLEET"
+DEFAULT_FLEET_FILE = "fleet.toml"
+MAX_HISTORY_LINES = 10_000
 
-    return Table(*columns, box=None, pad_edge=False)
 
+class FleetCommands:
+    """Many instances under many agents.
 
-def show(thing: Any) -> None:
-    """Print a table, as wide as it is where nobody looks."""
-    from rich.console import Console
+    Args:
+        fleet: the fleet file; by default that of WICKSPRING_FLEET, or fleet.toml.
+        via: ask this agent; by default the first that answers.
+        json: print JSON.
+    """
 
-    console = Console()
-    if not console.is_terminal:
-        console = Console(width=200)
-    console.print(thing)
+    def __init__(self, fleet: Path | None = None, via: str = "", json: bool = False) -> None:
+        self._file = fleet or Path(os.environ.get(FLEET_VARIABLE) or DEFAULT_FLEET_FILE)
+        self._via = via
+        self._as_json = json
 
+    def agent(self, name: str) -> None:
+        """Run the agent NAME of the fleet; its instances outlive it."""
+        from wickspring.agent.node import Node, NodeError
+        from wickspring.agent.store import StoreError
 
-def held_by(record: Record) -> str:
-    """Say who holds an instance."""
-    claim = record.claim
-    if claim is None or claim.until < time.time():
-        return "-"
-    return f"{claim.by}: {claim.what} {claim.operation}"
-
-
-@click.group()
-def fleet() -> None:
-    """Many instances under many agents."""
-
-
-@fleet.command("agent")
-@click.argument("name")
-@click.option(
-    "--fleet", "file", type=click.Path(path_type=Path), default=Path("fleet.toml"), envvar="WICKSPRING_FLEET"
-)
-def run_agent(name: str, file: Path) -> None:
-    """Run the agent NAME of the fleet; its instances outlive it."""
-    from wickspring.agent.node import Node, NodeError
-    from wickspring.agent.store import StoreError
-
-    logs.setup()
-    try:
-        node = Node(load_fleet(file.resolve()), name)
-        trio.run(node.run)
-    except ConfigError as error:
-        log.error("bad_configuration", extra=logs.kv(reason=error))
-        raise SystemExit(2) from error
-    except (NodeError, StoreError) as error:
-        log.error("cannot_run", extra=logs.kv(reason=error))
-        raise SystemExit(1) from error
-
-
-@fleet.command()
-@click.argument("file", type=click.Path(path_type=Path))
-def check(file: Path) -> None:
-    """Check a fleet file and all that it names."""
-    try:
-        found = load_fleet(file).file
-    except ConfigError as error:
-        raise fail(error, 2) from error
-    click.echo(
-        f"{file.name}: {len(found.agent)} agents, {len(found.instance)} instances, {len(found.build)} builds"
-    )
-
-
-@fleet.command()
-@click.argument("select", nargs=-1)
-@common
-def status(select: tuple[str, ...], file: Path, via: str | None, as_json: bool) -> None:
-    """Tell how the instances and agents are; fails unless all that are to run are ready."""
-    answer = ask(open_way(file, via), wire.Show())
-    records = choose(select, answer)
-    if as_json:
-        show_json(msgspec.structs.replace(answer, records=records))
-    else:
-        rows = table(
-            "instance",
-            "hall",
-            "agent",
-            "state",
-            "build",
-            "wanted",
-            "requests",
-            "failed",
-            "starts",
-            "held by",
-            "note",
-        )
-        for one in records:
-            seen, want = one.seen, one.want
-            wanted = f"run {want.build}" if want.run else "stopped"
-            rows.add_row(
-                one.name,
-                one.hall,
-                one.agent,
-                seen.state,
-                seen.build or "-",
-                wanted,
-                str(seen.requests),
-                str(seen.failed),
-                str(seen.starts),
-                held_by(one),
-                seen.note or "-",
-            )
-        show(rows)
-        ill = [f"{one.name} {one.health}" for one in answer.agents if one.health != "alive"]
-        click.echo(f"agents: {len(answer.agents)}" + (f"; {', '.join(ill)}" if ill else ", all alive"))
-        if not answer.quorum:
-            click.echo("this agent hears too few of the others to begin anything")
-    if any(one.want.run and not one.seen.ready for one in records):
-        raise SystemExit(1)
-
-
-def choose(select: tuple[str, ...], answer: wire.Answer) -> tuple[Record, ...]:
-    """Apply a selection to what an agent told."""
-    try:
-        return parse(select).choose(answer.records)
-    except SelectorError as error:
-        raise fail(error, 2) from error
-
-
-def operate(
-    kind: Kind,
-    select: tuple[str, ...],
-    file: Path,
-    via: str | None,
-    as_json: bool,
-    dry_run: bool,
-    batch: int,
-    below_floor: bool,
-    no_wait: bool,
-    by: str,
-    build: str = "",
-) -> None:
-    """Begin an operation, and follow it to its end."""
-    way = open_way(file, via)
-    if build and way.fleet.build(build) is None:
-        raise fail(f"{file.name}: there is no build {build!r}", 2)
-    answer = ask(way, wire.Show())
-    records = choose(select, answer)
-    if not records:
-        raise fail("no instance is chosen", 2)
-    if dry_run:
-        show_plan(kind, records, build, batch, as_json)
-        return
-    names = tuple(one.name for one in records)
-    number = f"{kind.value}-{secrets.token_hex(3)}"
-    submit = wire.Submit(kind, names, build, batch, below_floor, by, number)
-    begun = ask(way, submit)
-    if begun.error or begun.operation is None:
-        raise fail(begun.error or "the agent did not take it", 2)
-    if no_wait:
-        show_json(begun.operation) if as_json else click.echo(
-            f"{number} has begun at {begun.operation.coordinator}"
-        )
-        return
-    if not as_json:
-        click.echo(
-            f"{number}: {kind.value} of {len(names)} instances, coordinated by {begun.operation.coordinator}"
-        )
-    follow_to_end(way, number, as_json)
-
-
-def show_plan(kind: Kind, records: tuple[Record, ...], build: str, batch: int, as_json: bool) -> None:
-    """Print what an operation would do, batch by batch."""
-    from wickspring.fleet import rollout
-
-    operation = rollout.plan(
-        kind, records, id="plan", by="", coordinator="", now=0.0, build=build, batch=batch
-    )
-    known = {one.name: one for one in records}
-    steps = []
-    for index, one in enumerate(operation.instances):
-        run, goal, anew = rollout.target(operation, one, known[one.instance])
-        steps.append(
-            {
-                "batch": index // batch + 1,
-                "instance": one.instance,
-                "hall": one.hall,
-                "agent": one.agent,
-                "from": f"run {one.build_before}" if one.run_before else "stopped",
-                "to": (f"run {goal}" if run else "stopped") + (" anew" if anew else ""),
-                "held_by": held_by(known[one.instance]),
-            }
-        )
-    if as_json:
-        show_json(steps)
-        return
-    rows = table("batch", "instance", "hall", "agent", "from", "to", "held by")
-    for step in steps:
-        rows.add_row(*(str(value) for value in step.values()))
-    show(rows)
-
-
-def find(way: Way, number: str) -> Operation | None:
-    """Return an operation as an agent tells of it."""
-    answer = trio.run(way.ask, wire.Show())
-    return next((one for one in answer.operations if one.id == number), None)
-
-
-def follow_to_end(way: Way, number: str, as_json: bool) -> None:
-    """Print what changes until the operation has ended; then who did not follow and why."""
-    said: dict[str, tuple[Step, str]] = {}
-    heard = time.monotonic()
-    while True:
+        logs.setup()
         try:
-            operation = find(way, number)
-        except WireError as error:
-            operation, fault = None, str(error)
-        else:
-            fault = f"no agent tells of {number}"
-        if operation is not None:
-            heard = time.monotonic()
-            if not as_json:
-                for one in operation.instances:
-                    if said.get(one.instance) != (one.step, one.note) and one.step is not Step.PENDING:
-                        click.echo(f"  {one.instance:<16} {one.step.value:<9} {one.note}".rstrip())
-                    said[one.instance] = one.step, one.note
-            if operation.phase.ended:
-                break
-        elif time.monotonic() - heard > SILENT_S:
-            raise fail(f"{fault}; it may go on: `fleet follow {number}` takes it up again")
-        time.sleep(LOOK_S)
-    if as_json:
-        show_json(operation)
-    else:
-        behind = operation.did_not_follow
-        took = operation.ended_at - operation.at
-        click.echo(
-            f"{number}: {operation.phase.value} after {took:.1f} s"
-            + (f": {operation.reason}" if operation.reason else "")
+            trio.run(Node(load_fleet(self._file.resolve()), name).run)
+        except ConfigError as error:
+            log.error("bad_configuration", extra=logs.kv(reason=error))
+            raise CommandError(code=ExitCode.USAGE) from error
+        except (NodeError, StoreError) as error:
+            log.error("cannot_run", extra=logs.kv(reason=error))
+            raise CommandError from error
+
+    def check(self, file: Path) -> str:
+        """Check a fleet file and all that it names."""
+        try:
+            found = load_fleet(file).file
+        except ConfigError as error:
+            raise CommandError(error, ExitCode.USAGE) from error
+        return (
+            f"{file.name}: {len(found.agent)} agents, {len(found.instance)} instances, "
+            f"{len(found.build)} builds"
         )
-        for one in behind:
-            click.echo(f"did not follow: {one.instance} ({one.step.value}) {one.note}".rstrip())
-    if operation.phase is not Phase.DONE:
-        raise SystemExit(HELD if operation.phase is Phase.REFUSED else 1)
-
-
-@fleet.command()
-@selection
-def start(**options: Any) -> None:
-    """Start instances."""
-    operate(Kind.START, **options)
 
+    def status(self, *select: str) -> None:
+        """Show how the instances and agents are; fails unless all that are to run are ready."""
+        answer = self._client().request(wire.Show())
+        records = choose(select, answer)
+        if self._as_json:
+            print(format_json(msgspec.structs.replace(answer, records=records)))
+        else:
+            print(status_table(records))
+            print(agents_line(answer))
+        if any(record.want.run and not record.seen.ready for record in records):
+            raise CommandError
+
+    def start(
+        self,
+        *select: str,
+        dry_run: bool = False,
+        batch: int = 1,
+        below_floor: bool = False,
+        no_wait: bool = False,
+        by: str = "",
+    ) -> None:
+        """Start instances.
+
+        Args:
+            select: which instances; by default all.
+            dry_run: print the plan; nothing is done.
+            batch: instances at a time.
+            below_floor: have more down than the rules allow.
+            no_wait: leave once it has begun; `fleet follow` takes it up again.
+            by: who asks, on a local socket.
+        """
+        self._operate(Kind.START, select, OperationOptions(_user(by), dry_run, batch, below_floor, no_wait))
+
+    def drain(
+        self,
+        *select: str,
+        dry_run: bool = False,
+        batch: int = 1,
+        below_floor: bool = False,
+        no_wait: bool = False,
+        by: str = "",
+    ) -> None:
+        """Have instances finish what they have taken, and stop.
+
+        Args:
+            select: which instances; by default all.
+            dry_run: print the plan; nothing is done.
+            batch: instances at a time.
+            below_floor: have more down than the rules allow.
+            no_wait: leave once it has begun; `fleet follow` takes it up again.
+            by: who asks, on a local socket.
+        """
+        self._operate(Kind.DRAIN, select, OperationOptions(_user(by), dry_run, batch, below_floor, no_wait))
+
+    def restart(
+        self,
+        *select: str,
+        dry_run: bool = False,
+        batch: int = 1,
+        below_floor: bool = False,
+        no_wait: bool = False,
+        by: str = "",
+    ) -> None:
+        """Start instances anew, batch by batch.
+
+        Args:
+            select: which instances; by default all.
+            dry_run: print the plan; nothing is done.
+            batch: instances at a time.
+            below_floor: have more down than the rules allow.
+            no_wait: leave once it has begun; `fleet follow` takes it up again.
+            by: who asks, on a local socket.
+        """
+        self._operate(Kind.RESTART, select, OperationOptions(_user(by), dry_run, batch, below_floor, no_wait))
+
+    def upgrade(
+        self,
+        build: str,
+        *select: str,
+        dry_run: bool = False,
+        batch: int = 1,
+        below_floor: bool = False,
+        no_wait: bool = False,
+        by: str = "",
+    ) -> None:
+        """Have instances run BUILD, batch by batch; goes back by itself where it fails.
+
+        Args:
+            build: the build to run.
+            select: which instances; by default all.
+            dry_run: print the plan; nothing is done.
+            batch: instances at a time.
+            below_floor: have more down than the rules allow.
+            no_wait: leave once it has begun; `fleet follow` takes it up again.
+            by: who asks, on a local socket.
+        """
+        options = OperationOptions(_user(by), dry_run, batch, below_floor, no_wait)
+        self._operate(Kind.UPGRADE, select, options, build)
+
+    def rollback(
+        self,
+        *select: str,
+        to: str = "",
+        dry_run: bool = False,
+        batch: int = 1,
+        below_floor: bool = False,
+        no_wait: bool = False,
+        by: str = "",
+    ) -> None:
+        """Have instances run the build they had before.
+
+        Args:
+            select: which instances; by default all.
+            to: the build; by default the one before the present.
+            dry_run: print the plan; nothing is done.
+            batch: instances at a time.
+            below_floor: have more down than the rules allow.
+            no_wait: leave once it has begun; `fleet follow` takes it up again.
+            by: who asks, on a local socket.
+        """
+        options = OperationOptions(_user(by), dry_run, batch, below_floor, no_wait)
+        self._operate(Kind.ROLLBACK, select, options, to)
+
+    def follow(self, operation: str) -> None:
+        """Take up an operation that goes on, to its end."""
+        client = self._client()
+        _find_operation(client, operation)
+        OperationFollower(client, operation, self._as_json).follow()
+
+    def cancel(self, operation: str, *, by: str = "") -> str:
+        """Have an operation begin nothing more.
+
+        Args:
+            operation: id of the operation.
+            by: who asks, on a local socket.
+        """
+        client = self._client()
+        coordinator = _find_operation(client, operation).coordinator
+        user = _user(by)
+        answer = client.request(wire.Cancel(operation, user), coordinator)
+        if answer.error:
+            raise CommandError(answer.error)
+        return format_json(answer.operation) if self._as_json else f"{operation}: cancelled by {user}"
+
+    def inspect(self, name: str) -> str:
+        """Show all that is known of an instance, an operation or an agent."""
+        answer = self._client().request(wire.Show())
+        found: list[Record | Operation | wire.AgentView] = [
+            *(record for record in answer.records if record.name == name),
+            *(operation for operation in answer.operations if operation.id == name),
+            *(agent for agent in answer.agents if agent.name == name),
+        ]
+        if not found:
+            raise CommandError(f"there is no instance, operation or agent called {name}", ExitCode.USAGE)
+        if self._as_json:
+            return format_json(found if len(found) > 1 else found[0])
+        return "\n".join(entry_table(entry) for entry in found)
+
+    def history(self, *, most: int = 50) -> None:
+        """Show what was asked and done, by the agents that answer.
+
+        Args:
+            most: lines of each agent, 1 to 10000.
+        """
+        if not 1 <= most <= MAX_HISTORY_LINES:
+            raise CommandError(f"--most: {most} is not in 1 to {MAX_HISTORY_LINES}", ExitCode.USAGE)
+        client = self._client()
+        entries, faults = _read_history(client, most)
+        if self._as_json:
+            print(format_json(entries))
+        else:
+            for entry in entries:
+                print(history_line(entry))
+        if faults:
+            raise CommandError("\n".join(faults))
 
-@fleet.command()
-@selection
-def drain(**options: Any) -> None:
-    """Have instances finish what they have taken, and stop."""
-    operate(Kind.DRAIN, **options)
-
-
-@fleet.command()
-@selection
-def restart(**options: Any) -> None:
-    """Start instances anew, batch by batch."""
-    operate(Kind.RESTART, **options)
-
+    def _client(self) -> FleetClient:
+        return FleetClient(self._file, self._via)
 
-@fleet.command()
-@click.argument("build")
-@selection
-def upgrade(build: str, **options: Any) -> None:
-    """Have instances run BUILD, batch by batch; goes back by itself where it fails."""
-    operate(Kind.UPGRADE, build=build, **options)
+    def _operate(
+        self, kind: Kind, select: tuple[str, ...], options: OperationOptions, build: str = ""
+    ) -> None:
+        operate(self._client(), kind, select, options, build=build, as_json=self._as_json)
 
 
-@fleet.command()
-@click.option("--to", "build", default="", help="The build; by default the one before the present.")
-@selection
-def rollback(build: str, **options: Any) -> None:
-    """Have instances run the build they had before."""
-    operate(Kind.ROLLBACK, build=build, **options)
+def _user(by: str) -> str:
+    return by or getpass.getuser()
 
 
-@fleet.command()
-@click.argument("operation")
-@common
-def follow(operation: str, file: Path, via: str | None, as_json: bool) -> None:
-    """Take up an operation that goes on, to its end."""
-    way = open_way(file, via)
+def _find_operation(client: FleetClient, operation_id: str) -> Operation:
     try:
-        if find(way, operation) is None:
-            raise fail(f"no agent tells of {operation}", 2)
+        operation = client.find_operation(operation_id)
     except WireError as error:
-        raise fail(error) from error
-    follow_to_end(way, operation, as_json)
+        raise CommandError(error) from error
+    if operation is None:
+        raise CommandError(f"no agent tells of {operation_id}", ExitCode.USAGE)
+    return operation
 
 
-@fleet.command()
-@click.argument("operation")
-@click.option("--by", default=getpass.getuser, help="Who asks, on a local socket.")
-@common
-def cancel(operation: str, by: str, file: Path, via: str | None, as_json: bool) -> None:
-    """Have an operation begin nothing more."""
-    way = open_way(file, via)
-    try:
-        found = find(way, operation)
-    except WireError as error:
-        raise fail(error) from error
-    if found is None:
-        raise fail(f"no agent tells of {operation}", 2)
-    answer = ask(way, wire.Cancel(operation, by), found.coordinator)
-    if answer.error:
-        raise fail(answer.error)
-    show_json(answer.operation) if as_json else click.echo(f"{operation}: cancelled by {by}")
-
-
-@fleet.command()
-@click.argument("name")
-@common
-def inspect(name: str, file: Path, via: str | None, as_json: bool) -> None:
-    """Tell all that is known of an instance, an operation or an agent."""
-    answer = ask(open_way(file, via), wire.Show())
-    found: list[Any] = [one for one in answer.records if one.name == name]
-    found += [one for one in answer.operations if one.id == name]
-    found += [one for one in answer.agents if one.name == name]
-    if not found:
-        raise fail(f"there is no instance, operation or agent called {name}", 2)
-    if as_json:
-        show_json(found if len(found) > 1 else found[0])
-        return
-    for one in found:
-        rows = table("field", "value")
-        for key, value in msgspec.to_builtins(one).items():
-            if isinstance(value, list):
-                for inner in value:
-                    rows.add_row(
-                        key,
-                        ", ".join(f"{k}={v}" for k, v in inner.items() if v not in ("", None, []))
-                        if isinstance(inner, dict)
-                        else str(inner),
-                    )
-            else:
-                rows.add_row(key, str(value))
-        show(rows)
-
-
-@fleet.command()
-@click.option(
-    "--most", type=click.IntRange(1, 10_000), default=50, show_default=True, help="Lines of each agent."
-)
-@common
-def history(most: int, file: Path, via: str | None, as_json: bool) -> None:
-    """Tell what was asked and done, by the agents that answer."""
-    way = open_way(file, via)
-    lines, faults = list[tuple[float, str, str]](), list[str]()
-    for one_agent in way.agents:
+def _read_history(client: FleetClient, most: int) -> tuple[list[HistoryEntry], list[str]]:
+    """Return the last lines of each agent in order of time, and why agents did not answer."""
+    entries, faults = list[HistoryEntry](), list[str]()
+    for agent in client.agents:
         try:
-            answer = trio.run(way.ask, wire.Show(most), one_agent.name)
-            lines += [(one.at, one_agent.name, one.text) for one in answer.history]
+            answer = client.exchange(wire.Show(most), agent.name)
         except WireError as error:
             faults.append(str(error))
-    lines.sort()
-    if as_json:
-        show_json([{"at": at, "agent": agent, "text": text} for at, agent, text in lines])
-    else:
-        for at, agent, text in lines:
-            click.echo(f"{time.strftime('%Y-%m-%d %H:%M:%S', time.localtime(at))} {agent:<10} {text}")
-    for fault in faults:
-        click.echo(fault, err=True)
-    if faults:
-        raise SystemExit(1)
+        else:
+            entries += [HistoryEntry(line.at, agent.name, line.text) for line in answer.history]
+    return sorted(entries), faults
