--- a/tests/command_line/test_runner.py
+++ b/tests/command_line/test_runner.py
@@ -7,7 +7,7 @@
 import pytest
 
 from wickspring.command_line.errors import CommandError, ExitCode
-from wickspring.command_line.runner import run
+from wickspring.command_line.runner import run, run_single
 
 calls: list[tuple[object, ...]] = []
 
@@ -137,3 +137,33 @@
     printed = capsys.readouterr()
     assert "check-all" in printed.err and not printed.out
     assert not calls
+
+
+def measure(*names: str, seeds: int = 2, plot: bool = False) -> None:
+    """Measure something."""
+    calls.append(("measure", names, seeds, plot))
+
+
+@pytest.mark.parametrize(
+    ("words", "call"),
+    [
+        ("", ("measure", (), 2, False)),
+        ("a 7 --plot", ("measure", ("a", "7"), 2, True)),
+        ("--plot a --seeds 3", ("measure", ("a",), 3, True)),
+    ],
+)
+def test_a_program_of_a_single_command(words: str, call: tuple[object, ...]) -> None:
+    assert run_single(measure, words.split(), "toy") == ExitCode.OK
+    assert calls == [call]
+
+
+@pytest.mark.parametrize("words", ["--seeds x", "--plto a", "a --seeds"])
+def test_faulty_words_of_a_single_command(words: str) -> None:
+    assert run_single(measure, words.split(), "toy") == ExitCode.USAGE
+    assert not calls
+
+
+def test_help_of_a_single_command(capsys: pytest.CaptureFixture[str]) -> None:
+    assert run_single(measure, ["a", "--help"], "toy") == ExitCode.OK
+    assert "Measure something." in capsys.readouterr().out
+    assert not calls
--- a/wickspring/command_line/arguments.py
+++ b/wickspring/command_line/arguments.py
@@ -68,24 +68,37 @@
         return Words(command, (command,) if command else (), wants_help)
     method = find_method(commands, command)
     arguments = tuple(_joined(given, group_options | _options(method)))
-    _check_complete(command, method, arguments)
+    _check_complete(command, method, arguments, skipped=1)
     return Words(command, arguments, wants_help=False)
 
 
+def prepare_single(function: Callable[..., object], given: Sequence[str], program: str) -> Words:
+    """Check the words given for a program that is a single command; `CommandError` as `prepare` does."""
+    if any(word in HELP_OPTIONS for word in _before_end_of_options(given)):
+        return Words(program, (), wants_help=True)
+    arguments = tuple(_joined(given, _options(function)))
+    _check_complete(program, function, arguments)
+    return Words(program, arguments, wants_help=False)
+
+
 def option_names(target: Callable[..., object]) -> tuple[str, ...]:
     """Return the options of a group's constructor or of a command as they are typed."""
     return tuple(f"{OPTION_PREFIX}{_typed(name)}" for name in _options(target))
 
 
-def set_converters(commands: type) -> None:
+def set_group_converters(commands: type) -> None:
     """Have Fire convert the words for a group's constructor and commands as their annotations say."""
-    methods = [find_method(commands, name) for name in command_names(commands)]
-    targets: list[Callable[..., object]] = [commands, *methods]
-    for target in targets:
-        annotations = _annotations(target)
-        converters = {name: _converter(name, kind) for name, kind in annotations.items() if name != "return"}
-        decorators.SetParseFn(str)(target)
-        decorators.SetParseFns(**converters)(target)
+    set_converters(commands)
+    for name in command_names(commands):
+        set_converters(find_method(commands, name))
+
+
+def set_converters(target: Callable[..., object]) -> None:
+    """Have Fire convert the words for a function as its annotations say."""
+    annotations = _annotations(target)
+    converters = {name: _converter(name, kind) for name, kind in annotations.items() if name != "return"}
+    decorators.SetParseFn(str)(target)
+    decorators.SetParseFns(**converters)(target)
 
 
 def _joined(given: Sequence[str], options: Mapping[str, type]) -> Iterator[str]:
@@ -135,13 +148,22 @@
     return ""
 
 
-def _check_complete(command: str, method: Callable[..., object], arguments: Sequence[str]) -> None:
-    """Refuse more or fewer words than a command has parameters for, those given by name included."""
-    parameters = list(inspect.signature(method).parameters.values())[1:]
+def _check_complete(
+    command: str, function: Callable[..., object], arguments: Sequence[str], skipped: int = 0
+) -> None:
+    """Refuse more or fewer words than a command has parameters for, those given by name included.
+
+    Args:
+        command: its name, for messages.
+        function: function or method to be called.
+        arguments: words in the form for Fire.
+        skipped: how many words before its own there are that are no options.
+    """
+    parameters = [one for one in inspect.signature(function).parameters.values() if one.name != "self"]
     by_name = {_python_name(word.partition("=")[0].removeprefix(OPTION_PREFIX)) for word in arguments}
     open_parameters = [one for one in parameters if one.name not in by_name]
     positional = [one for one in open_parameters if one.kind is one.POSITIONAL_OR_KEYWORD]
-    given = [word for word in arguments if not word.startswith(OPTION_PREFIX)][1:]
+    given = [word for word in arguments if not word.startswith(OPTION_PREFIX)][skipped:]
     if len(given) > len(positional) and not any(one.kind is one.VAR_POSITIONAL for one in parameters):
         raise CommandError(f"{command}: {given[len(positional)]!r} is one word too many", ExitCode.USAGE)
     required = [one for one in positional[len(given) :] if one.default is one.empty]
--- a/wickspring/command_line/runner.py
+++ b/wickspring/command_line/runner.py
@@ -5,7 +5,7 @@
 import contextlib
 import inspect
 import sys
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 
 import fire
 
@@ -28,19 +28,42 @@
 
     A `CommandError` is printed on stderr; all other exceptions are the caller's.
     """
-    try:
+
+    def run_group() -> int:
         words = arguments.prepare(commands, given)
         if words.wants_help or not words.command:
             return _print_help(commands, words, program, group)
-        arguments.set_converters(commands)
+        arguments.set_group_converters(commands)
         _call_fire(commands, [*words.arguments, _FIRE_OPTIONS, _NO_SEPARATOR], program, group)
+        return ExitCode.OK
+
+    return _exit_code(run_group)
+
+
+def run_single(function: Callable[..., object], given: Sequence[str], program: str) -> int:
+    """Run a program that is a single command, as `run` does one of a group, and return its exit code."""
+
+    def run_function() -> int:
+        words = arguments.prepare_single(function, given, program)
+        if words.wants_help:
+            with contextlib.redirect_stderr(sys.stdout):
+                fire.Fire(function, command=[_FIRE_OPTIONS, _HELP], name=program)
+        arguments.set_converters(function)
+        fire.Fire(function, command=[*words.arguments, _FIRE_OPTIONS, _NO_SEPARATOR], name=program)
+        return ExitCode.OK
+
+    return _exit_code(run_function)
+
+
+def _exit_code(command: Callable[[], int]) -> int:
+    try:
+        return command()
     except CommandError as error:
         if str(error):
             print(error, file=sys.stderr)
         return error.code
     except fire.core.FireExit as ended:
         return int(ended.code)
-    return ExitCode.OK
 
 
 def _call_fire(commands: type, words: Sequence[str], program: str, group: str) -> None:
--- a/wickspring/lab/experiments/capacity.py
+++ b/wickspring/lab/experiments/capacity.py
@@ -13,12 +13,13 @@
 
 import json
 import math
+import sys
 from collections.abc import Iterable, Mapping
 from pathlib import Path
 from typing import Any
 
-import click
-
+from wickspring.command_line.errors import CommandError, ExitCode
+from wickspring.command_line.runner import run_single
 from wickspring.lab.experiments.capacity_sweeps import SWEEPS, measure_target
 from wickspring.lab.experiments.linear_fit import COUNTED, fits, grown
 
@@ -79,7 +80,7 @@
     return bool(rise > MIN_PLOTTED_SHARE * largest_value > 0)
 
 
-def plot(result: Mapping[str, Any], path: Path) -> None:
+def draw(result: Mapping[str, Any], path: Path) -> None:
     """Draw the lines of a sweep that have a noticeable slope."""
     import matplotlib
 
@@ -105,34 +106,55 @@
     pyplot.close(figure)
 
 
-@click.command()
-@click.argument("sweeps", nargs=-1, type=click.Choice([*SWEEPS, TARGET]))
-@click.option("--seeds", default=2, help="how many seeds of each size")
-@click.option("--out", type=click.Path(path_type=Path), default=FOLDER, help="folder of the results")
-@click.option("--plot", "plots", is_flag=True, help="draw each sweep beside its result")
-@click.option("--short", is_flag=True, help="small sizes, and only compare with the stored lines")
-@click.option("--keep", is_flag=True, help="with --short: store the lines instead")
-def main(sweeps: tuple[str, ...], seeds: int, out: Path, plots: bool, short: bool, keep: bool) -> None:
-    """Measure what ingresses, servers, tenants, routes, requests, changes and restarts cost."""
+def measure_sweeps(
+    *sweeps: str,
+    seeds: int = 2,
+    out: Path = FOLDER,
+    plot: bool = False,
+    short: bool = False,
+    keep: bool = False,
+) -> None:
+    """Measure what ingresses, servers, tenants, routes, requests, changes and restarts cost.
+
+    Args:
+        sweeps: names of sweeps, or `target`; by default all of them.
+        seeds: how many seeds of each size.
+        out: folder of the results.
+        plot: draw each sweep beside its result.
+        short: small sizes, and only compare with the stored lines.
+        keep: with `--short`: store the lines instead.
+    """
+    unknown = [name for name in sweeps if name not in (*SWEEPS, TARGET)]
+    if unknown:
+        raise CommandError(
+            f"no sweep {unknown[0]!r}; there are {', '.join((*SWEEPS, TARGET))}", ExitCode.USAGE
+        )
     out.mkdir(parents=True, exist_ok=True)
     if short and keep:
         store_short(out)
         return
     if short:
         problems = check()
-        click.echo("\n".join(problems) or "no slope has grown by more than a quarter")
-        raise SystemExit(int(bool(problems)))
+        print("\n".join(problems) or "no slope has grown by more than a quarter")
+        if problems:
+            raise CommandError
+        return
     for name in sweeps or SWEEPS:
         if name == TARGET:
             continue
         result = measure(name, range(1, 1 + seeds))
         (out / f"{name}.json").write_text(json.dumps(result, indent=1) + "\n")
-        if plots:
-            plot(result, out / f"{name}.png")
-        click.echo(f"{name}: {len(result['points'])} points, {len(result['lines'])} lines")
+        if plot:
+            draw(result, out / f"{name}.png")
+        print(f"{name}: {len(result['points'])} points, {len(result['lines'])} lines")
     if not sweeps or TARGET in sweeps:
         (out / f"{TARGET}.json").write_text(json.dumps(_round_all(measure_target(1)), indent=1) + "\n")
-        click.echo(f"{TARGET}: stored")
+        print(f"{TARGET}: stored")
+
+
+def main() -> None:
+    """Run the command that the words of this process name."""
+    sys.exit(run_single(measure_sweeps, sys.argv[1:], "capacity"))
 
 
 if __name__ == "__main__":
--- a/wickspring/lab/experiments/storage_cost.py
+++ b/wickspring/lab/experiments/storage_cost.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import statistics
+import sys
 import tempfile
 import time
 from collections.abc import Callable
@@ -15,8 +16,8 @@
 from random import Random
 from typing import Any
 
-import click
-
+from wickspring.command_line.errors import CommandError
+from wickspring.command_line.runner import run_single
 from wickspring.controlplane.replication.replica import Replica, Update
 from wickspring.controlplane.storage import ReplicaStore
 from wickspring.controlplane.storage_file import FILE
@@ -98,7 +99,7 @@
             duration_ms = 1000.0 * (time.perf_counter() - started_at)
             store.close()
         if found != (self.durable, self.replica):
-            raise click.ClickException("what was read is not what was saved")
+            raise CommandError("what was read is not what was saved")
         return duration_ms
 
 
@@ -127,16 +128,25 @@
     return rows
 
 
-@click.command()
-@click.option("--changes", default=1000, show_default=True)
-@click.option("--leaving", default=4096, show_default=True)
-@click.option("--size", default=100_000, show_default=True, help="Bytes of the configuration.")
-@click.option("--at", type=click.Path(path_type=Path, file_okay=False), help="A folder of the disk.")
-def main(changes: int, leaving: int, size: int, at: Path | None) -> None:
-    """Tell what the disk costs."""
+def measure_disk(
+    *, changes: int = 1000, leaving: int = 4096, size: int = 100_000, at: Path | None = None
+) -> None:
+    """Measure what saves and starts cost on a disk.
+
+    Args:
+        changes: how many versions of a configuration are saved.
+        leaving: departures that are stored before.
+        size: bytes of the configuration.
+        at: a folder of the disk.
+    """
     with tempfile.TemporaryDirectory(dir=at) as folder:
-        for name, told in measure_all(Path(folder) / "disk", changes, leaving, size):
-            click.echo(f"{name}: {told}")
+        for name, figures in measure_all(Path(folder) / "disk", changes, leaving, size):
+            print(f"{name}: {figures}")
+
+
+def main() -> None:
+    """Run the command that the words of this process name."""
+    sys.exit(run_single(measure_disk, sys.argv[1:], "storage_cost"))
 
 
 if __name__ == "__main__":
