--- a/tests/controlplane/test_api_server.py
+++ b/tests/controlplane/test_api_server.py
@@ -12,7 +12,8 @@
 from wickspring.common.settings import Limits
 from wickspring.controlplane.api.calls import ApiRequest, ApiResponse, find_handler
 from wickspring.controlplane.api.server import MAX_BODY_BYTES, ApiServer
-from wickspring.net.feed import Feed
+from wickspring.net.body_stream import BodyStream
+from wickspring.net.http_server import HttpRequest
 
 PIECE_BYTES = 1 << 20
 
@@ -24,22 +25,22 @@
         self.numbers: list[int] = []
         self.answers: list[tuple[int, str, bytes]] = []
 
-    def accepted(self, number: int, budget: float) -> None:
+    def request_accepted(self, number: int, budget: float) -> None:
         self.numbers.append(number)
 
-    def answer(self, status: int, retry_after: str, body: bytes) -> None:
+    def respond(self, status: int, retry_after: str, body: bytes) -> None:
         self.answers.append((status, retry_after, body))
 
-    def begin(self, length: int | None) -> None:
+    def begin_response(self, length: int | None) -> None:
         raise AssertionError("answers of the API are not streamed")
 
-    def write(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         raise AssertionError("answers of the API are not streamed")
 
-    async def room(self) -> bool:
+    async def wait_writable(self) -> bool:
         return True
 
-    def end(self, whole: bool) -> None:
+    def end_response(self, complete: bool) -> None:
         raise AssertionError("answers of the API are not streamed")
 
 
@@ -64,7 +65,9 @@
         raise RuntimeError("a fault of the handler")
 
 
-def call(method: str, target: str, body: bytes = b"", feed: Feed | None = None) -> RecordingClient:
+def call(
+    method: str, target: str, body: bytes = b"", body_stream: BodyStream | None = None
+) -> RecordingClient:
     """Have one call answered by a server with both handlers."""
     client = RecordingClient()
 
@@ -72,18 +75,18 @@
         async with trio.open_nursery() as nursery:
             server = ApiServer(nursery, Limits())
             server.handlers = [EchoHandler(), FailingHandler()]
-            server.ask(client, method, target, {}, body, feed)
+            server.handle_request(client, HttpRequest(method, target, {}, body, body_stream))
 
     trio.run(run)
     return client
 
 
-def feed_of(pieces: int) -> Feed:
-    feed = Feed(None)
+def stream_of(pieces: int) -> BodyStream:
+    body_stream = BodyStream(None)
     for _ in range(pieces):
-        feed.put(bytes(PIECE_BYTES))
-    feed.end()
-    return feed
+        body_stream.write(bytes(PIECE_BYTES))
+    body_stream.write_eof()
+    return body_stream
 
 
 def test_a_call_goes_to_the_handler_of_its_method_and_path() -> None:
@@ -100,14 +103,14 @@
 
 
 def test_a_body_that_comes_in_pieces_is_read_to_its_end() -> None:
-    client = call("POST", "/echo/i1", b"head", feed_of(3))
+    client = call("POST", "/echo/i1", b"head", stream_of(3))
     assert client.answers == [(200, "0.25", f"i1 {4 + 3 * PIECE_BYTES}".encode())]
 
 
 def test_a_body_over_the_limit_is_refused() -> None:
-    feed = feed_of(MAX_BODY_BYTES // PIECE_BYTES)
-    client = call("POST", "/echo/i1", b"one byte too many", feed)
-    assert client.answers == [(413, "", b"")] and feed.closed
+    body_stream = stream_of(MAX_BODY_BYTES // PIECE_BYTES)
+    client = call("POST", "/echo/i1", b"one byte too many", body_stream)
+    assert client.answers == [(413, "", b"")] and body_stream.closed
 
 
 def test_a_fault_of_a_handler_is_answered_and_logged(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -219,7 +219,7 @@
 DEFECTS: dict[str, tuple[int, str, list[Any]]] = {  # the seed that finds it, what is found, what is changed
     "an answer matched by its place": (1, OTHER, [BY_PLACE]),
     "sent again after a reset": (0, TWICE, [(AttemptOutcome, "not_executed", property(resent))]),
-    "a cut answer that looks whole": (63, OTHER, [(Http1Connection, "end", whole_whatever)]),
+    "a cut answer that looks whole": (63, OTHER, [(Http1Connection, "end_response", whole_whatever)]),
     "refused though it may have run": (0, "a request that may have run is not refused", [REFUSES]),
     "refused, without the invariant": (0, REFUSED, [REFUSES, (response, "check_invariant", by_place)]),
     "left over for the next": (0, "no bytes of an earlier response are unread", [LEFT_OVER, BY_PLACE]),
--- a/tests/net/test_http1.py
+++ b/tests/net/test_http1.py
@@ -288,7 +288,7 @@
                 with trio.move_on_after(0.01):
                     await stream.send_all(b"GET /api HTTP/1.1\r\nX-Half: ")
             assert (await (await client1(here.http1)).ask(request()))[0] == 200
-            assert len(here.runtime.connections) <= here.runtime.most_connections
+            assert len(here.runtime.connections) <= here.runtime.max_connections
 
     run(main)
 
--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -18,8 +18,8 @@
 from wickspring.core import effects as core
 from wickspring.core.reducer import Reducer
 from wickspring.net import http1_front
-from wickspring.net.feed import PIECE
-from wickspring.net.host import TRANSFER_COST
+from wickspring.net.body_stream import BUFFER_BYTES
+from wickspring.net.http_server import TRANSFER_BYTES
 
 LONG = os.urandom(3_000_000)
 
@@ -69,7 +69,7 @@
                 got = [await second.ask(request()) for _ in range(2)]
                 assert [(status, body) for status, _, body in got] == [(200, LONG)] * 2
             assert len(here.servers[0].sides) == 1 and here.tally_adds_up()
-            assert not here.runtime.flowing and not here.runtime.reducer.policy.streams
+            assert not here.runtime.active_streams and not here.runtime.reducer.policy.streams
 
     run(main)
 
@@ -82,7 +82,7 @@
             for _ in range(2):
                 assert (await client.ask(request(kind, body=LONG)))[0] == 200
             assert [seen.body == LONG for seen in here.servers[0].seen] == [True, True]
-            assert here.tally_adds_up() and not here.runtime.flowing
+            assert here.tally_adds_up() and not here.runtime.active_streams
 
     run(main)
 
@@ -155,7 +155,7 @@
                 if isinstance(c, http1_front.Http1Connection)
                 for link in [c.link]
             )
-            assert held <= TRANSFER_COST
+            assert held <= TRANSFER_BYTES
             got = 0
             while got < 32 << 20:  # long past its time: the answer had begun
                 got += len(await client.stream.receive_some(1 << 20))
@@ -168,7 +168,7 @@
         async with site(ToyServer("s0", long_answers)) as here:
             client = await client1(here.http1)
             await client.send(request(x_budget_ms="300"))
-            while not here.runtime.flowing:
+            while not here.runtime.active_streams:
                 await trio.sleep(0.01)
             os.kill(os.getpid(), signal.SIGTERM)
             await trio.sleep(5.0)  # past the longest deadline
@@ -190,9 +190,11 @@
             with trio.move_on_after(1.0) as limit:
                 await client.send(request("ticket-reply", body=os.urandom(40 << 20)))
             assert limit.cancelled_caught
-            feeds = [c.feed for c in here.runtime.connections if isinstance(c, http1_front.Http1Connection)]
-            assert len(feeds) == 1 and feeds[0] is not None
-            assert len(feeds[0]._waiting) <= PIECE + 65536
+            streams = [
+                c.body_stream for c in here.runtime.connections if isinstance(c, http1_front.Http1Connection)
+            ]
+            assert len(streams) == 1 and streams[0] is not None
+            assert len(streams[0]._buffer) <= BUFFER_BYTES + 65536
 
     run(main)
 
@@ -200,7 +202,7 @@
 def test_past_the_memory_for_transfers_a_long_request_is_refused_at_once_and_short_ones_go_on() -> None:
     async def main() -> None:
         async with site(ToyServer("s0"), memory_mb=32.0) as here:
-            most = int(0.15 * 32 * 2**20 / TRANSFER_COST)
+            most = int(0.15 * 32 * 2**20 / TRANSFER_BYTES)
             slow = [await client1(here.http1) for _ in range(most)]
             for client in slow:
                 await client.stream.send_all(raw(LONG[:100_000], framing="Content-Length: 3000000"))
@@ -215,7 +217,7 @@
             assert (await answer(slow[0]))[0] == 200
             for client in slow[1:]:
                 await client.stream.aclose()
-            while here.runtime.flowing:
+            while here.runtime.active_streams:
                 await trio.sleep(0.01)
             assert (await (await client1(here.http1)).ask(request("ticket-reply", body=LONG)))[0] == 200
 
@@ -237,11 +239,11 @@
         async with site(ToyServer("s0")) as here:
             client = await client1(here.http1)
             await client.stream.send_all(raw(LONG[:500_000], framing="Content-Length: 3000000"))
-            while not here.runtime.flowing:
+            while not here.runtime.active_streams:
                 await trio.sleep(0.01)
             await client.stream.aclose()
             await here.owed_none()
-            assert not here.runtime.flowing and not here.servers[0].seen and here.tally_adds_up()
+            assert not here.runtime.active_streams and not here.servers[0].seen and here.tally_adds_up()
 
     run(main)
 
--- a/tests/net/test_malformed_peers.py
+++ b/tests/net/test_malformed_peers.py
@@ -14,7 +14,7 @@
 from tests.net.test_http1 import abort, never
 from tests.support.ingress import BIG_PLAN, IDS, client1, client2, job, request, site
 from wickspring.net import link
-from wickspring.net.host import HELD_SHARE
+from wickspring.net.http_server import BUFFERED_SHARE
 from wickspring.net.upstream.http1 import MOST_INTERIM, AnswerReader
 
 POST = b"POST /api?customer=0000000000000007 HTTP/1.1\r\nHost: a\r\n"
@@ -141,14 +141,14 @@
                 await stream.send_all(head + b"ea60\r\n" + b"x" * 60000)
             got = [await stream.receive_some(100) for stream in streams[-10:]]
             assert all(b" 503 " in answer for answer in got)
-            assert here.runtime._held <= 16 * 2**20 * HELD_SHARE
+            assert here.runtime._total_buffered_bytes <= 16 * 2**20 * BUFFERED_SHARE
             usual = await client1(here.http1)
             assert (await usual.ask(request("ticket-reply", body=b"b" * 3000)))[0] == 200
             for stream in streams:
                 await stream.aclose()
-            while here.runtime._held:
+            while here.runtime._total_buffered_bytes:
                 await trio.sleep(0.01)
-            assert not here.runtime._weights
+            assert not here.runtime._buffered_bytes
 
     trio.run(main)
 
@@ -166,7 +166,7 @@
                     await rude.flush()
                     with trio.move_on_after(0.02):
                         assert await rude.read(), "the connection ended"
-            while here.runtime._held:
+            while here.runtime._total_buffered_bytes:
                 await trio.sleep(0.01)
             assert (await (await client2(here.http2)).ask(request()))[0] == 200
 
@@ -183,7 +183,7 @@
             for stream in crowd:
                 await stream.aclose()
             kept = []
-            while not here.runtime.crowded:
+            while not here.runtime.near_connection_limit:
                 kept.append(await client1(here.http1))
                 _, headers, _ = await kept[-1].ask(request())
             assert headers["connection"] == "close"
--- a/tests/net/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -21,6 +21,7 @@
 from wickspring.net.http1_front import Http1Connection
 from wickspring.net.http2_front import Http2Connection
 from wickspring.net.http2_wire import Frames
+from wickspring.net.http_server import HttpRequest
 from wickspring.net.link import Link
 from wickspring.net.runtime import Runtime
 from wickspring.net.upstream.http1 import AnswerReader
@@ -182,35 +183,28 @@
     assert all(byte in kept for byte in out)  # a subsequence: only GOAWAY frames are left out
 
 
-class Host:
+class StubServer:
     """Stands in for runtime and link of one client connection."""
 
     def __init__(self) -> None:
         self.asked: list[tuple[str, str, str, bytes]] = []
         self.sent, self.ended = b"", False
-        self.clock, self.draining, self.crowded, self.flushed = Clock(), False, False, True
+        self.clock, self.draining, self.near_connection_limit, self.flushed = Clock(), False, False, True
         self.taken, self.broken = 0, False
 
-    def ask(
-        self,
-        client: Client,
-        method: str,
-        target: str,
-        headers: dict[str, str],
-        body: bytes,
-        feed: object = None,
-    ) -> None:
-        assert feed is None
-        self.asked.append((method, target, headers["x-call-id"], body))
-        client.answer(200, "", b"ok")
-
-    def later(self, delay: float, action: object) -> None:
+    def handle_request(self, client: Client, request: HttpRequest) -> None:
+        assert request.body_stream is None
+        call_id = request.headers["x-call-id"]
+        self.asked.append((request.method, request.target, call_id, request.body))
+        client.respond(200, "", b"ok")
+
+    def call_later(self, delay: float, action: object) -> None:
         assert delay > 0
 
-    def weigh(self, connection: object, size: int) -> bool:
+    def record_buffered(self, connection: object, size: int) -> bool:
         return True
 
-    def leave(self, number: int) -> None:
+    def client_disconnected(self, request_number: int) -> None:
         raise AssertionError("nothing was owed")
 
     def send(self, data: bytes) -> None:
@@ -223,13 +217,13 @@
         self.ended = True
 
 
-def front1() -> tuple[Host, Http1Connection]:
-    host = Host()
+def front1() -> tuple[StubServer, Http1Connection]:
+    host = StubServer()
     return host, Http1Connection(cast(Link, host), cast(Runtime, host))
 
 
-def front2() -> tuple[Host, Http2Connection]:
-    host = Host()
+def front2() -> tuple[StubServer, Http2Connection]:
+    host = StubServer()
     return host, Http2Connection(cast(Link, host), cast(Runtime, host))
 
 
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -32,7 +32,7 @@
 from wickspring.dataplane.process import DataPlane
 from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.lab.simulation.memory_link import MemoryLink
-from wickspring.net import host
+from wickspring.net import http_server
 
 CONTROL_PLANES = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.0.4")
 DATA_PLANES = ("10.1.1.1", "10.1.1.2")
@@ -317,6 +317,6 @@
             await test(system)
             nursery.cancel_scope.cancel()
 
-    monkeypatch.setattr(host, "Clock", VirtualClock)
+    monkeypatch.setattr(http_server, "Clock", VirtualClock)
     monkeypatch.setattr(trio.to_thread, "run_sync", run_inline)
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/wickspring/controlplane/api/server.py
+++ b/wickspring/controlplane/api/server.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Sequence
 
 import trio
 
@@ -16,17 +16,17 @@
     error_response,
     find_handler,
 )
+from wickspring.net.body_stream import BodyStream
 from wickspring.net.calls import Client
-from wickspring.net.feed import Feed
-from wickspring.net.host import Host
 from wickspring.net.http1_front import Http1Connection, Patience
+from wickspring.net.http_server import HttpRequest, HttpServer
 from wickspring.net.link import Link
 
 MAX_BODY_BYTES = 4 << 20  # of one call; a configuration is the largest
 _PATIENCE = Patience(silent=10_000.0, head=5_000.0, body=10_000.0, idle=30_000.0)  # ms
 
 
-class ApiServer(Host):
+class ApiServer(HttpServer):
     """Serves the connections of servers and operators."""
 
     def __init__(self, nursery: trio.Nursery, limits: Limits) -> None:
@@ -36,63 +36,55 @@
         self._last_call_number = 0
 
     @property
-    def sockets(self) -> int:
+    def max_descriptors(self) -> int:
         """Return how many file descriptors this process may have."""
         return self._limits.max_fds
 
     @property
-    def flowing(self) -> int:
+    def active_streams(self) -> int:
         """Return how many long bodies are being transferred: none, they are read whole."""
         return 0
 
-    def ask(
-        self,
-        client: Client,
-        method: str,
-        target: str,
-        headers: Mapping[str, str],
-        body: bytes,
-        feed: Feed | None = None,
-    ) -> None:
+    def handle_request(self, client: Client, request: HttpRequest) -> None:
         """Find the handler of a call and start it; without one, the call is answered at once."""
-        path = target.partition("?")[0]
+        path = request.target.partition("?")[0]
         try:
-            handler, parts = find_handler(self.handlers, method, path)
+            handler, parts = find_handler(self.handlers, request.method, path)
         except LookupError:
             response = error_response(ErrorDetail(ErrorKind.NOT_FOUND, path))
-            client.answer(response.status, "", response.body)
+            client.respond(response.status, "", response.body)
             return
         self._last_call_number += 1
-        client.accepted(self._last_call_number, 0.0)
-        request = ApiRequest(method, path, body, parts)
-        self.nursery.start_soon(self._answer, client, handler, request, feed)
+        client.request_accepted(self._last_call_number, 0.0)
+        call = ApiRequest(request.method, path, request.body, parts)
+        self.nursery.start_soon(self._answer, client, handler, call, request.body_stream)
 
     async def _answer(
-        self, client: Client, handler: ApiHandler, request: ApiRequest, feed: Feed | None
+        self, client: Client, handler: ApiHandler, request: ApiRequest, body_stream: BodyStream | None
     ) -> None:
-        if feed is not None and not await self._read_body(request, feed):
-            client.answer(413, "", b"")
+        if body_stream is not None and not await self._read_body(request, body_stream):
+            client.respond(413, "", b"")
             return
         try:
             response = await handler.call(request)
         except Exception as error:  # the fault of one call must not end the process
             logs.log_event("request_failed", path=request.path, reason=repr(error))
             response = ApiResponse(500)
-        client.answer(response.status, response.retry_after, response.body)
+        client.respond(response.status, response.retry_after, response.body)
 
-    async def _read_body(self, request: ApiRequest, feed: Feed) -> bool:
+    async def _read_body(self, request: ApiRequest, body_stream: BodyStream) -> bool:
         """Read the rest of a body; False where it is too large."""
-        while await feed.ready():
-            request.body += feed.take()
+        while await body_stream.wait_readable():
+            request.body += body_stream.read_available()
             if len(request.body) > MAX_BODY_BYTES:
-                feed.close()
+                body_stream.close()
                 return False
         return True
 
-    def leave(self, number: int) -> None:
+    def client_disconnected(self, request_number: int) -> None:
         """Do nothing for a caller that has gone away: its call goes on."""
 
 
-async def serve_http(link: Link, server: Host) -> None:
+async def serve_http(link: Link, server: HttpServer) -> None:
     """Serve one HTTP connection."""
     await server.serve(Http1Connection(link, server, patience=_PATIENCE), link)
--- a/wickspring/controlplane/process.py
+++ b/wickspring/controlplane/process.py
@@ -165,6 +165,6 @@
     )
     nursery.start_soon(control_plane.replication.send_heartbeats)
     nursery.start_soon(control_plane.maintenance.run)
-    api_server.tidy()
+    api_server.expire_connections()
     if started.api_listener is not None:
         nursery.start_soon(accept, started.api_listener, api_server, serve_http)
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import socket
-from collections.abc import Mapping
 from dataclasses import dataclass
 from random import Random
 
@@ -40,9 +39,8 @@
 from wickspring.interface import Readiness
 from wickspring.net.calls import Client
 from wickspring.net.datagrams import Udp
-from wickspring.net.feed import Feed
-from wickspring.net.host import Host
 from wickspring.net.http1_front import Patience
+from wickspring.net.http_server import HttpRequest, HttpServer
 from wickspring.net.upstream.manager import Upstream
 
 CONNECTION_SHARE = 0.9  # of an endpoint's connections that all data planes together open
@@ -73,10 +71,10 @@
     entry: api.ServerEntry
 
 
-class DataPlane(Host):
+class DataPlane(HttpServer):
     """The components of one data plane process, and its life cycle."""
 
-    parts_run = True  # endpoints may execute a request by a part of its body
+    executes_partial_requests = True  # endpoints may execute a request by a part of its body
 
     def __init__(self, settings: NodeSettings, nursery: trio.Nursery, seed: int) -> None:
         super().__init__(nursery, settings.limits.memory_mb)
@@ -108,7 +106,7 @@
         return Upstream(
             ConnectionDefaults(self.random.getrandbits(32)),
             self.limits,
-            lambda: self.sockets,
+            lambda: self.max_descriptors,
             lambda: len(self.connections),
             self.clock,
             self.timers,
@@ -136,27 +134,23 @@
     # Clients.
 
     @property
-    def sockets(self) -> int:
+    def max_descriptors(self) -> int:
         """The most file descriptors for connections to clients and endpoints; a number, not the sockets."""
         return self.settings.limits.max_fds - RESERVED_FDS
 
     @property
-    def flowing(self) -> int:
+    def active_streams(self) -> int:
         """How many requests with a streamed body or a streamed response are in flight."""
         requests = self.request_context.requests.values()
-        return sum(request.feed is not None or request.streaming_attempt > 0 for request in requests)
-
-    def ask(
-        self,
-        client: Client,
-        method: str,
-        target: str,
-        headers: Mapping[str, str],
-        body: bytes,
-        feed: Feed | None = None,
-    ) -> None:
+        return sum(request.body_stream is not None or request.streaming_attempt > 0 for request in requests)
+
+    def handle_request(self, client: Client, request: HttpRequest) -> None:
         """Handle a request that a front has read from a client connection."""
-        self._handle(IncomingRequest(client, method, target, headers, body, feed))
+        self._handle(
+            IncomingRequest(
+                client, request.method, request.target, request.headers, request.body, request.body_stream
+            )
+        )
 
     def _handle(self, incoming: IncomingRequest) -> None:
         context = self.request_context
@@ -166,10 +160,10 @@
         else:
             self.startup_queue.enqueue(incoming)
 
-    def leave(self, number: int) -> None:
+    def client_disconnected(self, request_number: int) -> None:
         """Note that a client has disconnected; an attempt that has been sent may still end."""
-        self.startup_queue.on_client_gone(number)
-        self.responder.on_client_gone(number)
+        self.startup_queue.on_client_gone(request_number)
+        self.responder.on_client_gone(request_number)
 
     def data_plane_count(self) -> int:
         """Return how many data planes there are, by the highest count; 0 where it is not known."""
@@ -288,12 +282,12 @@
         nursery.start_soon(self.control_client.run)
         nursery.start_soon(self.gossip.run)
         nursery.start_soon(accept_connections, peer_listener, self.clock, nursery, self.gossip.serve)
-        self.tidy()
+        self.expire_connections()
         self.maintain()
 
     def maintain(self) -> None:
         """Forget departed endpoints and log metrics, then do so again every `STATISTICS_MS`."""
-        self.later(STATISTICS_MS * self.random.uniform(0.9, 1.1), self.maintain)
+        self.call_later(STATISTICS_MS * self.random.uniform(0.9, 1.1), self.maintain)
         self.endpoints.forget(self.clock.now(), FORGET_ENDPOINT_MS)
         logs.log_event(
             "metrics",
@@ -328,7 +322,7 @@
 
     async def drain(self) -> None:
         """Wait until all requests in progress have ended, then close the connections of clients."""
-        while self.request_context.requests or any(not one.idle() for one in self.connections):
+        while self.request_context.requests or any(not one.is_idle() for one in self.connections):
             await trio.sleep(DRAIN_POLL_S)
         for connection in list(self.connections):
-            connection.end_quiet()
+            connection.close_if_unread()
--- a/wickspring/dataplane/readiness.py
+++ b/wickspring/dataplane/readiness.py
@@ -2,15 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from typing import Protocol
 
 import trio
 
 from wickspring.net.calls import Client
-from wickspring.net.feed import Feed
-from wickspring.net.host import Host
 from wickspring.net.http1_front import Http1Connection, Patience
+from wickspring.net.http_server import HttpRequest, HttpServer
 from wickspring.net.link import Link
 
 READINESS_PATH = "/readiness"
@@ -26,7 +24,7 @@
         """Whether clients are to connect."""
 
 
-class ReadinessProbe(Host):
+class ReadinessProbe(HttpServer):
     """Answers the platform on a listener of its own."""
 
     def __init__(self, process: HasReadiness, nursery: trio.Nursery, memory_mb: float) -> None:
@@ -34,29 +32,21 @@
         self._process = process
 
     @property
-    def sockets(self) -> int:
+    def max_descriptors(self) -> int:
         """How many descriptors are for probes."""
         return PROBE_FDS
 
     @property
-    def flowing(self) -> int:
+    def active_streams(self) -> int:
         """No body is streamed here."""
         return 0
 
-    def ask(
-        self,
-        client: Client,
-        method: str,
-        target: str,
-        headers: Mapping[str, str],
-        body: bytes,
-        feed: Feed | None = None,
-    ) -> None:
+    def handle_request(self, client: Client, request: HttpRequest) -> None:
         """Answer 200 while clients are to connect, else 503."""
-        ready = self._process.is_ready and target.startswith(READINESS_PATH)
-        client.answer(200 if ready else 503, "", b"")
+        ready = self._process.is_ready and request.target.startswith(READINESS_PATH)
+        client.respond(200 if ready else 503, "", b"")
 
-    def leave(self, number: int) -> None:
+    def client_disconnected(self, request_number: int) -> None:
         """No request is in progress here."""
 
 
--- a/wickspring/dataplane/request/admission.py
+++ b/wickspring/dataplane/request/admission.py
@@ -134,7 +134,7 @@
         context.requests[request.number] = request
         if not attempts.route.idempotent:
             context.non_idempotent_ids.add(request.id)
-        incoming.client.accepted(request.number, request.wait_ms)
+        incoming.client.request_accepted(request.number, request.wait_ms)
         timer = context.timers.at(attempts.deadline, partial(self._responder.on_deadline, request))
         request.cancel_deadline = timer.cancel
 
--- a/wickspring/dataplane/request/forwarding.py
+++ b/wickspring/dataplane/request/forwarding.py
@@ -89,7 +89,7 @@
             target=request.target,
             headers=headers,
             body=request.body,
-            feed=request.feed,
+            body_stream=request.body_stream,
             done=partial(self._on_attempt_end, request, candidate, number, load_owner),
             flows=partial(self._start_body_stream, request),
             on_headers=self._on_response_headers,
--- a/wickspring/dataplane/request/hedging.py
+++ b/wickspring/dataplane/request/hedging.py
@@ -59,7 +59,7 @@
         """Set the timer of a hedged attempt for a request whose first attempt has just been sent."""
         attempts = request.attempts
         route = attempts.route
-        if not route.idempotent or route.max_attempts <= 1 or request.feed is not None:
+        if not route.idempotent or route.max_attempts <= 1 or request.body_stream is not None:
             return
         at = attempts.hedge_at(self._context.endpoint_selector.typical_ms.get(route.name, 0.0))
         if at < attempts.deadline:
--- a/wickspring/dataplane/request/model.py
+++ b/wickspring/dataplane/request/model.py
@@ -18,9 +18,9 @@
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
 from wickspring.dataplane.upstream import BufferedResponse
+from wickspring.net.body_stream import BodyStream
 from wickspring.net.calls import Client
 from wickspring.net.clock import Clock
-from wickspring.net.feed import Feed
 from wickspring.net.http1_front import Http1Connection
 from wickspring.net.timers import Timers
 from wickspring.net.upstream.manager import Upstream
@@ -45,7 +45,7 @@
     target: str
     headers: Mapping[str, str]
     body: bytes
-    feed: Feed | None = None  # the rest of a body that is longer than what is buffered
+    body_stream: BodyStream | None = None  # the rest of a body that is longer than what is buffered
 
 
 def _nothing_to_cancel() -> None:
@@ -59,12 +59,12 @@
         "advice",
         "attempts",
         "body",
+        "body_stream",
         "cancel_advice_timeout",
         "cancel_deadline",
         "cancel_hedge",
         "client",
         "fallback_response",
-        "feed",
         "headers",
         "host",
         "id",
@@ -84,7 +84,7 @@
         self.method = incoming.method
         self.target = incoming.target
         self.body = incoming.body
-        self.feed = incoming.feed
+        self.body_stream = incoming.body_stream
         self.attempts = attempts
         self.wait_ms = 0.0  # that the client waits for a response
         self.headers: list[tuple[str, str]] = []
--- a/wickspring/dataplane/request/response.py
+++ b/wickspring/dataplane/request/response.py
@@ -34,17 +34,17 @@
             return False
         return request.streaming_attempt == self.attempt_number
 
-    def write(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Pass a part of the body on."""
         if not self._is_current():
             return
         is_waiting = self.client.number == self.request.number
         if check_invariant(is_waiting, "a streamed response goes to the client that waits for it"):
-            self.client.write(data)
+            self.client.write_body(data)
 
-    async def room(self) -> bool:
+    async def wait_writable(self) -> bool:
         """Wait until the client has read what was passed on; return False where it has gone."""
-        return self._is_current() and await self.client.room() and self._is_current()
+        return self._is_current() and await self.client.wait_writable() and self._is_current()
 
 
 class Responder:
@@ -66,7 +66,7 @@
         signed = any(name == SIGNATURE_HEADER and value for name, value in response.pairs)
         check_invariant(signed or not 200 <= response.code < 300, "a success is signed")
         if isinstance(client, Http1Connection):
-            client.answer(response.code, "", response.body, end_to_end_headers(response.pairs))
+            client.respond(response.code, "", response.body, end_to_end_headers(response.pairs))
 
     def begin_stream(self, request: Request, attempt_number: int, head: ResponseHead) -> Sink | None:
         """Begin a response that is longer than what is buffered; None where it cannot be streamed."""
@@ -77,7 +77,7 @@
             return None  # without a length, such a client cannot tell a truncated body from a complete one
         request.streaming_attempt = attempt_number
         request.cancel_deadline()
-        client.begin(head.length, head.status, end_to_end_headers(head.pairs))
+        client.begin_response(head.length, head.status, end_to_end_headers(head.pairs))
         return ResponseStream(request, attempt_number, client)
 
     def end_stream(self, request: Request, complete: bool) -> None:
@@ -85,7 +85,7 @@
         client = request.waiting_client()
         self._finish(request)
         if isinstance(client, Http1Connection):
-            client.end(complete)
+            client.end_response(complete)
 
     # Errors.
 
@@ -132,7 +132,7 @@
         """Send a client an error."""
         self._context.event_counts[f"rejected[{kind.value}]"] += 1
         response = ERROR_RESPONSES[kind]
-        client.answer(response.status, retry_after(retry_after_ms) if response.has_retry_after else "", b"")
+        client.respond(response.status, retry_after(retry_after_ms) if response.has_retry_after else "", b"")
 
     # Ends.
 
@@ -152,5 +152,5 @@
         self._context.requests.pop(request.number, None)
         if not request.attempts.route.idempotent:  # an idempotent one may have the id of another in progress
             self._context.non_idempotent_ids.discard(request.id)
-        if request.feed is not None:
-            request.feed.close()
+        if request.body_stream is not None:
+            request.body_stream.close()
--- a/wickspring/dataplane/request/startup_queue.py
+++ b/wickspring/dataplane/request/startup_queue.py
@@ -28,11 +28,11 @@
     def enqueue(self, incoming: IncomingRequest) -> None:
         """Have a request wait; refuse it where the process has been up for long, or its body is long."""
         context = self._context
-        if context.clock.now() - self._started_at > STARTUP_MS or incoming.feed is not None:
+        if context.clock.now() - self._started_at > STARTUP_MS or incoming.body_stream is not None:
             self._refuse(incoming)
             return
         number = context.next_number()
-        incoming.client.accepted(number, STARTUP_MS)
+        incoming.client.request_accepted(number, STARTUP_MS)
         incoming.headers = dict(incoming.headers)
         self._waiting[number] = incoming
         context.timers.at(context.clock.now() + MAX_WAIT_MS, partial(self._on_timeout, number))
--- a/wickspring/dataplane/server.py
+++ b/wickspring/dataplane/server.py
@@ -39,7 +39,7 @@
         data_plane.start(started.peer_listener)
         probe = ReadinessProbe(data_plane, nursery, data_plane.memory_mb)
         nursery.start_soon(probe.timers.run)
-        probe.tidy()
+        probe.expire_connections()
         nursery.start_soon(accept, ready, probe, serve_readiness)
         nursery.start_soon(accept, front, data_plane, serve)
         logs.log_event("started", ip=settings.ip, zone=settings.zone)
--- a/wickspring/lab/simulation/request_path/environment.py
+++ b/wickspring/lab/simulation/request_path/environment.py
@@ -13,7 +13,7 @@
 from wickspring.dataplane import process
 from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.lab.simulation.request_path.ledger import InvariantBrokenError
-from wickspring.net import host
+from wickspring.net import http_server
 
 
 class SilentDatagrams:
@@ -57,7 +57,7 @@
     logger.addHandler(handler)
     try:
         with (
-            mock.patch.object(host, "Clock", VirtualClock),
+            mock.patch.object(http_server, "Clock", VirtualClock),
             mock.patch.object(process, "Udp", SilentDatagrams),
             mock.patch.object(ReconnectingClient, "run", stay_disconnected),
         ):
--- a/wickspring/lab/simulation/request_path/simulation.py
+++ b/wickspring/lab/simulation/request_path/simulation.py
@@ -134,7 +134,7 @@
         settings = NodeSettings("edge-a-1", "10.1.0.30", "a", "7340,7355", ["10.1.0.33:8783"], limits=limits)
         data_plane = DataPlane(settings, self.nursery, self.seed)
         self.nursery.start_soon(data_plane.timers.run)
-        data_plane.tidy()
+        data_plane.expire_connections()
         routing_table = build_routing_table(self._config())
         data_plane.control_client.config.routing_table = routing_table
         data_plane.control_client.data_plane_count = 1
--- a/wickspring/lab/simulation/stub_endpoints.py
+++ b/wickspring/lab/simulation/stub_endpoints.py
@@ -29,22 +29,22 @@
     def __init__(self, on_status: Callable[[int], None] = lambda _: None) -> None:
         self._on_status = on_status
 
-    def accepted(self, number: int, budget: float) -> None:
+    def request_accepted(self, number: int, budget: float) -> None:
         """Ignore that the request was accepted."""
 
-    def begin(self, length: int | None) -> None:
+    def begin_response(self, length: int | None) -> None:
         """Ignore the start of a streamed response."""
 
-    def write(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Drop a piece of a streamed response."""
 
-    async def room(self) -> bool:
+    async def wait_writable(self) -> bool:
         """Return at once: there is always room for more."""
         return True
 
-    def end(self, whole: bool) -> None:
+    def end_response(self, complete: bool) -> None:
         """Ignore the end of a streamed response."""
 
-    def answer(self, status: int, retry_after: str, body: bytes) -> None:
+    def respond(self, status: int, retry_after: str, body: bytes) -> None:
         """Report the status of a complete response."""
         self._on_status(status)
--- a/wickspring/lab/simulation/virtual_gateway.py
+++ b/wickspring/lab/simulation/virtual_gateway.py
@@ -21,6 +21,7 @@
 from wickspring.lab.simulation.memory_network import MemoryNetwork
 from wickspring.lab.simulation.meter import CORE, INGRESS, PART, REST
 from wickspring.lab.simulation.stub_endpoints import StubCaller
+from wickspring.net.http_server import HttpRequest
 
 PORT = 7340
 PORT_COUNT = 16
@@ -164,7 +165,9 @@
         number = int(server_id[2:8])  # of "i-NNNNNN-..."
         control_plane = self.control_planes[self.control_plane_ips[number % len(self.control_plane_ips)]]
         with self.meter.charge(CORE, "beats"):
-            control_plane.api_server.ask(StubCaller(), "POST", f"/servers/{server_id}/{operation}", {}, body)
+            control_plane.api_server.handle_request(
+                StubCaller(), HttpRequest("POST", f"/servers/{server_id}/{operation}", {}, body)
+            )
 
     async def send_heartbeats(self, period_s: float) -> None:
         """Send the heartbeats of all servers, spread evenly over each period."""
@@ -192,7 +195,9 @@
 
         control_plane = self.control_planes[self.control_plane_ips[0]]
         with self.meter.charge(CORE, "configuration"):
-            control_plane.api_server.ask(StubCaller(on_status), "POST", "/config/replace", {}, body)
+            control_plane.api_server.handle_request(
+                StubCaller(on_status), HttpRequest("POST", "/config/replace", {}, body)
+            )
         await finished.wait()
         return status
 
@@ -228,4 +233,6 @@
                 "x-deadline-ms": "2000",
             }
             with self.meter.charge(INGRESS, "requests"):
-                self.data_planes[ip].ask(StubCaller(), "GET", f"{prefix}1", headers, b"")
+                self.data_planes[ip].handle_request(
+                    StubCaller(), HttpRequest("GET", f"{prefix}1", headers, b"")
+                )
--- a/wickspring/lab/simulation/virtual_run.py
+++ b/wickspring/lab/simulation/virtual_run.py
@@ -26,7 +26,7 @@
 from wickspring.lab.simulation.meter import Meter, WireMessageHandler
 from wickspring.lab.simulation.stub_endpoints import StubUpstream
 from wickspring.lab.simulation.virtual_gateway import VirtualGateway
-from wickspring.net import host
+from wickspring.net import http_server
 
 START_S = 2.0  # for the control plane to elect its first view
 
@@ -57,7 +57,7 @@
         await original_read(self, meter.metered_handler(link.local, on_wire_message))
 
     replacements = (
-        (host, "Clock", VirtualClock),
+        (http_server, "Clock", VirtualClock),
         (connection_module, "connect", network.connect),
         (connection_module, "Link", lambda link, _: link),
         (gossip_module, "connect", network.connect),
--- a/wickspring/net/calls.py
+++ b/wickspring/net/calls.py
@@ -90,22 +90,22 @@
 class Client(Protocol):
     """The place of one request in a front, where its final answer goes."""
 
-    def accepted(self, number: int, budget: float) -> None:
+    def request_accepted(self, number: int, budget: float) -> None:
         """Note the number under which the request is taken, and the client's milliseconds for it."""
 
-    def answer(self, status: int, retry_after: str, body: bytes) -> None:
+    def respond(self, status: int, retry_after: str, body: bytes) -> None:
         """Give the final answer."""
 
-    def begin(self, length: int | None) -> None:
+    def begin_response(self, length: int | None) -> None:
         """Begin a good final answer, to be passed on as it comes; its length may be known."""
 
-    def write(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Pass on a piece."""
 
-    async def room(self) -> bool:
+    async def wait_writable(self) -> bool:
         """Wait until the client has read what was passed on; False where it has gone."""
 
-    def end(self, whole: bool) -> None:
+    def end_response(self, complete: bool) -> None:
         """End the answer; one that is not whole must be seen to be so."""
 
 
--- a/wickspring/net/http1_front.py
+++ b/wickspring/net/http1_front.py
@@ -10,6 +10,7 @@
 import h11
 import trio
 
+from wickspring.net.body_stream import BodyStream
 from wickspring.net.calls import (
     BODY_LEAST,
     BODY_MS,
@@ -22,8 +23,7 @@
     CallError,
     read_head,
 )
-from wickspring.net.feed import Feed
-from wickspring.net.host import Host
+from wickspring.net.http_server import HttpRequest, HttpServer
 from wickspring.net.link import Link
 
 MOST_HEAD = 16 * 1024
@@ -73,18 +73,18 @@
     """One client connection."""
 
     def __init__(
-        self, link: Link, runtime: Host, ahead: bytes | None = None, patience: Patience = USUAL
+        self, link: Link, server: HttpServer, ahead: bytes | None = None, patience: Patience = USUAL
     ) -> None:
-        self.link, self.runtime, self.patience = link, runtime, patience
+        self.link, self.server, self.patience = link, server, patience
         self.ahead = ahead  # what the process before this one had read; None for a new connection
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=patience.most_head)
         self.request: h11.Request | None = None
         self.headers: dict[str, str] = {}
         self.body = bytearray()
-        self.feed: Feed | None = None  # for the rest of a long body, while it comes
+        self.body_stream: BodyStream | None = None  # for the rest of a long body, while it comes
         self.body_at, self.body_size = 0.0, 0  # when a body began, put off by what held it up here; its bytes
         self.number: int | None = None  # of the request that waits for its answer
-        self.begun_at = self.heard_at = runtime.clock.now()  # begun: connecting, or a request's first byte
+        self.begun_at = self.heard_at = server.clock.now()  # begun: connecting, or a request's first byte
         self.served = ahead is not None  # a request has come whole
         self.advancing = False
         self.ending = False
@@ -99,13 +99,17 @@
         elif self.ahead is None and self.link.peek() is None:  # it has been silent since it connected
             self.begun_at = self.heard_at = self.begun_at - 1000.0 * DEFER_S
         while dropped < MOST_DROPPED and not self.link.broken:
-            feed = self.feed
-            if feed is not None and feed.full:
-                full_at = self.runtime.clock.now()
-                await feed.room()
-                self.body_at += self.runtime.clock.now() - full_at  # no fault of the client's
+            body_stream = self.body_stream
+            if body_stream is not None and body_stream.is_full:
+                full_at = self.server.clock.now()
+                await body_stream.wait_writable()
+                self.body_at += self.server.clock.now() - full_at  # no fault of the client's
                 continue
-            if self.number is not None and feed is None and len(self.http.trailing_data[0]) > MOST_AHEAD:
+            if (
+                self.number is not None
+                and body_stream is None
+                and len(self.http.trailing_data[0]) > MOST_AHEAD
+            ):
                 self._turn = trio.Event()  # what comes before its turn waits with the client
                 await self._turn.wait()
                 continue
@@ -121,21 +125,21 @@
 
     def _heard(self, data: bytes) -> bool:
         """Take bytes in; False where the connection is to end at once."""
-        self.heard_at = self.runtime.clock.now()
-        if self.served and self.idle():
+        self.heard_at = self.server.clock.now()
+        if self.served and self.is_idle():
             self.begun_at = self.heard_at
         self.http.receive_data(data)
-        if self.number is None or self.feed is not None:
+        if self.number is None or self.body_stream is not None:
             self.advance()
         ahead = len(self.http.trailing_data[0])
         size = ahead + (len(self.body) if self.request is not None else 0)
-        if not self.runtime.weigh(self, size) and not self.ending:
+        if not self.server.record_buffered(self, size) and not self.ending:
             if self.number is not None:
                 return False
-            self.answer(503, "", b"too much is being sent at once\n")
+            self.respond(503, "", b"too much is being sent at once\n")
         return True
 
-    def give(self) -> tuple[socket.socket, bytes] | None:
+    def detach(self) -> tuple[socket.socket, bytes] | None:
         """Give the connection away, with what has been read ahead; None while a request is under way."""
         ahead, closed = self.http.trailing_data
         if self.number is not None or self.request is not None or self.ending or self.advancing or closed:
@@ -146,31 +150,31 @@
         self.ending = True
         return sock, ahead
 
-    def drop(self) -> None:
+    def cancel_requests(self) -> None:
         """Withdraw the request that is out, if any: the client has left."""
         number, self.number = self.number, None
         if number is not None:
-            self.runtime.leave(number)
+            self.server.client_disconnected(number)
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether no request is under way."""
         return self.number is None and self.request is None and not self.http.trailing_data[0]
 
-    def quiet_since(self) -> float | None:
+    def idle_since(self) -> float | None:
         """Return when it was last heard of; None while an answer is owed on it."""
         return self.heard_at if self.number is None else None
 
-    def end_quiet(self) -> None:
+    def close_if_unread(self) -> None:
         """End it now, unless something has come that is not read yet."""
         if self.link.peek() is None:
             self.link.close()
 
-    def tidy(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """End the connection where it has been silent, or a request has been on its way, for too long."""
-        feed = self.feed
-        if self.ending or (self.number is not None and (feed is None or feed.full)):
+        body_stream = self.body_stream
+        if self.ending or (self.number is not None and (body_stream is None or body_stream.is_full)):
             return
-        idle = self.idle()
+        idle = self.is_idle()
         since, most = self.begun_at, self.patience.silent
         if self.served:
             since, most = self.heard_at, self.patience.idle
@@ -180,28 +184,28 @@
             since, most = self.begun_at, self.patience.head
         if now - since < most or self.link.peek() is not None:
             return  # what has come and is not read yet may be a whole request
-        self.runtime.let_go["half_sent" if not idle else "idle" if self.served else "silent"] += 1
+        self.server.closed_counts["half_sent" if not idle else "idle" if self.served else "silent"] += 1
         if idle:
             self.link.close()
-        elif self.number is not None and self.runtime.parts_run:
-            self.drop()
-            self.end(False)
+        elif self.number is not None and self.server.executes_partial_requests:
+            self.cancel_requests()
+            self.end_response(False)
         else:
-            self.drop()  # of a long body: what began is given up
-            self.answer(408, "", b"the request did not come whole in time\n")
+            self.cancel_requests()  # of a long body: what began is given up
+            self.respond(408, "", b"the request did not come whole in time\n")
 
     def advance(self) -> None:
         """Take in what has been read, up to the end of one request."""
         self.advancing, taken = True, 0
         try:
-            while not self.ending and (self.number is None or self.feed is not None):
+            while not self.ending and (self.number is None or self.body_stream is not None):
                 ahead = self.http.trailing_data[0] if self.request is None else b""
                 event = self.http.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
                 if isinstance(event, h11.Request):
                     self.request, self.body = event, bytearray()
-                    self.body_at, self.body_size = self.runtime.clock.now(), 0
+                    self.body_at, self.body_size = self.server.clock.now(), 0
                     if length_is_odd(ahead[: len(ahead) - len(self.http.trailing_data[0])]):
                         raise CallError("content-length")
                     pairs = ((k.decode("latin-1"), v.decode("latin-1")) for k, v in event.headers)
@@ -211,54 +215,56 @@
                         self.link.send(self.http.send(go_on) or b"")
                 elif isinstance(event, h11.Data):
                     self.body_size += len(event.data)
-                    if self.feed is not None:
+                    if self.body_stream is not None:
                         if self.body_size > self.patience.most_body:
-                            self.drop()
-                            self.answer(413, "", b"body too large\n")
+                            self.cancel_requests()
+                            self.respond(413, "", b"body too large\n")
                             return
-                        self.feed.put(bytes(event.data))
+                        self.body_stream.write(bytes(event.data))
                         continue
                     self.body += event.data
                     if len(self.body) > MOST_BODY and self.request is not None:
                         self._take_long(self.request)
-                elif isinstance(event, h11.EndOfMessage) and self.feed is not None:
-                    feed, self.feed, self.request = self.feed, None, None
-                    feed.end()
+                elif isinstance(event, h11.EndOfMessage) and self.body_stream is not None:
+                    body_stream, self.body_stream, self.request = self.body_stream, None, None
+                    body_stream.write_eof()
                     return
                 elif isinstance(event, h11.EndOfMessage) and self.request is not None:
                     self._take(self.request)
                     taken += 1
                     if taken == MOST_AT_ONCE and self.http.trailing_data[0]:
-                        self.runtime.later(0.0, self.advance)  # the others' turn comes first
+                        self.server.call_later(0.0, self.advance)  # the others' turn comes first
                         return
         except CallError as error:  # the end: where the next request would begin is not certain
-            self.answer(error.status, "", f"bad {error}\n".encode())
+            self.respond(error.status, "", f"bad {error}\n".encode())
         except h11.RemoteProtocolError as error:
             code = error.error_status_hint
-            self.answer(code if code in (413, 431) else 400, "", f"{error}\n".encode())
+            self.respond(code if code in (413, 431) else 400, "", f"{error}\n".encode())
         finally:
             self.advancing = False
 
-    def _take(self, request: h11.Request, feed: Feed | None = None) -> None:
-        """Take a request with what is held of its body; a feed brings the rest."""
+    def _take(self, request: h11.Request, body_stream: BodyStream | None = None) -> None:
+        """Take a request with what is held of its body; a stream brings the rest."""
         method, target = request.method.decode("latin-1"), origin_form(request.target.decode("latin-1"))
         self.served = True
-        self.runtime.ask(self, method, target, self.headers, bytes(self.body), feed)
+        self.server.handle_request(
+            self, HttpRequest(method, target, self.headers, bytes(self.body), body_stream)
+        )
 
     def _take_long(self, request: h11.Request) -> None:
         """Take a request whose body is longer than what is held; the rest flows."""
-        if not self.runtime.may_flow:
-            self.runtime.let_go["no_room_to_flow"] += 1
-            self.answer(503, f"{NO_ROOM_S:.3f}", b"too many long requests at once\n")
+        if not self.server.can_stream:
+            self.server.closed_counts["no_room_to_flow"] += 1
+            self.respond(503, f"{NO_ROOM_S:.3f}", b"too many long requests at once\n")
             return
         length = self.headers.get("content-length")
-        self.feed = Feed(int(length) if length is not None else None)
-        self.feed.put(bytes(self.body[MOST_BODY:]))
+        self.body_stream = BodyStream(int(length) if length is not None else None)
+        self.body_stream.write(bytes(self.body[MOST_BODY:]))
         del self.body[MOST_BODY:]
-        self._take(request, self.feed)
+        self._take(request, self.body_stream)
         self.body = bytearray()
         if self.number is None:  # answered at once
-            self.feed = None
+            self.body_stream = None
 
     def pairs(self) -> list[tuple[str, str]]:
         """Return the headers of the request that is being taken, in order, their names in lower case."""
@@ -266,11 +272,11 @@
             return []
         return [(k.decode("latin-1"), v.decode("latin-1")) for k, v in self.request.headers]
 
-    def accepted(self, number: int, budget: float) -> None:
+    def request_accepted(self, number: int, budget: float) -> None:
         """Note that an answer is owed."""
         self.number = number
 
-    def answer(
+    def respond(
         self, status: int, retry_after: str, body: bytes, more: Sequence[tuple[str, str]] = ()
     ) -> None:
         """Write the final answer, and go on to the next request where there may be one."""
@@ -295,22 +301,24 @@
 
     def _ends(self) -> bool:
         """Tell whether the connection is to end with the present answer."""
-        return self.runtime.crowded or (self.runtime.draining and not self.runtime.handing)
+        return self.server.near_connection_limit or (self.server.draining and not self.server.handing_over)
 
     def _answered(self, ends: bool) -> None:
         if self._turn is not None:
             self._turn.set()
-        self.number = self.request = self.feed = None
+        self.number = self.request = self.body_stream = None
         if self.http.our_state is self.http.their_state is h11.DONE and not ends:
             ahead = self.http.trailing_data[0]
             self.http.start_next_cycle()
-            self.begun_at = self.heard_at = self.runtime.clock.now()
+            self.begun_at = self.heard_at = self.server.clock.now()
             if ahead and not self.advancing:  # else the loop that brought this request goes on
                 self.advance()
         else:
             self.finish()
 
-    def begin(self, length: int | None, status: int = 200, more: Sequence[tuple[str, str]] = ()) -> None:
+    def begin_response(
+        self, length: int | None, status: int = 200, more: Sequence[tuple[str, str]] = ()
+    ) -> None:
         """Begin a good answer that is passed on as it comes."""
         headers = [*more]
         if length is not None:
@@ -321,18 +329,18 @@
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self.link.send(self.http.send(h11.Response(status_code=status, headers=headers)) or b"")
 
-    def write(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Pass on a piece."""
         if data and self.http.our_state is h11.SEND_BODY:
             self.link.send(self.http.send(h11.Data(data=data)) or b"")
 
-    async def room(self) -> bool:
+    async def wait_writable(self) -> bool:
         """Wait until the kernel has taken what was passed on; False where the client has gone."""
         return await self.link.room()
 
-    def end(self, whole: bool) -> None:
-        """End the answer; one that is not whole ends with its connection, in no good order."""
-        if not whole or self.http.our_state is not h11.SEND_BODY:
+    def end_response(self, complete: bool) -> None:
+        """End the answer; one that is not complete ends with its connection, in no good order."""
+        if not complete or self.http.our_state is not h11.SEND_BODY:
             self.number, self.ending = None, True
             if self._turn is not None:
                 self._turn.set()
@@ -348,24 +356,24 @@
         """End the connection after what has been written."""
         self.ending = True
         self.body = bytearray()
-        self.runtime.weigh(self, 0)
+        self.server.record_buffered(self, 0)
         self.link.finish()
-        self._linger(self.link.taken, self.runtime.clock.now())
+        self._linger(self.link.taken, self.server.clock.now())
 
     def _linger(self, taken: int, moved_at: float) -> None:
         """Close a while after all has left; a client that reads slowly gets its answer whole."""
         if self.link.flushed or self.link.broken:
-            self.runtime.later(LINGER_MS, self.link.close)
+            self.server.call_later(LINGER_MS, self.link.close)
             return
-        now = self.runtime.clock.now()
+        now = self.server.clock.now()
         if self.link.taken > taken:
             taken, moved_at = self.link.taken, now
         if now - moved_at > READ_MS:
             self.link.close()
         else:
-            self.runtime.later(LINGER_MS, lambda: self._linger(taken, moved_at))
+            self.server.call_later(LINGER_MS, lambda: self._linger(taken, moved_at))
 
 
-async def serve(link: Link, runtime: Host, ahead: bytes | None = None) -> None:
+async def serve(link: Link, server: HttpServer, ahead: bytes | None = None) -> None:
     """Serve one client connection, of which another process may have read something ahead."""
-    await runtime.serve(Http1Connection(link, runtime, ahead), link)
+    await server.serve(Http1Connection(link, server, ahead), link)
--- a/wickspring/net/http2_front.py
+++ b/wickspring/net/http2_front.py
@@ -15,6 +15,7 @@
 from wickspring.logs import kv
 from wickspring.net.calls import DEFER_S, HEAD_MS, IDLE_MS, MOST_BODY, SILENT_MS, CallError, read_head
 from wickspring.net.http2_wire import LAST_STREAM, PREFACE_SIZE, Frames, GoAway, goaway, pump, settings
+from wickspring.net.http_server import HttpRequest
 from wickspring.net.link import Link
 from wickspring.net.runtime import Runtime
 
@@ -32,7 +33,7 @@
         self.owner, self.id = owner, number
         self.headers: dict[str, str] = {}
         self.body = bytearray()
-        self.begun_at = owner.runtime.clock.now()
+        self.begun_at = owner.server.clock.now()
         self.whole = False  # its last byte has come
         self.request: int | None = None  # the core's number while an answer is owed
         self.budget = 0.0
@@ -40,27 +41,27 @@
         self.passing = False  # more of it is to come
         self._moved: trio.Event | None = None
 
-    def accepted(self, number: int, budget: float) -> None:
+    def request_accepted(self, number: int, budget: float) -> None:
         """Note that an answer is owed."""
         self.request, self.budget = number, budget
 
-    def answer(self, status: int, retry_after: str, body: bytes) -> None:
+    def respond(self, status: int, retry_after: str, body: bytes) -> None:
         """Give the final answer, as fast as the client's windows let it out."""
         self.request = None
-        self.owner.answer(self, status, retry_after, body)
+        self.owner.respond(self, status, retry_after, body)
 
-    def begin(self, length: int | None) -> None:
+    def begin_response(self, length: int | None) -> None:
         """Begin a good answer that is passed on as it comes."""
         self.passing = True
-        self.owner.begin(self, length)
+        self.owner.begin_response(self, length)
 
-    def write(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Pass on a piece."""
         if self.outgoing is not None:
             self.outgoing += data
             self.owner.move(self)
 
-    async def room(self) -> bool:
+    async def wait_writable(self) -> bool:
         """Wait until the client's windows have let out what was passed on; False where it has gone."""
         while self.outgoing and not self.owner.ending and self.id in self.owner.streams:
             self._moved = trio.Event()
@@ -72,18 +73,18 @@
         if self._moved is not None:
             self._moved.set()
 
-    def end(self, whole: bool) -> None:
-        """End the answer; one that is not whole ends with a reset of its stream."""
+    def end_response(self, complete: bool) -> None:
+        """End the answer; one that is not complete ends with a reset of its stream."""
         self.request = None
         self.passing = False
-        self.owner.end(self, whole)
+        self.owner.end_response(self, complete)
 
 
 class Http2Connection:
     """One client connection with many streams."""
 
-    def __init__(self, link: Link, runtime: Runtime) -> None:
-        self.link, self.runtime = link, runtime
+    def __init__(self, link: Link, server: Runtime) -> None:
+        self.link, self.server = link, server
         config = h2.config.H2Configuration(client_side=False, header_encoding="utf-8")
         self.http = h2.connection.H2Connection(config)
         self.frames = Frames(PREFACE_SIZE)
@@ -91,14 +92,14 @@
         self.last_stream = 0
         self.resets = 0
         self.refusing = False  # no new streams: the last GOAWAY has been sent
-        self.heard_at = runtime.clock.now()
+        self.heard_at = server.clock.now()
         self.ending = False
 
     async def run(self) -> None:
         """Read until the client leaves or this side has said its last."""
         if self.link.peek() is None:  # handed over without a word: it has been silent since it connected
             self.heard_at -= 1000.0 * DEFER_S
-        streams = self.runtime.instance.settings.streams_per_connection
+        streams = self.server.instance.settings.streams_per_connection
         self.http.local_settings = settings(client=False, streams=streams)
         self.http.initiate_connection()
         self.http.increment_flow_control_window(WINDOW)
@@ -108,7 +109,7 @@
             if not data:
                 break
             if not self.ending:
-                self.heard_at = self.runtime.clock.now()
+                self.heard_at = self.server.clock.now()
                 self.feed(data)
 
     def feed(self, data: bytes) -> None:
@@ -122,14 +123,14 @@
                     self._event(event)
         except (H2Error, UnicodeDecodeError, ValueError) as error:
             log.info("client_broke_http2", extra=kv(reason=error))
-            self.drop()
+            self.cancel_requests()
             self.flush()
             self.finish_now()
             return
-        if not self.runtime.weigh(self, sum(len(stream.body) for stream in self.streams.values())):
+        if not self.server.record_buffered(self, sum(len(stream.body) for stream in self.streams.values())):
             log.warning("client_holds_too_much", extra=kv(streams=len(self.streams)))
             self.http.close_connection(ErrorCodes.ENHANCE_YOUR_CALM)
-            self.drop()
+            self.cancel_requests()
             self.flush()
             self.finish_now()
             return
@@ -137,7 +138,7 @@
         if self.refusing and not self.streams:
             self.finish_now()
 
-    def drop(self) -> None:
+    def cancel_requests(self) -> None:
         """Withdraw whatever is still owed on this connection."""
         self.ending = True
         streams, self.streams = list(self.streams.values()), {}
@@ -148,36 +149,36 @@
     def _withdraw(self, stream: Stream) -> None:
         number, stream.request = stream.request, None
         if number is not None:
-            self.runtime.leave(number)
+            self.server.client_disconnected(number)
 
     def flush(self) -> None:
         """Write what h2 has ready."""
         self.link.send(self.http.data_to_send())
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell that this connection takes a `finish` at any time: it ends when its streams have."""
         return True
 
-    def quiet_since(self) -> float | None:
+    def idle_since(self) -> float | None:
         """Return when it was last heard of; None while an answer is owed on it."""
         streams = self.streams.values()
         owed = any(stream.request is not None or stream.outgoing is not None for stream in streams)
         return None if owed else self.heard_at
 
-    def end_quiet(self) -> None:
+    def close_if_unread(self) -> None:
         """End it now, unless something has come that is not read yet."""
         if self.link.peek() is None:
             self.link.close()
 
-    def tidy(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """End the connection where it has been silent, or a request has been on its way, for too long."""
         late = [s for s in self.streams.values() if not s.whole and now - s.begun_at > HEAD_MS]
         idle = not self.streams and now - self.heard_at > (IDLE_MS if self.last_stream else SILENT_MS)
         if self.ending or not (late or idle) or self.link.peek() is not None:
             return  # what has come and is not read yet may be what was waited for
-        self.runtime.let_go["half_sent" if late else "idle" if self.last_stream else "silent"] += 1
+        self.server.closed_counts["half_sent" if late else "idle" if self.last_stream else "silent"] += 1
         for stream in late:
-            self.answer(stream, 408, "", b"the request did not come whole in time\n")
+            self.respond(stream, 408, "", b"the request did not come whole in time\n")
             self._reset_ours(stream.id, ErrorCodes.NO_ERROR)
         self.flush()
         if idle:
@@ -191,7 +192,7 @@
         if not self.streams:
             self.finish_now()
 
-    def give(self) -> tuple[socket.socket, bytes] | None:
+    def detach(self) -> tuple[socket.socket, bytes] | None:
         """Stay: the state of the compression cannot be told. The client is sent elsewhere by `drain`."""
         return None
 
@@ -203,7 +204,7 @@
         """End the connection after what has been written."""
         self.ending = True
         self.link.finish()
-        self.runtime.later(LINGER_MS, self.link.close)
+        self.server.call_later(LINGER_MS, self.link.close)
 
     # Events of the connection.
 
@@ -233,7 +234,7 @@
         try:
             stream.headers = read_head(pairs)
         except CallError as error:
-            self.answer(stream, error.status, "", f"bad {error}\n".encode())
+            self.respond(stream, error.status, "", f"bad {error}\n".encode())
             if event.stream_ended is None:
                 self._reset_ours(number, ErrorCodes.NO_ERROR)
 
@@ -244,14 +245,14 @@
             return
         stream.body += event.data
         if len(stream.body) > MOST_BODY:
-            self.answer(stream, 413, "", b"body over 64 KiB\n")
+            self.respond(stream, 413, "", b"body over 64 KiB\n")
             if event.stream_ended is None:  # have the client stop sending the rest
                 self._reset_ours(event.stream_id, ErrorCodes.NO_ERROR)
 
     def _take(self, stream: Stream) -> None:
         headers, stream.whole = stream.headers, True
         method, target = headers.get(":method", ""), headers.get(":path", "")
-        self.runtime.ask(stream, method, target, headers, bytes(stream.body))
+        self.server.handle_request(stream, HttpRequest(method, target, headers, bytes(stream.body)))
 
     def _reset(self, number: int) -> None:
         """Cancel a stream that the client wants no answer on; the other streams are not touched.
@@ -267,13 +268,13 @@
         if self.resets > MOST_RESETS:
             log.warning("client_resets_too_much", extra=kv(resets=self.resets))
             self.http.close_connection(ErrorCodes.ENHANCE_YOUR_CALM)
-            self.drop()
+            self.cancel_requests()
             self.flush()
             self.finish_now()
 
     # Answers.
 
-    def answer(self, stream: Stream, status: int, retry_after: str, body: bytes) -> None:
+    def respond(self, stream: Stream, status: int, retry_after: str, body: bytes) -> None:
         """Begin the answer on a stream."""
         if self.ending or stream.id not in self.streams:
             return
@@ -290,14 +291,14 @@
         stream.outgoing = bytearray(body)
         self._pump(stream)
         if stream.id in self.streams:  # a window is shut; past the client's time the answer is no use
-            self.runtime.later(max(stream.budget, LINGER_MS), lambda: self._give_up(stream))
+            self.server.call_later(max(stream.budget, LINGER_MS), lambda: self._give_up(stream))
         self.flush()
-        if self.runtime.crowded:
+        if self.server.near_connection_limit:
             self.finish()
         elif self.refusing and not self.streams:
             self.finish_now()
 
-    def begin(self, stream: Stream, length: int | None) -> None:
+    def begin_response(self, stream: Stream, length: int | None) -> None:
         """Begin an answer that is passed on as it comes."""
         if self.ending or stream.id not in self.streams:
             return
@@ -319,16 +320,16 @@
             self._pump(stream)
             self.flush()
 
-    def end(self, stream: Stream, whole: bool) -> None:
+    def end_response(self, stream: Stream, complete: bool) -> None:
         """End an answer that was passed on."""
         if self.ending or stream.id not in self.streams:
             return
-        if whole:
+        if complete:
             self._pump(stream)
         else:
             self._reset_ours(stream.id, ErrorCodes.INTERNAL_ERROR)
         self.flush()
-        if self.runtime.crowded:
+        if self.server.near_connection_limit:
             self.finish()
         elif self.refusing and not self.streams:
             self.finish_now()
@@ -361,6 +362,6 @@
             log.info("stream_was_gone", extra=kv(reason=error))
 
 
-async def serve(link: Link, runtime: Runtime) -> None:
+async def serve(link: Link, server: Runtime) -> None:
     """Serve one client connection."""
-    await runtime.serve(Http2Connection(link, runtime), link)
+    await server.serve(Http2Connection(link, server), link)
--- /dev/null
+++ b/wickspring/net/http_server.py
@@ -0,0 +1,179 @@
+"""What every process that clients connect to does for its connections, whatever their requests are."""
+
+from __future__ import annotations
+
+import logging
+import socket
+from abc import ABC, abstractmethod
+from collections import Counter
+from collections.abc import Callable, Mapping
+from typing import Protocol
+
+import msgspec
+import trio
+
+from wickspring.logs import kv
+from wickspring.net.body_stream import BodyStream
+from wickspring.net.calls import IDLE_LEAST_MS, Client
+from wickspring.net.clock import Clock
+from wickspring.net.link import Link
+from wickspring.net.timers import Timers
+
+log = logging.getLogger(__name__)
+
+EXPIRE_EVERY_MS = 200.0  # between two checks of all connections for clients that take too long
+TRANSFER_SHARE = 0.15  # of the memory, for streamed bodies and responses together
+TRANSFER_BYTES = 256 * 1024  # that one holds at most: what is kept for a further attempt, and a piece on its
+# way at each side
+BUFFERED_SHARE = 0.06  # of the memory, for incomplete requests; past it, a connection that holds more than
+# `SMALL_REQUEST_BYTES` is closed
+SMALL_REQUEST_BYTES = 4096  # usual requests are smaller
+CLIENT_DESCRIPTOR_SHARE = 0.7  # of the descriptors; the rest is for servers and for other processes of ours
+NEAR_LIMIT_SHARE = 0.75  # of those, from which a connection is closed with its response instead of being kept
+CLOSE_AT_ONCE = 8  # idle connections closed at a time, so that a new client is accepted at once
+
+
+class HttpRequest(msgspec.Struct, frozen=True):
+    """One request as a front has read it: whole, or as far as bodies are buffered."""
+
+    method: str
+    target: str
+    headers: Mapping[str, str]  # names in lower case
+    body: bytes
+    body_stream: BodyStream | None = None  # the rest of a body that is longer than what is buffered
+
+
+class Connection(Protocol):
+    """A client connection, of either front."""
+
+    async def run(self) -> None:
+        """Read until either side ends it."""
+
+    def cancel_requests(self) -> None:
+        """Withdraw all requests on it that have no response yet."""
+
+    def is_idle(self) -> bool:
+        """Tell whether no request is in progress."""
+
+    def idle_since(self) -> float | None:
+        """Return when bytes were last received (ms); None while a response is owed on it."""
+
+    def expire(self, now: float) -> None:
+        """Close it where the client has been silent, or has held a request half-sent, for too long."""
+
+    def close_if_unread(self) -> None:
+        """Close it now, unless bytes have arrived that are not read yet."""
+
+    def detach(self) -> tuple[socket.socket, bytes] | None:
+        """Hand it to another process, with the bytes read ahead; None while that cannot be."""
+
+    def drain(self) -> None:
+        """Tell the client, where the protocol can, that this process is about to end."""
+
+    def finish(self) -> None:
+        """Close it after what has been written."""
+
+
+class HttpServer(ABC):
+    """Owns the connections of clients; subclasses say what becomes of their requests."""
+
+    # Whether servers may run a request by a part of its body: an upload that stalls is then cut off, not
+    # answered 408.
+    executes_partial_requests = False
+
+    def __init__(self, nursery: trio.Nursery, memory_mb: float) -> None:
+        self.nursery, self.memory_mb = nursery, memory_mb
+        self.clock = Clock()
+        self.timers = Timers(self.clock)
+        self.connections: set[Connection] = set()
+        self.draining = False
+        self.handing_over = False  # another process takes over the clients' connections
+        self.closed_counts: Counter[str] = Counter()  # client connections closed by this side, by reason
+        self._buffered_bytes: dict[Connection, int] = {}  # of incomplete requests
+        self._total_buffered_bytes = 0
+
+    @property
+    @abstractmethod
+    def max_descriptors(self) -> int:
+        """How many file descriptors this process may have for connections."""
+
+    @property
+    @abstractmethod
+    def active_streams(self) -> int:
+        """How many requests with a streamed body or a streamed response are in progress."""
+
+    @abstractmethod
+    def handle_request(self, client: Client, request: HttpRequest) -> None:
+        """Handle one request, of either front; its response may be given before this returns."""
+
+    @abstractmethod
+    def client_disconnected(self, request_number: int) -> None:
+        """Forget a client that has gone away: it is owed no response."""
+
+    def call_later(self, delay_ms: float, action: Callable[[], None]) -> None:
+        """Call `action` after a delay in milliseconds."""
+        self.timers.at(self.clock.now() + delay_ms, action)
+
+    async def serve(self, connection: Connection, link: Link) -> None:
+        """Serve one client connection; its errors end it and nothing else."""
+        self.connections.add(connection)
+        try:
+            await connection.run()
+        except Exception as error:
+            log.exception("client_connection_failed", extra=kv(reason=error))
+        finally:
+            connection.cancel_requests()
+            self.record_buffered(connection, 0)
+            link.close()
+            self.connections.discard(connection)
+
+    @property
+    def can_stream(self) -> bool:
+        """Whether one more streamed body fits into the memory that transfers may have together."""
+        return (self.active_streams + 1) * TRANSFER_BYTES <= TRANSFER_SHARE * self.memory_mb * 2**20
+
+    @property
+    def max_connections(self) -> int:
+        """How many client connections there may be."""
+        return int(self.max_descriptors * CLIENT_DESCRIPTOR_SHARE)
+
+    @property
+    def near_connection_limit(self) -> bool:
+        """Whether client connections are so many that none is kept after its response.
+
+        Kept for two seconds after each response, they would then shut out the very clients that they are for:
+        those give up waiting, come again on new ones, and the process stays full with nothing to do.
+        """
+        return len(self.connections) >= NEAR_LIMIT_SHARE * self.max_connections
+
+    def close_idle_connections(self) -> None:
+        """Close the client connections that have been silent for longest, at most `CLOSE_AT_ONCE` of them.
+
+        None is closed before its time: a request may be on its way, and new clients can wait to be accepted.
+        """
+        latest = self.clock.now() - IDLE_LEAST_MS
+        idle = [(since, c) for c in self.connections if (since := c.idle_since()) is not None]
+        for since, connection in sorted(idle, key=lambda pair: pair[0])[:CLOSE_AT_ONCE]:
+            if since < latest:
+                self.closed_counts["for_room"] += 1
+                connection.close_if_unread()
+
+    def record_buffered(self, connection: Connection, size: int) -> bool:
+        """Record the bytes of incomplete requests that a connection holds; False where it must be closed.
+
+        Each alone is bounded, but hundreds of them at their bounds would be more than a small process has.
+        """
+        self._total_buffered_bytes += size - self._buffered_bytes.pop(connection, 0)
+        if size:
+            self._buffered_bytes[connection] = size
+        return (
+            size <= SMALL_REQUEST_BYTES
+            or self._total_buffered_bytes <= BUFFERED_SHARE * self.memory_mb * 2**20
+        )
+
+    def expire_connections(self) -> None:
+        """Check all connections for clients that take too long, now and every `EXPIRE_EVERY_MS`."""
+        self.call_later(EXPIRE_EVERY_MS, self.expire_connections)
+        now = self.clock.now()
+        for connection in list(self.connections):
+            connection.expire(now)
--- a/wickspring/net/listening.py
+++ b/wickspring/net/listening.py
@@ -11,23 +11,23 @@
 import trio
 
 from wickspring.logs import kv
-from wickspring.net.host import Host
+from wickspring.net.http_server import HttpServer
 from wickspring.net.link import Link
 from wickspring.net.sockets import listen as listen
 
 log = logging.getLogger(__name__)
 
-H = TypeVar("H", bound=Host)
-Serve = Callable[[Link, H], Awaitable[None]]
+AnyServer = TypeVar("AnyServer", bound=HttpServer)
+Serve = Callable[[Link, AnyServer], Awaitable[None]]
 
 
-async def accept(listener: socket.socket, runtime: H, serve: Serve[H]) -> None:
+async def accept(listener: socket.socket, server: AnyServer, serve: Serve[AnyServer]) -> None:
     """Accept until the listener is closed; short of descriptors, end the quietest connection or wait."""
     while True:
-        while len(runtime.connections) >= runtime.most_connections:
+        while len(server.connections) >= server.max_connections:
             # Clients that hold connections and say nothing must not shut the others out.
-            runtime.let_go["waits_at_the_door"] += 1
-            runtime.make_room()
+            server.closed_counts["waits_at_the_door"] += 1
+            server.close_idle_connections()
             await trio.sleep(0.01)
         try:
             sock, _ = listener.accept()
@@ -42,7 +42,7 @@
             log.warning("accept_failed", extra=kv(reason=error))
             await trio.sleep(0.01)
         else:
-            runtime.nursery.start_soon(serve, Link(sock, runtime.nursery), runtime)
+            server.nursery.start_soon(serve, Link(sock, server.nursery), server)
             await trio.lowlevel.checkpoint()  # a crowd at the door must not keep those inside waiting
 
 
@@ -52,11 +52,11 @@
     listener.close()
 
 
-def take_rest(listener: socket.socket, runtime: H, serve: Serve[H]) -> None:
+def take_rest(listener: socket.socket, server: AnyServer, serve: Serve[AnyServer]) -> None:
     """Accept what waits in the kernel's line: closing the listener would reset it."""
     while True:
         try:
             sock, _ = listener.accept()
         except OSError:  # none left, most of all
             return
-        runtime.nursery.start_soon(serve, Link(sock, runtime.nursery), runtime)
+        server.nursery.start_soon(serve, Link(sock, server.nursery), server)
--- a/wickspring/net/runtime.py
+++ b/wickspring/net/runtime.py
@@ -5,7 +5,6 @@
 import logging
 import time
 from collections import deque
-from collections.abc import Mapping
 from functools import partial
 from typing import TYPE_CHECKING
 
@@ -19,6 +18,7 @@
 from wickspring.core.invariants import broken
 from wickspring.core.reducer import Reducer
 from wickspring.logs import kv
+from wickspring.net.body_stream import BodyStream
 from wickspring.net.calls import (
     CALL_PATH,
     READY_PATH,
@@ -31,8 +31,7 @@
 )
 from wickspring.net.counter import Counter
 from wickspring.net.discovery import Directory, Discovery
-from wickspring.net.feed import Feed
-from wickspring.net.host import TIDY_MS, Host
+from wickspring.net.http_server import EXPIRE_EVERY_MS, HttpRequest, HttpServer
 from wickspring.net.upstream.carrier import Carrier, Job, Reply
 from wickspring.net.upstream.http1 import Http1Link
 from wickspring.net.upstream.manager import Upstream
@@ -52,7 +51,7 @@
 TRANSIT_MS = 2.0  # a budget runs from when the client sent the request; so much may have passed
 
 
-class Runtime(Host):
+class Runtime(HttpServer):
     """The ingress between its sockets and its reducer."""
 
     def __init__(self, instance: Instance, nursery: trio.Nursery) -> None:
@@ -78,7 +77,7 @@
         self.upstream = Upstream(
             settings,
             within_grace(instance.connections, settings.drain_grace),
-            lambda: self.sockets,
+            lambda: self.max_descriptors,
             lambda: len(self.connections),
             self.clock,
             self.timers,
@@ -92,15 +91,15 @@
         self.ready = False
         self.peer_holds = 0  # descriptors that the other process has
         self._clients: dict[int, tuple[Call, Client]] = {}
-        self._feeds: dict[int, Feed] = {}  # of long bodies on their way
+        self._body_streams: dict[int, BodyStream] = {}  # of long bodies on their way
         self._passing: dict[int, int | None] = {}  # long answers on their way, with their lengths
         self._jobs: dict[tuple[int, int], Job] = {}
         self._news: deque[core.Event] = deque()
         self._dispatching = False
         self._last_number = 0
-        self.later(SWEEP_MS, self._sweep)
-        self.later(TIDY_MS, self.tidy)
-        self.later(REPORT_MS, self._report)
+        self.call_later(SWEEP_MS, self._sweep)
+        self.call_later(EXPIRE_EVERY_MS, self.expire_connections)
+        self.call_later(REPORT_MS, self._report)
         self._read_tenants()
 
     def _join(self) -> Peers:
@@ -138,38 +137,27 @@
 
     # From the fronts.
 
-    def ask(
-        self,
-        client: Client,
-        method: str,
-        target: str,
-        headers: Mapping[str, str],
-        body: bytes,
-        feed: Feed | None = None,
-    ) -> None:
-        """Take one request, of either front; its answer may come before this returns.
-
-        It has come whole, or as far as bodies are held, and `feed` brings the rest.
-        """
-        if target == READY_PATH:
-            client.answer(200 if self.ready else 503, "", b"")
+    def handle_request(self, client: Client, request: HttpRequest) -> None:
+        """Handle one request, of either front; its response may be given before this returns."""
+        if request.target == READY_PATH:
+            client.respond(200 if self.ready else 503, "", b"")
             return
-        if target.partition("?")[0] != CALL_PATH:
-            client.answer(404, "", b"no such path\n")
+        if request.target.partition("?")[0] != CALL_PATH:
+            client.respond(404, "", b"no such path\n")
             return
         try:
-            call = self.calls.read(method, target, headers, body)
+            call = self.calls.read(request.method, request.target, request.headers, request.body)
         except CallError as error:
-            client.answer(error.status, "", f"bad {error}\n".encode())
+            client.respond(error.status, "", f"bad {error}\n".encode())
             return
         self._last_number += 1
         number = self._last_number
-        client.accepted(number, call.budget)
+        client.request_accepted(number, call.budget)
         self._clients[number] = (call, client)
-        if feed is not None:
-            self._feeds[number] = feed
+        if request.body_stream is not None:
+            self._body_streams[number] = request.body_stream
         deadline = self.clock.now() + call.budget - TRANSIT_MS
-        request = api.Request(
+        arrival = api.Request(
             number,
             call.class_index,
             call.plan_index,
@@ -180,24 +168,24 @@
             call.first,
             call.repeat,
         )
-        self.dispatch(core.RequestArrived(request, call.call_id))
+        self.dispatch(core.RequestArrived(arrival, call.call_id))
 
-    def leave(self, number: int) -> None:
-        """Forget a client that has gone away: it is owed no answer."""
-        self._clients.pop(number, None)
-        self._no_feed(number)
-        self._passing.pop(number, None)
-        self.dispatch(api.Withdrawn(number))
+    def client_disconnected(self, request_number: int) -> None:
+        """Forget a client that has gone away: it is owed no response."""
+        self._clients.pop(request_number, None)
+        self._close_body_stream(request_number)
+        self._passing.pop(request_number, None)
+        self.dispatch(api.Withdrawn(request_number))
 
-    def _no_feed(self, number: int) -> None:
-        feed = self._feeds.pop(number, None)
-        if feed is not None:
-            feed.close()
+    def _close_body_stream(self, number: int) -> None:
+        body_stream = self._body_streams.pop(number, None)
+        if body_stream is not None:
+            body_stream.close()
 
     @property
-    def flowing(self) -> int:
+    def active_streams(self) -> int:
         """How many long bodies and answers are on their way."""
-        return len(self._feeds.keys() | self._passing.keys())
+        return len(self._body_streams.keys() | self._passing.keys())
 
     @property
     def owed(self) -> int:
@@ -205,7 +193,7 @@
         return len(self._clients)
 
     @property
-    def sockets(self) -> int:
+    def max_descriptors(self) -> int:
         """How many descriptors this process may have."""
         return max(self.instance.limits.sockets - self.peer_holds, self.instance.limits.sockets // 4)
 
@@ -254,13 +242,13 @@
         if isinstance(effect, core.SendResponse):
             self._answer(effect)
         elif isinstance(effect, core.StartStreamedResponse):
-            self._clients[effect.request][1].begin(self._passing[effect.request])
+            self._clients[effect.request][1].begin_response(self._passing[effect.request])
         elif isinstance(effect, core.EndStreamedResponse):
             self._passing.pop(effect.request, None)
-            self._no_feed(effect.request)
+            self._close_body_stream(effect.request)
             passed = self._clients.pop(effect.request, None)
             if passed is not None:
-                passed[1].end(effect.complete)
+                passed[1].end_response(effect.complete)
         elif isinstance(effect, core.StartAttempt):
             self._start(effect)
         elif isinstance(effect, core.StopAttempt):
@@ -270,18 +258,18 @@
         elif isinstance(effect, api.Count):
             self.counter.call(effect)
         elif isinstance(effect, api.SetTimer):
-            self.later(effect.delay, partial(self.dispatch, api.TimerFired(effect.token)))
+            self.call_later(effect.delay, partial(self.dispatch, api.TimerFired(effect.token)))
         elif isinstance(effect, api.Probe):
             self._probe(effect)
         # api.FollowList: the watch of discovery is always open
 
     def _answer(self, answer: core.SendResponse) -> None:
         client = self._clients.pop(answer.request, None)
-        self._no_feed(answer.request)
+        self._close_body_stream(answer.request)
         if client is None:
             return
         advice = retry_after(answer.retry_after) if answer.kind is core.ResponseKind.REFUSED else ""
-        client[1].answer(STATUS[answer.kind], advice, answer.body)
+        client[1].respond(STATUS[answer.kind], advice, answer.body)
 
     def _start(self, start: core.StartAttempt) -> None:
         client = self._clients.get(start.request)
@@ -309,7 +297,7 @@
             headers=headers,
             body=call.body,
             done=ended,
-            feed=self._feeds.get(start.request),
+            body_stream=self._body_streams.get(start.request),
         )
         job.flows = partial(self._flows, job, start)
         job.uploaded = partial(self._uploaded, job, start, call.budget)
@@ -381,12 +369,12 @@
 
     def _sweep(self) -> None:
         self.dispatch(core.SweepDue())
-        self.later(SWEEP_MS, self._sweep)
+        self.call_later(SWEEP_MS, self._sweep)
 
     def _read_tenants(self) -> None:
         if self.book is None:
             return
-        self.later(TENANTS_MS, self._read_tenants)
+        self.call_later(TENANTS_MS, self._read_tenants)
         try:
             if self.book.refresh():
                 log.info("tenants", extra=kv(count=len(self.book.plans)))
@@ -397,15 +385,15 @@
         """Return the figures of this process."""
         return {
             "owed": self.owed,
-            "flowing": self.flowing,
+            "flowing": self.active_streams,
             "connections": len(self.connections),
             **self.upstream.report(),
             "cpu_s": time.process_time(),
             **self.reducer.counters,
-            **{f"let_go[{reason}]": times for reason, times in self.let_go.items()},
+            **{f"let_go[{reason}]": times for reason, times in self.closed_counts.items()},
             **{f"broken[{name.replace(' ', '_')}]": times for name, times in broken.items()},
         }
 
     def _report(self) -> None:
         log.info("figures", extra=kv(**self.report()))
-        self.later(REPORT_MS, self._report)
+        self.call_later(REPORT_MS, self._report)
--- a/wickspring/net/server.py
+++ b/wickspring/net/server.py
@@ -69,30 +69,30 @@
     """Take what still comes, finish all that has been taken, and end."""
     runtime.draining = True
     if runtime.peers is not None:
-        runtime.nursery.start_soon(runtime.peers.leave, runtime.handing)
-    log.info("draining", extra=kv(owed=runtime.owed, handing=runtime.handing))
+        runtime.nursery.start_soon(runtime.peers.leave, runtime.handing_over)
+    log.info("draining", extra=kv(owed=runtime.owed, handing=runtime.handing_over))
     for connection in list(runtime.connections):
         connection.drain()
-    if runtime.handing:
+    if runtime.handing_over:
         runtime.upstream.leave()
     else:
         await trio.sleep(ACCEPT_ON_S)
     for front in fronts:
-        if not runtime.handing:
+        if not runtime.handing_over:
             take_rest(front.listener, runtime, front.serve)
         close_listener(front.listener)
     longest = max((kind.deadline for kind in runtime.instance.settings.classes), default=0.0)
     with trio.move_on_after(longest / 1000.0):
         with trio.move_on_after(ACCEPT_ON_S):
-            while runtime.handing and runtime.connections:
+            while runtime.handing_over and runtime.connections:
                 await trio.sleep(0.01)
         for connection in list(runtime.connections):
-            if connection.idle():
+            if connection.is_idle():
                 connection.finish()
-        while runtime.owed or (runtime.handing and runtime.connections):
+        while runtime.owed or (runtime.handing_over and runtime.connections):
             await trio.sleep(0.01)
     with trio.move_on_after(FLOW_ON_S):
-        while runtime.flowing:  # an answer that has begun is not cut off
+        while runtime.active_streams:  # an answer that has begun is not cut off
             await trio.sleep(0.01)
     await trio.sleep(0.05)  # for the last answers to leave
     log.info("stopped", extra=kv(**runtime.report()))
@@ -185,7 +185,7 @@
 
     def pause(self, paused: bool) -> None:
         """Accept nothing from now on, or again."""
-        self.runtime.handing = paused
+        self.runtime.handing_over = paused
         for front in self.fronts:
             if paused:
                 front.pause()
@@ -203,7 +203,7 @@
     def take_client(self) -> tuple[socket.socket, bytes] | None:
         """Take a client connection with no request under way out of this process."""
         for connection in self.runtime.connections:
-            given = connection.give()
+            given = connection.detach()
             if given is not None:
                 return given
         return None
--- a/wickspring/net/upstream/carrier.py
+++ b/wickspring/net/upstream/carrier.py
@@ -12,7 +12,7 @@
 
 from wickspring.connections.pools import Want
 from wickspring.interface import Status
-from wickspring.net.feed import Feed
+from wickspring.net.body_stream import BodyStream
 from wickspring.net.timers import Timer
 
 MOST_ANSWER = 64 * 1024  # bytes of an answer that are held; a longer one is passed on as it comes
@@ -21,10 +21,10 @@
 class Sink(Protocol):
     """Where a long answer goes as it comes."""
 
-    def write(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Pass on a piece."""
 
-    async def room(self) -> bool:
+    async def wait_writable(self) -> bool:
         """Wait until the client has read what was passed on; False where it has gone."""
 
 
@@ -49,7 +49,7 @@
     body: bytes
     done: Callable[[Reply], None]
     host: str = "app.svc"  # named to the server
-    feed: Feed | None = None  # the rest of a body that is longer than what is held
+    body_stream: BodyStream | None = None  # the rest of a body that is longer than what is held
     flows: Callable[[], bool] = lambda: False  # asked before the first of that rest is taken
     uploaded: Callable[[], None] = lambda: None  # told when its last byte has been written
     begins: Callable[[int | None], Sink | None] = lambda _: None  # asked as a long answer of a length begins
--- a/wickspring/net/upstream/http1.py
+++ b/wickspring/net/upstream/http1.py
@@ -9,8 +9,8 @@
 
 from wickspring.connections.pools import Conn, End
 from wickspring.interface import Status
+from wickspring.net.body_stream import BodyStream
 from wickspring.net.calls import MOST_LONG
-from wickspring.net.feed import Feed
 from wickspring.net.link import Link
 from wickspring.net.upstream.carrier import MOST_ANSWER, Job, Reply, Sink
 from wickspring.net.upstream.manager import Upstream
@@ -56,17 +56,18 @@
     def request(self, job: Job) -> bytes:
         """Return the bytes of a request, as far as they are held."""
         headers = [("Host", job.host), *job.headers]
-        feed = job.feed
-        if feed is not None and feed.length is None:
+        body_stream = job.body_stream
+        if body_stream is not None and body_stream.content_length is None:
             headers.append(("Transfer-Encoding", "chunked"))
-        elif feed is not None or job.body or job.method == "POST":
-            headers.append(("Content-Length", str(len(job.body) if feed is None else feed.length)))
+        elif body_stream is not None or job.body or job.method == "POST":
+            length = len(job.body) if body_stream is None else body_stream.content_length
+            headers.append(("Content-Length", str(length)))
         self._interim = 0
         request = h11.Request(method=job.method, target=job.target, headers=headers)
         data = self.http.send(request) or b""
         if job.body:
             data += self.http.send(h11.Data(data=job.body)) or b""
-        return data if feed is not None else data + self.end()
+        return data if body_stream is not None else data + self.end()
 
     def piece(self, data: bytes) -> bytes:
         """Return the bytes that carry a further piece of the request's body."""
@@ -170,28 +171,28 @@
             # Told of its drain while the connection was on its way: nothing new may go there.
             self._end(Reply(Status.CONNECT_FAILED))
         else:
-            self.sent, self._whole = True, job.feed is None
+            self.sent, self._whole = True, job.body_stream is None
             self.link.send(self.reader.request(job))
             if self.link.broken:
                 self.close(End.PEER)
-            elif job.feed is not None:
-                self.upstream.nursery.start_soon(self._upload, job, job.feed, self.link)
+            elif job.body_stream is not None:
+                self.upstream.nursery.start_soon(self._upload, job, job.body_stream, self.link)
 
-    async def _upload(self, job: Job, feed: Feed, link: Link) -> None:
+    async def _upload(self, job: Job, body_stream: BodyStream, link: Link) -> None:
         """Write the rest of a long body as it comes and as the server reads it."""
         while True:
             with trio.move_on_after(STALL_S) as stalled:
                 await link.room()
             if stalled.cancelled_caught and self.job is job:
                 self.close(End.PEER)
-            more = not link.broken and await feed.ready()
-            if self.job is not job or link.broken or feed.closed:
+            more = not link.broken and await body_stream.wait_readable()
+            if self.job is not job or link.broken or body_stream.closed:
                 return  # answered, given up or broken meanwhile; whoever did so has seen to the rest
             if more:
                 if not job.flows():
                     return
-                link.send(self.reader.piece(feed.take()))
-            elif feed.ended:
+                link.send(self.reader.piece(body_stream.read_available()))
+            elif body_stream.ended:
                 link.send(self.reader.end())
                 self._whole = True
                 job.uploaded()
@@ -230,9 +231,9 @@
             self._sink = self.begins(job)
         if self._sink is None or self.job is not job:
             return False
-        self._sink.write(self.reader.take())
+        self._sink.write_body(self.reader.take())
         with trio.move_on_after(STALL_S):
-            return await self._sink.room() and self.job is job
+            return await self._sink.wait_writable() and self.job is job
         return False
 
     def begins(self, job: Job) -> Sink | None:
