--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -233,8 +233,12 @@
     if one["transport"] == "udp":
         return lambda message: data_plane.gossip.on_datagram(typed(messages.DATAGRAMS, message))
     if kind == "fetch":
-        return lambda message: data_plane.gossip._on_fetch(connection, typed(messages.PEER_REQUESTS, message))
-    return lambda message: data_plane.on_peer_message(connection, typed(messages.PEER_REPLIES, message))
+        return lambda message: data_plane.state_exchange.on_fetch(
+            connection, typed(messages.PEER_REQUESTS, message)
+        )
+    return lambda message: data_plane.local_state.on_peer_message(
+        connection, typed(messages.PEER_REPLIES, message)
+    )
 
 
 def cut_short(one: dict[str, Any]) -> list[Any]:
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -267,7 +267,7 @@
         isolated = await system.start_data_plane(second)
         isolated.gossip.join([first])
         await system.wait_until(lambda: isolated.control_client.config.routing_table.version == 1)
-        state = isolated.state_digest()
+        state = isolated.local_state.digest()
         assert (state.config_version, state.config_digest) == (1, digest_of(config_text(1)))
         assert not isolated.control_client.in_contact
         assert (await replace_config(system.control_planes[CONTROL_PLANES[0]], 2)).status == 200
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -27,8 +27,8 @@
 from wickspring.controlplane.api.heartbeat import Heartbeat
 from wickspring.controlplane.process import ControlPlane
 from wickspring.controlplane.replication.replica import Replica
-from wickspring.dataplane import gossip
 from wickspring.dataplane import process as dataplane_process
+from wickspring.dataplane import state_exchange
 from wickspring.dataplane.process import DataPlane
 from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.lab.simulation.memory_link import MemoryLink
@@ -129,7 +129,7 @@
         if ip in self.control_planes:
             await self.control_planes[ip].peer_server.serve(connection)
         else:
-            await self.data_planes[ip].gossip.serve(connection)
+            await self.data_planes[ip].state_exchange.serve(connection)
 
     def cut(self, *ips: str, direction: CutDirection = "both", reachable: tuple[str, ...] = ()) -> None:
         """Cut machines off from all others but the reachable ones.
@@ -308,7 +308,7 @@
             system = VirtualSystem(nursery, Random(seed))
             monkeypatch.setattr(controlplane_process, "ReplicaStore", lambda folder: system.stores[folder])
             monkeypatch.setattr(dataplane_process, "Udp", lambda ip, port: MemoryDatagrams(system, ip))
-            for module in (connection_module, gossip):
+            for module in (connection_module, state_exchange):
                 monkeypatch.setattr(module, "connect", system.connect)
                 monkeypatch.setattr(module, "Link", lambda link, _: link)
             for ip in CONTROL_PLANES[:control_planes]:
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -14,20 +14,16 @@
 
 from collections.abc import Callable
 from random import Random
-from typing import Protocol, assert_never
+from typing import assert_never
 
 import msgpack
 import trio
 
 from wickspring.common import logs
-from wickspring.common.connection import DECODE_ERRORS, PeerConnection
+from wickspring.common.connection import DECODE_ERRORS
 from wickspring.common.messages import (
     DATAGRAMS,
-    PEER_REPLIES,
-    PEER_REQUESTS,
     Datagram,
-    EndpointRecord,
-    FetchState,
     GossipAck,
     GossipedDepartures,
     GossipedEndpoints,
@@ -35,24 +31,19 @@
     MemberEntry,
     MembershipDigest,
     MemberSuspicion,
-    PeerReply,
-    PeerRequest,
     ProbeRequest,
     ProbeRequestAck,
-    StateDigest,
 )
+from wickspring.dataplane.state_exchange import StateExchange
 from wickspring.membership.anti_entropy import Digest, Entry, EntryVersion
 from wickspring.membership.swim import MemberInfo, Membership, Suspicion
 from wickspring.net.clock import Clock
 from wickspring.net.datagrams import Datagrams
-from wickspring.net.link import Link, connect
 
 PROBE_INTERVAL_S = 1.0
 PROBE_INTERVAL_JITTER = (0.8, 1.2)
 ACK_TIMEOUT_S = 0.25
 INDIRECT_ACK_TIMEOUT_S = 2 * ACK_TIMEOUT_S
-FETCH_TIMEOUT_S = 1.5
-CONNECT_TIMEOUT_MS = 300.0
 FANOUT = 3  # members that a change is sent to
 DIGEST_MEMBERS = 8  # members whose versions a probe carries, another range each time
 MAX_ENTRIES = 24  # entries of members in one ack; while nobody joins or fails there are none
@@ -60,45 +51,24 @@
 MAX_DATAGRAM_BYTES = 1200  # a larger one would be fragmented, and lost with any fragment
 
 
-class GossipHost(Protocol):
-    """The data plane, as its gossip sees it."""
-
-    def state_digest(self) -> StateDigest:
-        """Return what members compare to find out who is behind."""
-
-    def send_state(self, connection: PeerConnection, version: int, digest: bytes) -> None:
-        """Send all that is known; the configuration only where a member's version or text differs."""
-
-    def on_peer_message(self, connection: PeerConnection, message: PeerReply) -> None:
-        """Take in what another data plane reports."""
-
-    def on_gossiped_endpoints(self, endpoints: list[EndpointRecord]) -> None:
-        """Take in endpoints that another data plane has passed on."""
-
-    def on_gossiped_departures(self, states: dict[str, int]) -> None:
-        """Take in departures that another data plane has passed on."""
-
-    def is_isolated(self) -> bool:
-        """Return whether no control plane is in reach."""
-
-
 class GossipNode:
     """One data plane among the others."""
 
     def __init__(
         self,
-        address: tuple[str, int],
+        ip: str,
         clock: Clock,
         nursery: trio.Nursery,
         random: Random,
-        host: GossipHost,
+        state_exchange: StateExchange,
         datagrams: Datagrams,
     ) -> None:
-        self.ip, self.port = address
+        self.ip = ip
         self.clock = clock
         self.nursery = nursery
         self.random = random
-        self.host = host
+        self._state_exchange = state_exchange
+        self._local_state = state_exchange.local_state
         self.datagrams = datagrams
         now_s = clock.now() / 1000.0
         self.members: Membership[MemberInfo] = Membership(
@@ -106,7 +76,6 @@
         )
         self._probe_number = 0
         self._pending_acks: dict[int, Callable[[], None]] = {}
-        self._is_fetching = False
 
     @property
     def size(self) -> int:
@@ -168,7 +137,7 @@
         number = self._expect_ack(on_ack)
         digest = self.members.digest(DIGEST_MEMBERS)
         members = MembershipDigest(digest.low, digest.high, dict(digest.versions))
-        state = self.host.state_digest()
+        state = self._local_state.digest()
         self._send(ip, GossipProbe(self.ip, number, members, state, self._suspicions(ip)))
         return number
 
@@ -211,9 +180,9 @@
             case ProbeRequestAck():
                 self._on_ack(message.probe_number)
             case GossipedEndpoints():
-                self.host.on_gossiped_endpoints(message.endpoints)
+                self._local_state.on_endpoints(message.endpoints)
             case GossipedDepartures():
-                self.host.on_gossiped_departures(message.states)
+                self._local_state.on_departures(message.states)
             case _:
                 assert_never(message)
 
@@ -225,18 +194,18 @@
         delta = self.members.delta(digest, MAX_ENTRIES)
         entries = (*delta.entries, *self.members.take_pending(MAX_ENTRIES - len(delta.entries)))
         packed = [_pack_entry(entry) for entry in entries[:MAX_ENTRIES]]
-        state = self.host.state_digest()
+        state = self._local_state.digest()
         self._send(ip, GossipAck(self.ip, probe.probe_number, packed, state, self._suspicions(ip)))
         if ip in versions:
             self._merge_entries([MemberEntry(ip, *versions[ip], False)])
         self._merge_suspicions(probe.suspicions)
-        self._compare_state(ip, probe.state)
+        self._state_exchange.compare(ip, probe.state)
 
     def _on_probe_ack(self, ack: GossipAck) -> None:
         self._merge_entries(ack.entries)
         self._on_ack(ack.probe_number)
         self._merge_suspicions(ack.suspicions)
-        self._compare_state(ack.sender, ack.state)
+        self._state_exchange.compare(ack.sender, ack.state)
 
     def _merge_entries(self, entries: list[MemberEntry]) -> None:
         self.members.merge_entries([_unpack_entry(entry) for entry in entries])
@@ -256,46 +225,6 @@
             for suspicion in suspicions
         )
 
-    # Anti-entropy.
-
-    def _compare_state(self, ip: str, theirs: StateDigest) -> None:
-        """Fetch the state of a member that is ahead, or, while isolated, of one that differs."""
-        own = self.host.state_digest()
-        is_ahead = theirs.config_version > own.config_version or theirs.departure_count > own.departure_count
-        other_text = theirs.config_version == own.config_version and theirs.config_digest != own.config_digest
-        differs = other_text or theirs.endpoints_digest != own.endpoints_digest
-        if self._is_fetching or not (is_ahead or (differs and self.host.is_isolated())):
-            return
-        self._is_fetching = True
-        self.nursery.start_soon(self._fetch_state, ip)
-
-    async def _fetch_state(self, ip: str) -> None:
-        try:
-            with trio.move_on_after(FETCH_TIMEOUT_S):
-                sock = await connect((ip, self.port), CONNECT_TIMEOUT_MS)
-                if sock is not None:
-                    await self._read_state(PeerConnection(Link(sock, self.nursery), self.clock))
-        finally:
-            self._is_fetching = False
-
-    async def _read_state(self, connection: PeerConnection) -> None:
-        own = self.host.state_digest()
-        try:
-            connection.send(FetchState(own.config_version, own.config_digest))
-            await connection.read(self.host.on_peer_message, PEER_REPLIES)
-        finally:
-            connection.close()
-
-    async def serve(self, connection: PeerConnection) -> None:
-        """Send the state to a member that fetches it."""
-        with trio.move_on_after(FETCH_TIMEOUT_S):
-            await connection.read(self._on_fetch, PEER_REQUESTS)
-        connection.close()
-
-    def _on_fetch(self, connection: PeerConnection, request: PeerRequest) -> None:
-        self.host.send_state(connection, request.config_version, request.config_digest)
-        connection.link.finish()
-
 
 async def _is_set_within(seconds: float, event: trio.Event) -> bool:
     with trio.move_on_after(seconds):
--- a/wickspring/dataplane/readiness.py
+++ b/wickspring/dataplane/readiness.py
@@ -1,4 +1,4 @@
-"""The readiness probe of the platform: whether clients are to connect to this data plane."""
+"""Readiness: whether clients are to connect to this data plane, and the probe by which the platform asks."""
 
 from __future__ import annotations
 
@@ -6,16 +6,51 @@
 
 import trio
 
+from wickspring.common import logs
+from wickspring.dataplane.control_client.client import ControlClient
+from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.net.calls import Client
+from wickspring.net.clock import Clock
 from wickspring.net.http1_front import Http1Connection, Patience
 from wickspring.net.http_server import HttpRequest, HttpServer
 from wickspring.net.link import Link
 
+READY_BY_ONE_MS = 2500.0  # since the start, after which one control plane's endpoints suffice to be ready
 READINESS_PATH = "/readiness"
 PROBE_FDS = 64
 PROBE_IDLE_MS = 15_000.0
 
 
+class StartupCheck:
+    """Tells when a data plane that starts knows enough to forward requests; from then on it always does."""
+
+    def __init__(self, clock: Clock, control_client: ControlClient, endpoints: EndpointTable) -> None:
+        self._clock = clock
+        self._control_client = control_client
+        self._endpoints = endpoints
+        self._started_at = clock.now()
+        self._is_complete = False
+
+    def is_complete(self) -> bool:
+        """Return whether a configuration and enough endpoints have been received since the start."""
+        if not self._is_complete and self._knows_enough():
+            self._is_complete = True
+            version = self._control_client.config.routing_table.version
+            logs.log_event("ready", version=version, endpoints=len(self._endpoints.candidates))
+        return self._is_complete
+
+    def _knows_enough(self) -> bool:
+        control_client = self._control_client
+        if not self._endpoints.services:
+            return False
+        if control_client.is_synchronized:
+            return True
+        if self._clock.now() - self._started_at <= READY_BY_ONE_MS:
+            return False
+        has_config = control_client.config.routing_table.version > 0
+        return has_config and bool(control_client.endpoint_sync.complete_from)
+
+
 class HasReadiness(Protocol):
     """A process whose readiness is probed."""
 
--- a/wickspring/lab/simulation/gossip.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -20,6 +20,7 @@
 from wickspring.common.digest import DIGEST_SIZE
 from wickspring.common.messages import EndpointRecord, PeerReply, StateDigest
 from wickspring.dataplane.gossip import GossipNode
+from wickspring.dataplane.state_exchange import StateExchange
 from wickspring.lab.simulation.clock import VirtualClock
 
 LOSS = 0.01  # of all datagrams
@@ -86,29 +87,29 @@
         self.version = 0
         self.socket = VirtualSocket(group.network, self.ip)
         random = Random(group.random.getrandbits(32))
-        self.gossip = VirtualGossipNode((self.ip, 1), group.clock, nursery, random, self, self.socket)
-        self.gossip.group = group
+        exchange = VirtualStateExchange(group, nursery, self)
+        self.gossip = GossipNode(self.ip, group.clock, nursery, random, exchange, self.socket)
 
     def knows(self, ip: str) -> bool:
         """Return whether another data plane counts as alive here."""
         return ip in self.gossip.members.active_members()
 
-    # `GossipHost`; nothing is sent over connections here, and no endpoint is known.
+    # `LocalState`; nothing is sent over connections here, and no endpoint is known.
 
-    def state_digest(self) -> StateDigest:
+    def digest(self) -> StateDigest:
         """Return the state to compare."""
         return StateDigest(self.version, bytes(DIGEST_SIZE) if self.version else b"", 0, 0)
 
-    def send_state(self, connection: PeerConnection, version: int, digest: bytes) -> None:
+    def send(self, connection: PeerConnection, version: int, digest: bytes) -> None:
         """Send nothing."""
 
     def on_peer_message(self, connection: PeerConnection, message: PeerReply) -> None:
         """Receive nothing."""
 
-    def on_gossiped_endpoints(self, endpoints: list[EndpointRecord]) -> None:
+    def on_endpoints(self, endpoints: list[EndpointRecord]) -> None:
         """Receive nothing."""
 
-    def on_gossiped_departures(self, states: dict[str, int]) -> None:
+    def on_departures(self, states: dict[str, int]) -> None:
         """Receive nothing."""
 
     def is_isolated(self) -> bool:
@@ -116,24 +117,25 @@
         return False
 
 
-class VirtualGossipNode(GossipNode):
-    """The data plane's own gossip; only the connection of a fetch is simulated."""
-
-    group: DataPlaneGroup
-
-    async def _fetch_state(self, ip: str) -> None:
-        own = self.group.data_planes[self.ip]
-        other = self.group.data_planes[ip]
-        network = self.group.network
-        try:
-            await trio.sleep(FETCH_S)
-            if {self.ip, ip} & (network.dead | network.muted):
-                return
-            if other.version > own.version:
-                other.socket.bytes_sent += CONFIG_BYTES
-                own.version = other.version
-        finally:
-            self._is_fetching = False
+class VirtualStateExchange(StateExchange):
+    """The data plane's own anti-entropy; only the connection of a fetch is simulated."""
+
+    def __init__(self, group: DataPlaneGroup, nursery: trio.Nursery, data_plane: VirtualDataPlane) -> None:
+        super().__init__(0, group.clock, nursery, data_plane)
+        self._group = group
+        self._data_plane = data_plane
+
+    async def fetch(self, ip: str) -> None:
+        """Take over the version of another data plane after the time that a fetch takes."""
+        own = self._data_plane
+        other = self._group.data_planes[ip]
+        network = self._group.network
+        await trio.sleep(FETCH_S)
+        if {own.ip, ip} & (network.dead | network.muted):
+            return
+        if other.version > own.version:
+            other.socket.bytes_sent += CONFIG_BYTES
+            own.version = other.version
 
 
 class DataPlaneGroup:
--- a/wickspring/lab/simulation/memory_network.py
+++ b/wickspring/lab/simulation/memory_network.py
@@ -66,7 +66,7 @@
 
 
 class DatagramEndpoint:
-    """The UDP socket of one data plane, in place of `dataplane.gossip.Udp`."""
+    """The UDP socket of one data plane, in place of `net.datagrams.Udp`."""
 
     def __init__(self, network: MemoryNetwork, ip: str, port: int) -> None:
         self._network = network
--- a/wickspring/lab/simulation/virtual_gateway.py
+++ b/wickspring/lab/simulation/virtual_gateway.py
@@ -108,7 +108,7 @@
         def start(nursery: trio.Nursery) -> None:
             data_plane = dataplane_process.DataPlane(self._settings(ip), nursery, self.random.getrandbits(32))
             self.data_planes[ip] = data_plane
-            self.network.listen(ip, INGRESS, nursery, data_plane.gossip.serve)
+            self.network.listen(ip, INGRESS, nursery, data_plane.state_exchange.serve)
             self._start_task(nursery, "requests", data_plane.timers.run)
             self._start_task(nursery, "ticks", data_plane.control_client.run)
             self._start_task(nursery, "gossip", data_plane.gossip.run)
--- a/wickspring/lab/simulation/virtual_run.py
+++ b/wickspring/lab/simulation/virtual_run.py
@@ -19,8 +19,8 @@
 from wickspring.common.connection import PeerConnection
 from wickspring.common.lifecycle import GC_THRESHOLDS
 from wickspring.common.messages import Message
-from wickspring.dataplane import gossip as gossip_module
 from wickspring.dataplane import process as dataplane_process
+from wickspring.dataplane import state_exchange
 from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.lab.simulation.memory_network import DatagramEndpoint, MemoryNetwork
 from wickspring.lab.simulation.meter import Meter, WireMessageHandler
@@ -60,8 +60,8 @@
         (http_server, "Clock", VirtualClock),
         (connection_module, "connect", network.connect),
         (connection_module, "Link", lambda link, _: link),
-        (gossip_module, "connect", network.connect),
-        (gossip_module, "Link", lambda link, _: link),
+        (state_exchange, "connect", network.connect),
+        (state_exchange, "Link", lambda link, _: link),
         (dataplane_process, "Udp", partial(DatagramEndpoint, network)),
         (dataplane_process, "Upstream", StubUpstream),
         (trio.to_thread, "run_sync", _run_inline),
