--- a/tests/controlplane/test_storage.py
+++ b/tests/controlplane/test_storage.py
@@ -19,6 +19,7 @@
 from wickspring.common.errors import ErrorKind
 from wickspring.controlplane import storage_file, storage_records
 from wickspring.controlplane.replication import snapshot
+from wickspring.controlplane.replication.packing import PackedFields
 from wickspring.controlplane.replication.replica import MAX_HISTORY, CommitOutcome, Config, Replica, Update
 from wickspring.controlplane.storage import OPEN_ATTEMPTS, ReplicaStore
 from wickspring.controlplane.storage_file import FILE, MAX_LOG_BYTES, PAGE_BYTES, QUARANTINE_SUFFIX
@@ -176,7 +177,7 @@
 @pytest.mark.parametrize("name", ["chain", "accepted", "config", "document", "seal"])
 def test_a_part_of_another_save_makes_no_copy_however_sound_it_is(tmp_path: Path, name: str) -> None:
     store = ReplicaStore(str(tmp_path))
-    accepted = [4, [2, "b"], [4, MEMBERS, MEMBERS], replica(1).pack()]
+    accepted: PackedFields = [4, [2, "b"], [4, MEMBERS, MEMBERS], replica(1).pack()]
     store.save({**DURABLE, "accepted": accepted}, replica(8))
     row = store.db.execute("select * from part where name = ?", (name,)).fetchone()
     store.save({**DURABLE, "promised": [4, [9, "c"]]}, replica(9))
@@ -216,7 +217,7 @@
 def test_the_accepted_state_is_checked_as_a_copy_is(tmp_path: Path) -> None:
     for state in (Config(4, 9, b"", digest_of(b"x")), Config(4, 9, b"y", digest_of(b"x"))):
         store = ReplicaStore(str(tmp_path))
-        accepted = [4, [2, "b"], [4, MEMBERS, MEMBERS], Replica(state).pack()]
+        accepted: PackedFields = [4, [2, "b"], [4, MEMBERS, MEMBERS], Replica(state).pack()]
         store.save({**DURABLE, "accepted": accepted}, replica(2))
         store = reopened(store)
         assert store.load() is None and store.quarantined
--- a/wickspring/controlplane/api/config_validation.py
+++ b/wickspring/controlplane/api/config_validation.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Hashable, Iterable, Iterator, Mapping, Sequence
-from typing import Any
+from collections.abc import Hashable, Iterable, Iterator, Sequence
+from typing import NotRequired, TypedDict
 
 import msgspec
 from expression import Error, Ok, Result
@@ -21,7 +21,64 @@
 MAX_VERSION = 2**62
 MAX_NUMBER = 1e9  # of seconds, weights, rates and bursts: sums of them stay finite
 
-Document = Mapping[str, Any]  # a part of the configuration, as JSON brings it
+
+class WeightedServiceDocument(TypedDict):
+    """One of several services that share the requests of a route."""
+
+    service: str
+    weight: float
+
+
+class EffectDocument(TypedDict):
+    """Where a route's requests go: to `service`, or to the services of `weighted`."""
+
+    service: NotRequired[str]
+    weighted: NotRequired[list[WeightedServiceDocument]]
+    timeout_s: float
+    max_tries: int
+
+
+class PatternDocument(TypedDict):
+    """Which requests a route is for."""
+
+    path_prefix: str
+
+
+class RuleDocument(TypedDict):
+    """A route; the fields that are checked together with others."""
+
+    name: str
+    target_s: float
+    pattern: PatternDocument
+    effect: EffectDocument
+
+
+class SocketDocument(TypedDict):
+    """A host and its routes."""
+
+    host: str
+    policy: list[RuleDocument]
+
+
+class BackendDocument(TypedDict):
+    """A service; the fields that are checked together with others."""
+
+    name: str
+
+
+class TenantDocument(TypedDict):
+    """A tenant; the fields that are checked together with others."""
+
+    name: str
+    api_keys: list[str]
+
+
+class ConfigDocument(TypedDict):
+    """The whole configuration; the fields that are checked together with others."""
+
+    sockets: list[SocketDocument]
+    backends: list[BackendDocument]
+    tenants: NotRequired[list[TenantDocument]]
 
 
 def _validate_version(text: str) -> None:
@@ -58,7 +115,7 @@
     max_tries = fields.Integer(required=True, strict=True, validate=validate.Range(min=1))
 
     @validates_schema
-    def _validate_destination(self, effect: Document, **_: Any) -> None:
+    def _validate_destination(self, effect: EffectDocument, **_: object) -> None:
         if ("service" in effect) == ("weighted" in effect):
             raise ValidationError("names either service or weighted")
         if "weighted" in effect and not any(part["weight"] > 0 for part in effect["weighted"]):
@@ -79,7 +136,7 @@
     effect = fields.Nested(_Effect, required=True)
 
     @validates_schema
-    def _validate_target(self, rule: Document, **_: Any) -> None:
+    def _validate_target(self, rule: RuleDocument, **_: object) -> None:
         if rule["target_s"] >= rule["effect"]["timeout_s"] + TARGET_MARGIN_S:
             raise ValidationError("exceeds its route's timeout by a minute or more", "target_s")
 
@@ -120,7 +177,7 @@
     backends = fields.List(fields.Nested(_Backend), required=True)
 
     @validates_schema
-    def _validate_references(self, config: Document, **_: Any) -> None:
+    def _validate_references(self, config: ConfigDocument, **_: object) -> None:
         services = [backend["name"] for backend in config["backends"]]
         _require_unique("backends", services)
         _require_known_services(config["sockets"], frozenset(services))
@@ -133,7 +190,7 @@
         raise ValidationError(reason, field)
 
 
-def _require_known_services(sockets: Iterable[Document], known_services: frozenset[str]) -> None:
+def _require_known_services(sockets: Iterable[SocketDocument], known_services: frozenset[str]) -> None:
     for socket in sockets:
         for rule in socket["policy"]:
             for service in _services_of(rule["effect"]):
@@ -142,20 +199,20 @@
                     raise ValidationError(reason, "sockets")
 
 
-def _services_of(effect: Document) -> list[str]:
+def _services_of(effect: EffectDocument) -> list[str]:
     if "service" in effect:
         return [effect["service"]]
     return [part["service"] for part in effect.get("weighted", ())]
 
 
-def _route_places(sockets: Iterable[Document]) -> Iterator[tuple[str, str]]:
+def _route_places(sockets: Iterable[SocketDocument]) -> Iterator[tuple[str, str]]:
     """Return the host and the path prefix of each route; no two routes may have the same."""
     for socket in sockets:
         for rule in socket["policy"]:
             yield socket["host"].lower(), rule["pattern"]["path_prefix"]
 
 
-def _validate_tenants(tenants: Sequence[Document]) -> None:
+def _validate_tenants(tenants: Sequence[TenantDocument]) -> None:
     _require_unique("tenants", [tenant["name"] for tenant in tenants])
     keys = [key for tenant in tenants for key in set(tenant["api_keys"])]
     _require_unique("tenants", keys, "a key is shared")
--- a/wickspring/controlplane/replication/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -21,7 +21,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from random import Random
-from typing import Any, ClassVar, Self, assert_never
+from typing import ClassVar, Self, assert_never
 
 from wickspring.controlplane.replication.catch_up import CatchUp
 from wickspring.controlplane.replication.messages import (
@@ -37,6 +37,7 @@
     Promise,
     ReplicationMessage,
 )
+from wickspring.controlplane.replication.packing import PackedState
 from wickspring.controlplane.replication.paxos import PaxosVoter
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.update_passing import UpdatePassing
@@ -162,11 +163,11 @@
 
     # The host.
 
-    def durable(self) -> dict[str, Any]:
+    def durable(self) -> PackedState:
         """Return all that must outlive this process, beside the replica."""
         return {"view": self.view.pack(), **self.paxos.durable()}
 
-    def restore(self, durable: Mapping[str, Any]) -> None:
+    def restore(self, durable: PackedState) -> None:
         """Restore what an earlier process of this node saved."""
         self.view = View.unpack(durable["view"])
         self.paxos.restore(durable)
--- a/wickspring/controlplane/replication/messages.py
+++ b/wickspring/controlplane/replication/messages.py
@@ -2,15 +2,16 @@
 
 Each class has the kind by which it goes over the wire (`KIND`) and encodes to a list that starts with it.
 Kinds and layouts are fixed by the wire: nodes of the version before understand them. `decode` raises
-ValueError, TypeError, IndexError or the like for a malformed message, and returns None for an unknown kind.
+ValueError or IndexError for a malformed message, and returns None for an unknown kind.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import Any, ClassVar, TypeAlias
+from typing import ClassVar, TypeAlias
 
+from wickspring.controlplane.replication.packing import PackedFields, PackedValue, convert_packed
 from wickspring.controlplane.replication.paxos import AcceptedValue, Ballot
 from wickspring.controlplane.replication.replica import Replica
 from wickspring.controlplane.replication.view import View
@@ -25,14 +26,15 @@
     sequence: int
     state: Replica
 
-    def encode(self) -> list[Any]:
+    def encode(self) -> PackedFields:
         """Return the list that goes over the wire."""
         return [self.KIND, self.view.pack(), self.sequence, self.state.pack()]
 
     @staticmethod
-    def decode(fields: list[Any]) -> Pass:
+    def decode(fields: Sequence[object]) -> Pass:
         """Decode the fields that follow the kind."""
-        return Pass(View.unpack(fields[0]), int(fields[1]), Replica.unpack(fields[2]))
+        view, sequence, state = convert_packed(fields[:3], tuple[object, int, object])
+        return Pass(View.unpack(view), sequence, Replica.unpack(state))
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,14 +47,14 @@
     identity: bytes  # of the configuration that the sender stores
     disk_id: str  # of the sender
 
-    def encode(self) -> list[Any]:
+    def encode(self) -> PackedFields:
         """Return the list that goes over the wire."""
         return [self.KIND, self.epoch, self.sequence, self.identity, self.disk_id]
 
     @staticmethod
-    def decode(fields: list[Any]) -> Passed:
+    def decode(fields: Sequence[object]) -> Passed:
         """Decode the fields that follow the kind."""
-        return Passed(int(fields[0]), int(fields[1]), bytes(fields[2]), str(fields[3]))
+        return Passed(*convert_packed(fields[:4], tuple[int, int, bytes, str]))
 
 
 @dataclass(slots=True, frozen=True)
@@ -64,14 +66,14 @@
     identity: bytes  # of the configuration that the sender stores
     disk_id: str  # of the sender
 
-    def encode(self) -> list[Any]:
+    def encode(self) -> PackedFields:
         """Return the list that goes over the wire."""
         return [self.KIND, self.epoch, self.identity, self.disk_id]
 
     @staticmethod
-    def decode(fields: list[Any]) -> Fetch:
+    def decode(fields: Sequence[object]) -> Fetch:
         """Decode the fields that follow the kind."""
-        return Fetch(int(fields[0]), bytes(fields[1]), str(fields[2]))
+        return Fetch(*convert_packed(fields[:3], tuple[int, bytes, str]))
 
 
 @dataclass(slots=True, frozen=True)
@@ -81,12 +83,12 @@
     KIND: ClassVar = "copy"
     state: Replica
 
-    def encode(self) -> list[Any]:
+    def encode(self) -> PackedFields:
         """Return the list that goes over the wire."""
         return [self.KIND, self.state.pack()]
 
     @staticmethod
-    def decode(fields: list[Any]) -> CommittedState:
+    def decode(fields: Sequence[object]) -> CommittedState:
         """Decode the fields that follow the kind."""
         return CommittedState(Replica.unpack(fields[0]))
 
@@ -99,12 +101,12 @@
     view: View
     state: Replica | None
 
-    def encode(self) -> list[Any]:
+    def encode(self) -> PackedFields:
         """Return the list that goes over the wire."""
         return [self.KIND, self.view.pack(), None if self.state is None else self.state.pack()]
 
     @staticmethod
-    def decode(fields: list[Any]) -> InstallView:
+    def decode(fields: Sequence[object]) -> InstallView:
         """Decode the fields that follow the kind."""
         state = None if fields[1] is None else Replica.unpack(fields[1])
         return InstallView(View.unpack(fields[0]), state)
@@ -119,14 +121,14 @@
     ballot: Ballot
     identity: bytes  # of the configuration that the sender stores
 
-    def encode(self) -> list[Any]:
+    def encode(self) -> PackedFields:
         """Return the list that goes over the wire."""
         return [self.KIND, self.slot, list(self.ballot), self.identity]
 
     @staticmethod
-    def decode(fields: list[Any]) -> Prepare:
+    def decode(fields: Sequence[object]) -> Prepare:
         """Decode the fields that follow the kind."""
-        return Prepare(int(fields[0]), Ballot.unpack(fields[1]), bytes(fields[2]))
+        return Prepare(*convert_packed(fields[:3], tuple[int, Ballot, bytes]))
 
 
 @dataclass(slots=True, frozen=True)
@@ -140,17 +142,19 @@
     state: Replica
     disk_id: str  # of the sender
 
-    def encode(self) -> list[Any]:
+    def encode(self) -> PackedFields:
         """Return the list that goes over the wire."""
-        accepted = None if self.accepted is None else self.accepted.pack()
+        accepted: PackedValue = None if self.accepted is None else self.accepted.pack()
         return [self.KIND, self.slot, list(self.ballot), accepted, self.state.pack(), self.disk_id]
 
     @staticmethod
-    def decode(fields: list[Any]) -> Promise:
+    def decode(fields: Sequence[object]) -> Promise:
         """Decode the fields that follow the kind."""
-        slot, ballot, accepted, state, disk_id = fields
+        slot, ballot, accepted, state, disk_id = convert_packed(
+            fields, tuple[int, Ballot, object, object, str]
+        )
         value = None if accepted is None else AcceptedValue.unpack(accepted)
-        return Promise(int(slot), Ballot.unpack(ballot), value, Replica.unpack(state), str(disk_id))
+        return Promise(slot, ballot, value, Replica.unpack(state), disk_id)
 
 
 @dataclass(slots=True, frozen=True)
@@ -163,15 +167,15 @@
     view: View
     state: Replica
 
-    def encode(self) -> list[Any]:
+    def encode(self) -> PackedFields:
         """Return the list that goes over the wire."""
         return [self.KIND, self.slot, list(self.ballot), self.view.pack(), self.state.pack()]
 
     @staticmethod
-    def decode(fields: list[Any]) -> Accept:
+    def decode(fields: Sequence[object]) -> Accept:
         """Decode the fields that follow the kind."""
-        view = View.unpack(fields[2])
-        return Accept(int(fields[0]), Ballot.unpack(fields[1]), view, Replica.unpack(fields[3]))
+        slot, ballot, view, state = convert_packed(fields[:4], tuple[int, Ballot, object, object])
+        return Accept(slot, ballot, View.unpack(view), Replica.unpack(state))
 
 
 @dataclass(slots=True, frozen=True)
@@ -183,14 +187,14 @@
     ballot: Ballot
     disk_id: str  # of the sender
 
-    def encode(self) -> list[Any]:
+    def encode(self) -> PackedFields:
         """Return the list that goes over the wire."""
         return [self.KIND, self.slot, list(self.ballot), self.disk_id]
 
     @staticmethod
-    def decode(fields: list[Any]) -> Accepted:
+    def decode(fields: Sequence[object]) -> Accepted:
         """Decode the fields that follow the kind."""
-        return Accepted(int(fields[0]), Ballot.unpack(fields[1]), str(fields[2]))
+        return Accepted(*convert_packed(fields[:3], tuple[int, Ballot, str]))
 
 
 @dataclass(slots=True, frozen=True)
@@ -201,14 +205,14 @@
     slot: int
     ballot: Ballot  # the higher one
 
-    def encode(self) -> list[Any]:
+    def encode(self) -> PackedFields:
         """Return the list that goes over the wire."""
         return [self.KIND, self.slot, list(self.ballot)]
 
     @staticmethod
-    def decode(fields: list[Any]) -> Outbid:
+    def decode(fields: Sequence[object]) -> Outbid:
         """Decode the fields that follow the kind."""
-        return Outbid(int(fields[0]), Ballot.unpack(fields[1]))
+        return Outbid(*convert_packed(fields[:2], tuple[int, Ballot]))
 
 
 UpdatePassingMessage: TypeAlias = Pass | Passed
@@ -216,7 +220,7 @@
 ViewChangeMessage: TypeAlias = Prepare | Promise | Accept | Accepted | Outbid
 ReplicationMessage: TypeAlias = UpdatePassingMessage | CatchUpMessage | ViewChangeMessage
 
-_DECODERS: dict[str, Callable[[list[Any]], ReplicationMessage]] = {
+_DECODERS: dict[str, Callable[[Sequence[object]], ReplicationMessage]] = {
     Pass.KIND: Pass.decode,
     Passed.KIND: Passed.decode,
     Fetch.KIND: Fetch.decode,
@@ -230,8 +234,12 @@
 }
 
 
-def decode(packed: list[Any]) -> ReplicationMessage | None:
-    """Decode a message; None for an unknown kind, so that nodes of a later version may send more."""
-    kind, *fields = packed
-    decoder = _DECODERS.get(kind)
+def decode(packed: object) -> ReplicationMessage | None:
+    """Decode a message; None for an unknown kind, so that nodes of a later version may send more.
+
+    Raises:
+        ValueError or the like, one of `DECODE_ERRORS`: the message is malformed.
+    """
+    kind, *fields = convert_packed(packed, list[object])
+    decoder = _DECODERS.get(convert_packed(kind, str))
     return None if decoder is None else decoder(fields)
--- a/wickspring/controlplane/replication/node.py
+++ b/wickspring/controlplane/replication/node.py
@@ -10,7 +10,7 @@
 import sqlite3
 from collections.abc import Callable
 from random import Random
-from typing import Any, Protocol
+from typing import Protocol
 
 import trio
 
@@ -32,6 +32,7 @@
 from wickspring.controlplane.replication import diagnostics, messages
 from wickspring.controlplane.replication.lease import Lease, granted_epoch
 from wickspring.controlplane.replication.next_view import tolerance_shortfalls
+from wickspring.controlplane.replication.packing import PackedFields
 from wickspring.controlplane.replication.peers import REACHABLE_MS, PeerSet
 from wickspring.controlplane.replication.replica import Replica, Update
 from wickspring.controlplane.replication.startup import load_chain
@@ -137,7 +138,7 @@
             case _:
                 self._listener.on_peer_message(address, message)
 
-    def _on_chain_message(self, address: str, packed: list[Any]) -> None:
+    def _on_chain_message(self, address: str, packed: object) -> None:
         message = messages.decode(packed)
         if message is not None:
             self.chain.receive(self._clock.now(), address, message)
@@ -218,7 +219,7 @@
             await trio.sleep(SAVE_RETRY_S)
         self._saving_since = None
 
-    async def save_servers(self, servers: list[Any]) -> None:
+    async def save_servers(self, servers: PackedFields) -> None:
         """Save the known endpoints, packed; where the disk refuses, the next change tries again."""
         await self._try_to_save(lambda: self.store.save_servers(servers))
 
--- a/wickspring/controlplane/replication/paxos.py
+++ b/wickspring/controlplane/replication/paxos.py
@@ -14,10 +14,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
+import msgspec
+
+from wickspring.controlplane.replication.packing import PackedFields, PackedState, PackedValue, convert_packed
 from wickspring.controlplane.replication.replica import Replica
 from wickspring.controlplane.replication.view import Member, View
 from wickspring.core.invariants import check_invariant
@@ -30,10 +32,9 @@
     proposer: str
 
     @staticmethod
-    def unpack(packed: Iterable[Any]) -> Ballot:
-        """Decode it; raises ValueError or TypeError for anything else."""
-        number, proposer = packed
-        return Ballot(int(number), str(proposer))
+    def unpack(packed: object) -> Ballot:
+        """Decode a packed ballot; raises ValueError for anything else."""
+        return convert_packed(packed, Ballot)
 
 
 NO_BALLOT = Ballot(0, "")
@@ -46,21 +47,29 @@
     state: Replica
 
 
+class _PackedAcceptedValue(msgspec.Struct, array_like=True):
+    """The fields of a packed `AcceptedValue`."""
+
+    ballot: Ballot
+    view: object
+    state: object
+
+
 class AcceptedValue(NamedTuple):
     """A value and the ballot in which it was accepted."""
 
     ballot: Ballot
     value: Value
 
-    def pack(self) -> list[Any]:
+    def pack(self) -> PackedFields:
         """Return it for a message or a file."""
         return [list(self.ballot), self.value.view.pack(), self.value.state.pack()]
 
     @staticmethod
-    def unpack(packed: Any) -> AcceptedValue:
-        """Decode it; raises ValueError or the like for anything else."""
-        value = Value(View.unpack(packed[1]), Replica.unpack(packed[2]))
-        return AcceptedValue(Ballot.unpack(packed[0]), value)
+    def unpack(packed: object) -> AcceptedValue:
+        """Decode what `pack` has returned; raises ValueError for anything else."""
+        fields = convert_packed(packed, _PackedAcceptedValue)
+        return AcceptedValue(fields.ballot, Value(View.unpack(fields.view), Replica.unpack(fields.state)))
 
 
 @dataclass(slots=True)
@@ -100,21 +109,19 @@
         self.accepted: AcceptedValue | None = None
         self.proposal: Proposal | None = None
 
-    def durable(self) -> dict[str, Any]:
+    def durable(self) -> PackedState:
         """Return what must outlive this process."""
-        accepted = None
+        accepted: PackedValue = None
         if self.accepted is not None:
             accepted = [self.accepted_slot, *self.accepted.pack()]
         return {"promised": [self.promised_slot, list(self.promised_ballot)], "accepted": accepted}
 
-    def restore(self, durable: Mapping[str, Any]) -> None:
-        """Restore what an earlier process saved."""
-        slot, ballot = durable["promised"]
-        self.promised_slot = int(slot)
-        self.promised_ballot = Ballot.unpack(ballot)
+    def restore(self, durable: PackedState) -> None:
+        """Restore what an earlier process saved; raises ValueError for anything else."""
+        self.promised_slot, self.promised_ballot = convert_packed(durable["promised"], tuple[int, Ballot])
         if durable["accepted"] is not None:
-            slot, *accepted = durable["accepted"]
-            self.accepted_slot = int(slot)
+            slot, *accepted = convert_packed(durable["accepted"], list[object])
+            self.accepted_slot = convert_packed(slot, int)
             self.accepted = AcceptedValue.unpack(accepted)
 
     def end_slot(self) -> None:
--- a/wickspring/controlplane/replication/replica.py
+++ b/wickspring/controlplane/replication/replica.py
@@ -20,9 +20,12 @@
 import zlib
 from dataclasses import dataclass, field, replace
 from enum import IntEnum
-from typing import Any, Self
+from typing import NamedTuple, Self
+
+import msgspec
 
 from wickspring.common.digest import DIGEST_SIZE, digest_of
+from wickspring.controlplane.replication.packing import PackedFields, convert_packed
 from wickspring.core.invariants import check_invariant
 
 MAX_HISTORY = 512  # versions before the present one whose digests are kept
@@ -32,6 +35,32 @@
 Rank = tuple[int, int]  # epoch, version
 
 
+class _PackedConfig(NamedTuple):
+    """The fields of a packed `Config`."""
+
+    epoch: int
+    version: int
+    document: bytes
+    digest: bytes
+    history: tuple[tuple[int, bytes], ...]
+    reference: bytes
+
+
+class _PackedUpdate(msgspec.Struct, array_like=True):
+    """The fields of a packed `Update`; those of a later version may follow them."""
+
+    version: int
+    document: bytes
+    departures: dict[str, int]
+
+
+class _PackedReplica(msgspec.Struct, array_like=True):
+    """The fields of a packed `Replica`; those of a later version may follow them."""
+
+    config: object
+    departures: dict[str, int]
+
+
 class CommitOutcome(IntEnum):
     """The outcome of an update: whether its sender may take it for durable."""
 
@@ -103,19 +132,18 @@
             return self
         return replace(own, epoch=self.epoch)
 
-    def pack(self) -> list[Any]:
+    def pack(self) -> PackedFields:
         """Return it for a message or a file."""
-        history = [list(entry) for entry in self.history]
+        history: PackedFields = [list(entry) for entry in self.history]
         return [self.epoch, self.version, self.document, self.digest, history, self.reference]
 
     @staticmethod
-    def unpack(packed: Any) -> Config:
-        """Decode it; ValueError where text and digest do not belong together."""
-        epoch, version, document, digest, history, reference = packed
-        if document and digest_of(bytes(document)) != digest:
-            raise ValueError(f"r{version}: the text does not have the digest that came with it")
-        entries = tuple((int(number), bytes(entry)) for number, entry in history)
-        return Config(int(epoch), int(version), bytes(document), bytes(digest), entries, bytes(reference))
+    def unpack(packed: object) -> Config:
+        """Decode what `pack` has returned; raises ValueError where the digest is not that of the document."""
+        fields = convert_packed(packed, _PackedConfig)
+        if fields.document and digest_of(fields.document) != fields.digest:
+            raise ValueError(f"r{fields.version}: the text does not have the digest that came with it")
+        return Config(*fields)
 
 
 @dataclass(slots=True, frozen=True)
@@ -136,13 +164,10 @@
         return self.version, self.document, self.departures
 
     @staticmethod
-    def unpack(packed: Any) -> Update:
-        """Decode it; raises ValueError or TypeError for anything else."""
-        return Update(int(packed[0]), bytes(packed[1]), _unpack_departures(packed[2]))
-
-
-def _unpack_departures(packed: Any) -> dict[str, int]:
-    return {str(endpoint_id): int(state) for endpoint_id, state in packed.items()}
+    def unpack(packed: object) -> Update:
+        """Decode what `pack` has returned; raises ValueError for anything else."""
+        fields = convert_packed(packed, _PackedUpdate)
+        return Update(fields.version, fields.document, fields.departures)
 
 
 def _departure_checksum(endpoint_id: str, state: int) -> int:
@@ -224,11 +249,12 @@
         other.departures_checksum = self.departures_checksum
         return other
 
-    def pack(self) -> list[Any]:
+    def pack(self) -> PackedFields:
         """Return it for a message or a file."""
         return [self.config.pack(), self.departures]
 
     @classmethod
-    def unpack(cls, packed: Any) -> Self:
-        """Decode it; ValueError where text and digest do not belong together."""
-        return cls(Config.unpack(packed[0]), _unpack_departures(packed[1]))
+    def unpack(cls, packed: object) -> Self:
+        """Decode what `pack` has returned; raises ValueError where the digest is not that of the document."""
+        fields = convert_packed(packed, _PackedReplica)
+        return cls(Config.unpack(fields.config), fields.departures)
--- a/wickspring/controlplane/replication/snapshot.py
+++ b/wickspring/controlplane/replication/snapshot.py
@@ -11,7 +11,6 @@
 
 import hashlib
 from itertools import pairwise
-from typing import Any
 
 import msgspec
 from expression import Error, Ok, Result
@@ -53,7 +52,7 @@
     sum: str = ""
 
 
-def _checksum(*values: Any) -> str:
+def _checksum(*values: object) -> str:
     return hashlib.blake2b(msgspec.json.encode(values), digest_size=CHECKSUM_SIZE).hexdigest()
 
 
--- a/wickspring/controlplane/replication/view.py
+++ b/wickspring/controlplane/replication/view.py
@@ -11,8 +11,11 @@
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
+import msgspec
+
+from wickspring.controlplane.replication.packing import PackedFields, convert_packed
 from wickspring.controlplane.replication.replica import MAX_DEPARTURES, Rank, Replica
 
 MIN_VOTERS = 3  # one may be lost for good while another is unreachable
@@ -25,8 +28,12 @@
     disk_id: str
 
 
-def _unpack_members(packed: Any) -> tuple[Member, ...]:
-    return tuple(Member(str(address), str(disk_id)) for address, disk_id in packed)
+class _PackedView(msgspec.Struct, array_like=True):
+    """The fields of a packed view; those of a later version may follow them."""
+
+    epoch: int
+    voters: tuple[Member, ...]
+    chain: tuple[Member, ...]
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,14 +70,15 @@
         index = self.chain.index(member) + 1
         return self.chain[index] if index < len(self.chain) else None
 
-    def pack(self) -> list[Any]:
+    def pack(self) -> PackedFields:
         """Return it for a message or a file."""
         return [self.epoch, [list(member) for member in self.voters], [list(member) for member in self.chain]]
 
     @staticmethod
-    def unpack(packed: Any) -> View:
-        """Decode it; raises ValueError or TypeError for anything else."""
-        return View(int(packed[0]), _unpack_members(packed[1]), _unpack_members(packed[2]))
+    def unpack(packed: object) -> View:
+        """Decode what `pack` has returned; raises ValueError for anything else."""
+        fields = convert_packed(packed, _PackedView)
+        return View(fields.epoch, fields.voters, fields.chain)
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickspring/controlplane/storage.py
+++ b/wickspring/controlplane/storage.py
@@ -11,16 +11,17 @@
 import time
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import msgpack
 from zope.interface import Interface, implementer
 
 from wickspring.common import logs
 from wickspring.controlplane import storage_records
+from wickspring.controlplane.replication.packing import PackedFields, PackedState
 from wickspring.controlplane.replication.replica import Replica
 from wickspring.controlplane.storage_file import FILE, StoreFile, is_refusal
-from wickspring.controlplane.storage_records import ENDPOINTS, UNREADABLE_ERRORS, Durable, Records
+from wickspring.controlplane.storage_records import ENDPOINTS, UNREADABLE_ERRORS, Records
 
 ResultT = TypeVar("ResultT")
 
@@ -31,10 +32,10 @@
 class IReplicaStore(Interface):  # type: ignore[misc]
     """Where a node's state outlives its process."""
 
-    def load(self) -> tuple[Durable, Replica] | None:
+    def load(self) -> tuple[PackedState, Replica] | None:
         """Return what was saved last, or None where nothing is there."""
 
-    def save(self, durable: Durable, replica: Replica) -> None:
+    def save(self, durable: PackedState, replica: Replica) -> None:
         """Save it in full; it is on disk when this returns. OSError or sqlite3.Error where it is not."""
 
 
@@ -78,11 +79,11 @@
                 self._pause(OPEN_RETRY_S)
         return action()
 
-    def load(self) -> tuple[Durable, Replica] | None:
+    def load(self) -> tuple[PackedState, Replica] | None:
         """Return what was saved last, or None where nothing complete is there."""
         return self._retry(self._load)
 
-    def _load(self) -> tuple[Durable, Replica] | None:
+    def _load(self) -> tuple[PackedState, Replica] | None:
         if not self._file.is_open:
             self._file.open()
         try:
@@ -95,13 +96,13 @@
             self._file.open()
             return None
 
-    def _read(self) -> tuple[Durable, Replica] | None:
+    def _read(self) -> tuple[PackedState, Replica] | None:
         records = storage_records.read(self.db)
         state = storage_records.decode(records)
         self._saved = records
         return state
 
-    def load_servers(self) -> list[Any]:
+    def load_servers(self) -> PackedFields:
         """Return the endpoints that were saved last, packed; they may be gone by now."""
         if ENDPOINTS not in self._saved.parts:
             return []
@@ -110,7 +111,7 @@
         except (ValueError, TypeError, msgpack.UnpackException):
             return []
 
-    def save(self, durable: Durable, replica: Replica) -> None:
+    def save(self, durable: PackedState, replica: Replica) -> None:
         """Save what differs from what was saved last, in one transaction.
 
         Raises:
@@ -119,7 +120,7 @@
         """
         self._write(storage_records.encode(durable, replica, self._saved))
 
-    def save_servers(self, servers: list[Any]) -> None:
+    def save_servers(self, servers: PackedFields) -> None:
         """Save the known endpoints, packed, so that all may start again without waiting for heartbeats."""
         parts = {ENDPOINTS: msgpack.packb(servers)}
         self._write(Records(parts, self._saved.history, self._saved.departures))
--- a/wickspring/controlplane/storage_legacy.py
+++ b/wickspring/controlplane/storage_legacy.py
@@ -11,11 +11,17 @@
 
 import hashlib
 import sqlite3
-from typing import Any
+from typing import NamedTuple
 
 import msgpack
 
 from wickspring.common.digest import digest_of
+from wickspring.controlplane.replication.packing import (
+    PackedFields,
+    PackedState,
+    PackedValue,
+    convert_packed,
+)
 from wickspring.controlplane.replication.replica import Config, Replica
 
 CHECKSUM_SIZE = 16  # bytes
@@ -29,16 +35,37 @@
     return hashlib.blake2b(data, digest_size=CHECKSUM_SIZE).digest()
 
 
-def _upgrade_view(packed: Any) -> list[Any]:
-    """Return a view in the present form: the members of then were both its voters and its chain."""
-    epoch, members = packed
-    return [epoch, members, members]
+class StoredView(NamedTuple):
+    """A view of schemas 1 and 2."""
 
+    epoch: int
+    members: list[list[str]]  # address and disk id of each
 
-def _read_departures(db: sqlite3.Connection, schema: int, stored: Any) -> dict[str, int]:
+    def upgraded(self) -> PackedFields:
+        """Return the packed view of schema 3: these members were both its voters and its chain."""
+        return [self.epoch, self.members, self.members]
+
+
+class StoredAcceptedView(NamedTuple):
+    """An accepted view of schemas 1 and 2, which had no state of its own."""
+
+    slot: int
+    ballot: list[int | str]
+    view: StoredView
+
+
+class LegacyState(NamedTuple):
+    """What a file of schema 1 or 2 contains, as schema 3 has it."""
+
+    durable: PackedState
+    replica: Replica
+    endpoints: bytes | None  # the known endpoints, packed
+
+
+def _read_departures(db: sqlite3.Connection, schema: int, stored: object) -> dict[str, int]:
     """Return the departures: schema 1 had them in one part, schema 2 their number and a row for each."""
     if schema == 1:
-        return {str(endpoint_id): int(state) for endpoint_id, state in stored.items()}
+        return convert_packed(stored, dict[str, int])
     rows = db.execute("select id, state, sum from leaver order by rowid").fetchall()
     damaged = any(
         _checksum(f"{endpoint_id} {state}".encode()) != expected for endpoint_id, state, expected in rows
@@ -56,32 +83,34 @@
     return parts
 
 
-def read(db: sqlite3.Connection, schema: int) -> tuple[dict[str, Any], Replica, bytes | None] | None:
-    """Return the durable state, the replica, and the known endpoints as packed; None of an empty file.
+def read(db: sqlite3.Connection, schema: int) -> LegacyState | None:
+    """Return the contents of a file of schema 1 or 2; None where it is empty.
 
-    Raises CorruptStoreError, or another ValueError, KeyError or the like, where the file does not add up.
+    Raises:
+        CorruptStoreError, or another ValueError or KeyError: the file is damaged or incomplete.
     """
     parts = _read_parts(db)
     if "chain" not in parts:
         return None
-    durable: dict[str, Any] = msgpack.unpackb(parts["chain"])
-    version, departures = msgpack.unpackb(parts["hold"])
+    durable: dict[str, PackedValue] = msgpack.unpackb(parts["chain"])
+    view = convert_packed(durable["view"], StoredView)
+    version, departures = convert_packed(msgpack.unpackb(parts["hold"]), tuple[int, object])
     document = parts.get("document", b"") if version else b""
-    epoch = int(durable["view"][0])
-    config = Config(epoch, int(version), document, digest_of(document) if version else b"")
+    config = Config(view.epoch, version, document, digest_of(document) if version else b"")
     if not config.complete:
         raise CorruptStoreError(f"r{version} has no text")
     replica = Replica(config, _read_departures(db, schema, departures))
-    accepted = _upgrade_accepted(durable["accepted"], epoch, replica)
-    durable = {**durable, "view": _upgrade_view(durable["view"]), "accepted": accepted}
-    return durable, replica, parts.get("servers")
+    accepted = _upgrade_accepted(durable["accepted"], view.epoch, replica)
+    durable |= {"view": view.upgraded(), "accepted": accepted}
+    return LegacyState(durable, replica, parts.get("servers"))
 
 
-def _upgrade_accepted(accepted: Any, epoch: int, replica: Replica) -> list[Any] | None:
+def _upgrade_accepted(stored: object, epoch: int, replica: Replica) -> PackedFields | None:
     """Return an accepted view with the state that it starts with; None where its epoch is over."""
-    if accepted is None:
+    if stored is None:
         return None
-    slot, ballot, view = accepted
-    if slot <= epoch:
+    accepted = convert_packed(stored, StoredAcceptedView)
+    if accepted.slot <= epoch:
         return None
-    return [slot, ballot, _upgrade_view(view), replica.with_epoch(int(view[0])).pack()]
+    state = replica.with_epoch(accepted.view.epoch)
+    return [accepted.slot, accepted.ballot, accepted.view.upgraded(), state.pack()]
--- a/wickspring/controlplane/storage_records.py
+++ b/wickspring/controlplane/storage_records.py
@@ -12,12 +12,12 @@
 import hashlib
 import sqlite3
 from dataclasses import dataclass, field
-from typing import Any
 
 import msgpack
 
 from wickspring.common.digest import digest_of
 from wickspring.controlplane import storage_legacy
+from wickspring.controlplane.replication.packing import PackedState
 from wickspring.controlplane.replication.replica import Config, Replica
 from wickspring.controlplane.storage_file import is_refusal
 from wickspring.controlplane.storage_legacy import CorruptStoreError
@@ -36,8 +36,6 @@
     msgpack.UnpackException,
 )
 
-Durable = dict[str, Any]  # what `ReplicationChain.durable` returns, with the disk's id
-
 
 @dataclass(slots=True)
 class Records:
@@ -64,7 +62,7 @@
 # Encoding.
 
 
-def encode(durable: Durable, replica: Replica, saved: Records) -> Records:
+def encode(durable: PackedState, replica: Replica, saved: Records) -> Records:
     """Return the records of a state; `saved` are those on disk, whose checksums are used again.
 
     Raises:
@@ -129,7 +127,7 @@
     return {str(endpoint_id): int(state) for endpoint_id, state, _ in rows}
 
 
-def decode(records: Records) -> tuple[Durable, Replica] | None:
+def decode(records: Records) -> tuple[PackedState, Replica] | None:
     """Return the state of records, None where there is none; raises one of `UNREADABLE_ERRORS`."""
     parts = records.parts
     if SEAL not in parts:
@@ -137,9 +135,8 @@
     if parts[SEAL] != b"".join(checksum(parts[name]) for name in SEALED_PARTS):
         raise CorruptStoreError("parts of two saves")
     replica = _decode_replica(records)
-    durable: Durable = msgpack.unpackb(parts["chain"])
     accepted = msgpack.unpackb(parts["accepted"])
-    durable["accepted"] = accepted
+    durable: PackedState = {**msgpack.unpackb(parts["chain"]), "accepted": accepted}
     if accepted is not None and not Replica.unpack(accepted[3]).config.complete:
         raise CorruptStoreError("the accepted view's state is incomplete")
     return durable, replica
@@ -243,15 +240,14 @@
     db.execute("create table history (version integer primary key, digest blob)")
     if state is None:
         return
-    durable, replica, endpoints = state
-    records = encode(durable, replica, Records())
-    if endpoints is not None:
-        records.parts[ENDPOINTS] = endpoints
+    records = encode(state.durable, state.replica, Records())
+    if state.endpoints is not None:
+        records.parts[ENDPOINTS] = state.endpoints
     put_parts(db, records.parts)
     put_departures(db, records.departures)
 
 
-def _read_older(db: sqlite3.Connection, schema: int) -> tuple[Durable, Replica, bytes | None] | None:
+def _read_older(db: sqlite3.Connection, schema: int) -> storage_legacy.LegacyState | None:
     try:
         return storage_legacy.read(db, schema)
     except UNREADABLE_ERRORS as error:
