--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -331,8 +331,8 @@
         old.reduce(
             1.0, core.RequestArrived(api.Request(number, 0, 0, number, 4000.0, 1.0, 2, 0), f"id{number}")
         )
-    server = next(iter(old.policy.servers.values()))
-    server.fails, server.shun_until, server.pace.mean, server.pace.at = 3, 99.0, 0.7, 5.0
+    server = next(iter(old.policy.server_table.servers.values()))
+    server.failures, server.ejected_until, server.latency.mean, server.latency.updated_at = 3, 99.0, 0.7, 5.0
     parts = list(succession.export_state(old))
     assert len(parts) > 2 and [part.last for part in parts] == [False] * (len(parts) - 1) + [True]
     for part in parts:
@@ -340,13 +340,19 @@
         assert isinstance(sent, succession.State)
         assert len(handover._encode(part)) < handover.MOST_MESSAGE
         succession.import_state(new, sent)
-    assert list(new.policy.accounts) == list(old.policy.accounts)
-    for customer, account in new.policy.accounts.items():
-        told = old.policy.accounts[customer]
-        assert (account.store, account.at, account.window) == (told.store, told.at, told.window)
-    assert new.policy.servers[server.entry.server].fails == 3
-    assert new.policy.servers[server.entry.server].pace == replace(server.pace, since=0.0)
-    assert new.policy.room == old.policy.room
+    assert list(new.policy.quotas) == list(old.policy.quotas)
+    for customer, account in new.policy.quotas.items():
+        told = old.policy.quotas[customer]
+        assert (account.tokens, account.updated_at, account.window) == (
+            told.tokens,
+            told.updated_at,
+            told.window,
+        )
+    assert new.policy.server_table.servers[server.entry.server].failures == 3
+    assert new.policy.server_table.servers[server.entry.server].latency == replace(
+        server.latency, waiting_since=0.0
+    )
+    assert new.policy.concurrency_limit == old.policy.concurrency_limit
 
 
 def test_an_id_under_way_at_the_old_process_is_not_taken_by_the_new_one() -> None:
@@ -369,11 +375,11 @@
 def test_a_server_started_anew_keeps_nothing_of_what_the_old_process_knew() -> None:
     old, new = reducer(), reducer()
     name = Gateway.entry(1).server
-    old.policy.servers[name].fails = 4
+    old.policy.server_table.servers[name].failures = 4
     new.reduce(3.0, listed(1, kind=api.ListKind.CHANGES, started_at=2.0))
     for part in succession.export_state(old):
         succession.import_state(new, part)
-    assert new.policy.servers[name].fails == 0
+    assert new.policy.server_table.servers[name].failures == 0
 
 
 def test_the_maintenance_set_is_kept_beside_the_socket(folder: Path) -> None:
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -95,13 +95,13 @@
 def test_the_module_forgets_what_it_knew_of_a_server_put_back() -> None:
     front, held = Gateway(make_settings(may_count=False)), Maintenance()
     front.feed(held.listed(listed(1, 2)))
-    server = front.policy.servers[name(1)]
-    server.fails, server.shun_until = 5, front.now + 60_000.0
+    server = front.policy.server_table.servers[name(1)]
+    server.failures, server.ejected_until = 5, front.now + 60_000.0
     for change in [*held.exclude(name(1)), *held.include(name(1), front.now)]:
         front.feed(change)
-    fresh = front.policy.servers[name(1)]
-    assert (fresh.fails, fresh.cold_from) == (0, front.now) and fresh.shun_until < front.now
-    assert front.policy._warmth(fresh) < 0.5
+    fresh = front.policy.server_table.servers[name(1)]
+    assert (fresh.failures, fresh.warming_since) == (0, front.now) and fresh.ejected_until < front.now
+    assert front.policy.server_table.warmth(fresh, front.now) < 0.5
 
 
 class Desk:
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -7,7 +7,7 @@
 from tests.support.policy_gateway import Gateway, every, only
 from wickspring import interface as api
 from wickspring.interface import Effect, Group, Status
-from wickspring.policy import RETRY_MOST, RETRY_SHARE
+from wickspring.routing.retry_budget import EARNED_PER_REQUEST, MAX_BALANCE
 
 Build = Callable[..., Gateway]
 
@@ -100,7 +100,7 @@
         send, attempt = front.admitted(0.0), 0
         while more := every(front.outcome(send, Status.ERROR, attempt), api.Send):
             send, attempt = more[0], attempt + 1
-    assert len(every(front.done, api.Send)) <= 200 * (1 + RETRY_SHARE) + RETRY_MOST
+    assert len(every(front.done, api.Send)) <= 200 * (1 + EARNED_PER_REQUEST) + MAX_BALANCE
 
 
 def test_streaming_answer_is_left_alone(gateway: Build) -> None:
--- a/tests/policy/test_many_policies.py
+++ b/tests/policy/test_many_policies.py
@@ -10,8 +10,9 @@
 from tests.support.policy_gateway import Gateway, every, make_settings, only
 from wickspring import interface as api
 from wickspring.interface import Effect, Group, Status
-from wickspring.policy import ACCOUNT_LIFE, COLD_CARE, COLD_DRAWS, COLD_LOAD
-from wickspring.routing.room import START
+from wickspring.policy import QUOTA_TTL_MS
+from wickspring.routing.concurrency_limit import INITIAL_PER_SERVER
+from wickspring.routing.server_selection import COLD_CHANCE, COLD_DRAWS, COLD_FLEET_LOAD
 
 FLEET = 330
 
@@ -53,7 +54,7 @@
     for front in gateways:
         front.list_servers(front.entry(5, started_at=front.now), kind=api.ListKind.CHANGES)
     chosen = Counter(served(front, customer=n)[0].server for n in range(4) for front in gateways)
-    share = COLD_DRAWS * COLD_CARE * 0.2 * 4 * FLEET / 60  # draws, care, cold capacity, an even share
+    share = COLD_DRAWS * COLD_CHANCE * 0.2 * 4 * FLEET / 60  # draws, care, cold capacity, an even share
     assert chosen[Gateway.entry(5).server] <= 2.5 * share
 
 
@@ -62,13 +63,15 @@
     for front in gateways:
         front.list_servers(*(front.entry(n, started_at=front.now) for n in range(60)))
     sent = sum(len(sends(front)) for front in gateways)
-    assert sent <= 1.2 * COLD_LOAD * 0.2 * FLEET  # under a usual load well below four times what they can do
+    assert (
+        sent <= 1.2 * COLD_FLEET_LOAD * 0.2 * FLEET
+    )  # under a usual load well below four times what they can do
 
 
 def test_first_room_is_a_part_of_the_fleets() -> None:
     gateways = fleet(plan={"rate": 1.0, "burst": 1000.0})
     sent = sum(len(sends(front, customer=n)) for n in range(20) for front in gateways)
-    assert sent <= START * 60 + FLEET  # a part of 1.45 each is met by odds, two at most
+    assert sent <= INITIAL_PER_SERVER * 60 + FLEET  # a part of 1.45 each is met by odds, two at most
 
 
 def test_own_parts_of_a_quota_hold_one_request_each_then_their_share() -> None:
@@ -143,8 +146,8 @@
             told[send.server] += full
             queue = every(front.outcome(send, Status.FULL if full else Status.OK, attempt), api.Send)
             attempt += 1
-        room = room or front.policy.room.size
-    assert front.policy.room.size >= room
+        room = room or front.policy.concurrency_limit.limit
+    assert front.policy.concurrency_limit.limit >= room
     assert max(told.values()) <= 2
 
 
@@ -194,7 +197,7 @@
         event = api.Request(number, 0, 0, number, front.now + 300, 1.0, 2, 0)
         front.count(only(front.feed(event), api.Count).name, 1.0)
         front.run(320)
-    assert front.policy.room.size < START * 20 / 2
+    assert front.policy.concurrency_limit.limit < INITIAL_PER_SERVER * 20 / 2
 
 
 def test_customers_and_servers_that_are_gone_leave_nothing_behind() -> None:
@@ -204,6 +207,6 @@
         gateway.list_servers(Gateway.entry(number), kind=api.ListKind.CHANGES)
         gateway.list_servers(Gateway.entry(number, readiness=api.Readiness.GONE), kind=api.ListKind.CHANGES)
         gateway.request(customer=number)
-    assert gateway.policy.servers == {}
-    assert len(gateway.policy.accounts) <= ACCOUNT_LIFE / 1000.0 + 1
-    assert 199 in gateway.policy.accounts
+    assert gateway.policy.server_table.servers == {}
+    assert len(gateway.policy.quotas) <= QUOTA_TTL_MS / 1000.0 + 1
+    assert 199 in gateway.policy.quotas
--- a/tests/policy/test_one_of_many.py
+++ b/tests/policy/test_one_of_many.py
@@ -13,8 +13,8 @@
 from tests.support.policy_gateway import Gateway, every, make_settings, only
 from wickspring import interface as api
 from wickspring.interface import ListKind, Readiness, Status
-from wickspring.quota.windows import window
-from wickspring.routing.pace import Pace
+from wickspring.quota.counting_windows import counting_window
+from wickspring.routing.latency_estimate import LatencyEstimate
 
 Build = Callable[..., Gateway]
 GATEWAYS, SERVERS = 40, 60
@@ -31,7 +31,7 @@
 
 
 def test_every_server_is_near_to_as_many_gateways_as_any_other(gateway: Build) -> None:
-    near = Counter(s.entry.server for n in range(GATEWAYS) for s in many(gateway, n).policy.near)
+    near = Counter(s.entry.server for n in range(GATEWAYS) for s in many(gateway, n).subset)
     assert len(near) == SERVERS
     assert max(near.values()) - min(near.values()) <= 1
 
@@ -39,20 +39,20 @@
 def test_a_server_that_goes_moves_edges_and_no_more(gateway: Build) -> None:
     for number in range(GATEWAYS):
         front = many(gateway, number)
-        before = {s.entry.server for s in front.policy.near}
+        before = {s.entry.server for s in front.subset}
         front.list_servers(front.entry(17, readiness=Readiness.GONE), kind=ListKind.CHANGES)
-        gone = before - {s.entry.server for s in front.policy.near}
+        gone = before - {s.entry.server for s in front.subset}
         assert len(gone - {front.entry(17).server}) <= 1
 
 
 def test_few_gateways_keep_to_all_servers(gateway: Build) -> None:
     front = gateway(gateways=4, servers=14)
-    assert len(front.policy.near) == 14
+    assert len(front.subset) == 14
 
 
 def test_one_of_many_keeps_to_its_near_servers_and_leaves_them_when_they_fail(gateway: Build) -> None:
     front = many(gateway)
-    near = {s.entry.server for s in front.policy.near}
+    near = {s.entry.server for s in front.subset}
     sent = []
     for customer in range(200):
         sent.append(front.admitted(0.0, customer=customer))
@@ -68,27 +68,27 @@
 
 def test_a_slow_server_is_remembered_though_nothing_of_the_own_is_out_there(gateway: Build) -> None:
     front = many(gateway)
-    slow = front.policy.near[3].entry.server
+    slow = front.subset[3].entry.server
     sent: Counter[api.ServerId] = Counter()
     for customer in range(300):
         send = front.admitted(0.0, customer=customer)
         sent[send.server] += 1
         answer(front, send, 900.0 if send.server == slow else 100.0)
         front.now += 50.0
-    usual = sorted(sent.values())[len(front.policy.near) // 2]
+    usual = sorted(sent.values())[len(front.subset) // 2]
     assert 0 < sent[slow] < usual / 3  # less, but looked at again: it may have become well
 
 
 def test_most_near_servers_cold_leaves_the_warm_ones_further_off(gateway: Build) -> None:
     front = many(gateway)
-    cold = [s.entry for s in front.policy.near]
+    cold = [s.entry for s in front.subset]
     for entry in cold:
         front.list_servers(replace(entry, started_at=front.now), kind=ListKind.CHANGES)
     for customer in range(60):
         name = only(front.request(customer=customer), api.Count).name
         send = only(front.count(name, 1.0), api.Send)
         answer(front, send, 100.0)
-    warm = {s.entry.server for s in front.policy.ready} - {entry.server for entry in cold}
+    warm = {s.entry.server for s in front.policy.server_table.ready} - {entry.server for entry in cold}
     assert sum(send.server in warm for send in every(front.done, api.Send)) >= 45
 
 
@@ -111,7 +111,7 @@
     ask = api.Request(1, 0, 0, 7, front.now + 4000.0, 4.0, 20, 0)
     name = only(front.feed(ask), api.Count).name
     assert every(front.count(name, 400.0), api.Refuse)  # long spent by what comes in elsewhere
-    left = front.policy.accounts[7].window_left
+    left = front.policy.quotas[7].window_left
     front.now += left + 1.0
     again = api.Request(2, 0, 0, 7, front.now + 4000.0, 4.0, 20, 0)
     assert only(front.feed(again), api.Count).name != name
@@ -147,15 +147,15 @@
 
 def test_a_window_is_no_deeper_than_what_may_be_out() -> None:
     plan = make_settings(plan={"rate": 0.014, "burst": 35.0, "most_open": 5}).plans[0]
-    many, few = window(plan, 25, 8.0), window(plan, 3, 8.0)
+    many, few = counting_window(plan, 25, 8.0), counting_window(plan, 3, 8.0)
     assert many.flat and 5.0 <= many.depth <= 5 * 4.0
     assert not few.flat and few.depth == 35.0  # few see the attempts of the others in their own
 
 
 def test_only_the_overspent_get_no_more_than_their_rate_owes() -> None:
-    one = window(make_settings(plan={"rate": 0.005, "burst": 20.0}).plans[0], 25, 8.0)
+    one = counting_window(make_settings(plan={"rate": 0.005, "burst": 20.0}).plans[0], 25, 8.0)
     assert one.limit(10, -(2**62)) == 20.0
-    assert one.limit(10, 9) == one.owed < 20.0
+    assert one.limit(10, 9) == one.refill < 20.0
     assert one.limit(20, 9) == 20.0
 
 
@@ -163,11 +163,14 @@
     front = many(gateway)
     for customer in range(30):
         answer(front, front.admitted(0.0, customer=customer), 100.0)
-    stuck, front.policy.room.size = front.policy.near[3].entry.server, 1000.0
-    for server in front.policy.near:  # one attempt out at each, at one of them for longer than at the others
-        server.out, server.pace.since = 1, front.now - (600.0 if server.entry.server == stuck else 50.0)
+    stuck, front.policy.concurrency_limit.limit = front.subset[3].entry.server, 1000.0
+    for server in front.subset:  # one attempt out at each, at one of them for longer than at the others
+        server.in_flight, server.latency.waiting_since = (
+            1,
+            front.now - (600.0 if server.entry.server == stuck else 50.0),
+        )
     sent = Counter(front.admitted(0.0, customer=customer).server for customer in range(100, 150))
-    usual = sorted(sent[server.entry.server] for server in front.policy.near)[len(front.policy.near) // 2]
+    usual = sorted(sent[server.entry.server] for server in front.subset)[len(front.subset) // 2]
     assert sent[stuck] <= usual / 2
 
 
@@ -180,7 +183,7 @@
     calls = Counter[float]()
     for customer in range(40):
         for number, front in enumerate(gateways):
-            front.policy.ask = odds  # what a slow counter has left of them
+            front.policy.counter_calls.probability = odds  # what a slow counter has left of them
             units = 6.0 if (number + customer) % 3 == 0 else 1.0
             request = api.Request(customer + 1, 0, 0, customer, front.now + 4000.0, units, 30, 0)
             made = every(front.feed(request), api.Count)
@@ -193,27 +196,27 @@
 
 
 def test_one_slow_answer_is_mostly_chance_and_many_are_not() -> None:
-    pace = Pace()
-    pace.learn(0.0, taken=0.4, answered=True, usual=0.1, weight=1.0)
-    assert 1.5 < pace.against(0.0, usual=0.1, weight=1.0) < 2.5
+    latency = LatencyEstimate()
+    latency.record(0.0, latency=0.4, answered=True, typical=0.1, weight=1.0)
+    assert 1.5 < latency.cost_factor(0.0, typical=0.1, weight=1.0) < 2.5
     for _ in range(8):
-        pace.learn(0.0, taken=4.0, answered=True, usual=0.1, weight=1.0)
-    assert pace.against(0.0, usual=0.1, weight=1.0) > 5.0
-    assert pace.against(60_000.0, usual=0.1, weight=1.0) < 1.1  # long forgotten
-    assert pace.against(0.0, usual=0.1, weight=0.0) == 1.0  # few gateways take no notice
+        latency.record(0.0, latency=4.0, answered=True, typical=0.1, weight=1.0)
+    assert latency.cost_factor(0.0, typical=0.1, weight=1.0) > 5.0
+    assert latency.cost_factor(60_000.0, typical=0.1, weight=1.0) < 1.1  # long forgotten
+    assert latency.cost_factor(0.0, typical=0.1, weight=0.0) == 1.0  # few gateways take no notice
 
 
 def test_odd_lists_do_no_harm_in_a_large_fleet(gateway: Build) -> None:
     front = many(gateway)
-    before = {server.entry.server for server in front.policy.near}
+    before = {server.entry.server for server in front.subset}
     twice = [front.entry(n) for n in range(SERVERS)] * 2
     front.list_servers(*twice)
-    assert {server.entry.server for server in front.policy.near} == before
-    assert len(front.policy.near) == len(before) and len(front.policy.ready) == SERVERS
+    assert {server.entry.server for server in front.subset} == before
+    assert len(front.subset) == len(before) and len(front.policy.server_table.ready) == SERVERS
     front.list_servers(kind=ListKind.CHANGES)  # nothing has changed
-    assert len(front.policy.near) == len(before)
+    assert len(front.subset) == len(before)
     front.list_servers()  # none at all: what comes is held, and refused in time
-    assert not front.policy.near
+    assert not front.subset
     request = api.Request(9001, 0, 0, 5, front.now + 4000.0, 1.0, 25, 0)
     call = only(front.feed(request), api.Count)
     front.count(call.name, 1.0)
@@ -224,7 +227,7 @@
 
 def test_a_server_back_under_its_id_is_cold(gateway: Build) -> None:
     front = many(gateway)
-    back = front.policy.near[2].entry
+    back = front.subset[2].entry
     front.list_servers(replace(back, readiness=Readiness.GONE), kind=ListKind.CHANGES)
     front.list_servers(replace(back, started_at=front.now), kind=ListKind.CHANGES)
     sent = Counter[api.ServerId]()
@@ -232,12 +235,12 @@
         send = front.admitted(0.0, customer=customer)
         sent[send.server] += 1
         answer(front, send, 100.0)
-    usual = sorted(sent[server.entry.server] for server in front.policy.near)[len(front.policy.near) // 2]
+    usual = sorted(sent[server.entry.server] for server in front.subset)[len(front.subset) // 2]
     assert sent[back.server] < 0.6 * usual
 
 
 @pytest.mark.parametrize("number", [-1, 40, 10_000])
 def test_an_own_number_out_of_the_fleet_still_keeps_to_some_servers(gateway: Build, number: int) -> None:
     front = many(gateway, number)
-    assert 0 < len(front.policy.near) < SERVERS
+    assert 0 < len(front.subset) < SERVERS
     answer(front, front.admitted(0.0, customer=1), 100.0)
--- a/tests/quota/test_ceiling.py
+++ b/tests/quota/test_ceiling.py
@@ -15,8 +15,8 @@
 from tests.support.policy_gateway import PLAN, Gateway, make_settings
 from wickspring import interface as api
 from wickspring.interface import Status
-from wickspring.quota.account import opened as opened_account
-from wickspring.quota.ceiling import Ceiling, opened
+from wickspring.quota.ceiling_share import CeilingShare, initial_share
+from wickspring.quota.customer_quota import new_quota
 
 # The real transitions of a small fleet, explored exhaustively.
 
@@ -25,50 +25,50 @@
 State = tuple[float, Told, tuple[float, ...]]  # C, what each goes by, what others have sent on unseen by it
 
 
-def steps(kind: type[Ceiling], state: State) -> Iterator[State]:
+def steps(kind: type[CeilingShare], state: State) -> Iterator[State]:
     """Yield what one tick, one unit sent on, a look, a new window or counts lost make of a state."""
     store, told, unseen = state
     spread = len(told)
     most = PART[spread] * spread
 
-    def at(number: int) -> Ceiling:
+    def at(number: int) -> CeilingShare:
         part, whole, behind = told[number]
         return kind(float(spread), PART[spread], spread, part, whole, 0.0, behind)
 
-    def put(ones: list[Ceiling]) -> Told:
-        return tuple((one.part, max(one.whole, PART[spread] - most), one.behind) for one in ones)
+    def put(ones: list[CeilingShare]) -> Told:
+        return tuple((one.share, max(one.headroom, PART[spread] - most), one.previous_unread) for one in ones)
 
-    def every_one(do: Callable[[Ceiling], None]) -> Told:
+    def every_one(do: Callable[[CeilingShare], None]) -> Told:
         ones = [at(number) for number in range(spread)]
         for one in ones:
             do(one)
         return put(ones)
 
-    yield min(most, store + spread), every_one(lambda one: one.fill(1.0)), unseen
-    turned = every_one(lambda one: one.turn(0.0, True))
+    yield min(most, store + spread), every_one(lambda one: one.refill(1.0)), unseen
+    turned = every_one(lambda one: one.start_window(0.0, True))
     yield store, turned, tuple(units * one[2] for units, one in zip(unseen, turned, strict=True))
     for number in range(spread):
         seen_by_it = (*unseen[:number], 0.0, *unseen[number + 1 :])
         for seen in (True, False):
             ones, news = [at(each) for each in range(spread)], unseen
-            if seen and not ones[number].behind:  # else the adds are in the window before
-                ones[number].look(unseen[number], True)
+            if seen and not ones[number].previous_unread:  # else the adds are in the window before
+                ones[number].charge_others(unseen[number], True)
                 news = seen_by_it
-            if ones[number].room(seen) >= 1.0:
+            if ones[number].available(seen) >= 1.0:
                 ones[number].spend(1.0, seen)
                 news = tuple(min(units + (each != number), most) for each, units in enumerate(news))
                 yield store - 1.0, put(ones), news
             elif seen:
                 yield store, put(ones), news  # a look, and a refusal
         ones = [at(each) for each in range(spread)]
-        ones[number].caught_up(unseen[number], 0.0)
+        ones[number].finish_previous(unseen[number], 0.0)
         yield store, put(ones), seen_by_it
         ones = [at(each) for each in range(spread)]
-        ones[number].look(0.0, False)  # counts lost: what the others had added is not known any more
+        ones[number].charge_others(0.0, False)  # counts lost: what the others had added is not known any more
         yield store, put(ones), seen_by_it
 
 
-def broken(kind: type[Ceiling], spread: int) -> tuple[bool, bool]:
+def broken(kind: type[CeilingShare], spread: int) -> tuple[bool, bool]:
     """Tell whether the ceiling can be passed, and whether one gateway can ever send past its even part."""
     full = PART[spread]
     start: State = (full * spread, ((full, full, False),) * spread, (0.0,) * spread)
@@ -94,72 +94,72 @@
     return 0 not in modelcheck(kripke, never), 0 in modelcheck(kripke, once)
 
 
-class FillsWhole(Ceiling):
+class FillsWhole(CeilingShare):
     """A part that fills as the whole does."""
 
-    def fill(self, passed: float) -> None:
-        self.part = self.whole = min(self.most, self.part + self.rate * passed)
+    def refill(self, elapsed_ms: float) -> None:
+        self.share = self.headroom = min(self.capacity, self.share + self.rate * elapsed_ms)
 
 
-class Blind(Ceiling):
+class Blind(CeilingShare):
     """Others' adds pass unnoticed."""
 
-    def look(self, others: float, follows: bool) -> None:
-        super().look(0.0, follows)
+    def charge_others(self, units: float, follows: bool) -> None:
+        super().charge_others(0.0, follows)
 
 
-class Uncut(Ceiling):
+class Uncut(CeilingShare):
     """The whole may hold what all hold together."""
 
-    def fill(self, passed: float) -> None:
-        self.part = min(self.most, self.part + self.rate * passed / self.spread)
-        self.whole = min(self.most * self.spread, self.whole + self.rate * passed)
+    def refill(self, elapsed_ms: float) -> None:
+        self.share = min(self.capacity, self.share + self.rate * elapsed_ms / self.spread)
+        self.headroom = min(self.capacity * self.spread, self.headroom + self.rate * elapsed_ms)
 
 
-class Unpaid(Ceiling):
+class Unpaid(CeilingShare):
     """What is sent on by the whole leaves the own part as it is."""
 
-    def spend(self, units: float, seen: bool) -> None:
-        kept = self.part
-        super().spend(units, seen)
-        self.part = kept if self.whole >= 0.0 else self.part
+    def spend(self, units: float, counted: bool) -> None:
+        kept = self.share
+        super().spend(units, counted)
+        self.share = kept if self.headroom >= 0.0 else self.share
 
 
-class Unlooked(Ceiling):
+class Unlooked(CeilingShare):
     """What is sent on without a look leaves the part as it is, as if others had been seen to leave enough."""
 
-    def spend(self, units: float, seen: bool) -> None:
+    def spend(self, units: float, counted: bool) -> None:
         super().spend(units, True)
 
 
-class Forgetful(Ceiling):
+class Forgetful(CeilingShare):
     """A new window leaves out what was added late in the old one."""
 
-    def turn(self, total: float, follows: bool) -> None:
+    def start_window(self, previous_total: float, follows: bool) -> None:
         pass
 
 
-class Hasty(Ceiling):
+class Hasty(CeilingShare):
     """Where totals do not follow, the own part is taken for what the others leave."""
 
-    def restart(self) -> None:
-        self.whole, self.behind = self.part, False
+    def reset_headroom(self) -> None:
+        self.headroom, self.previous_unread = self.share, False
 
 
-class Trusting(Ceiling):
+class Trusting(CeilingShare):
     """Without the counter's answer the last total is taken to hold."""
 
-    def room(self, seen: bool) -> float:
-        return max(self.part, self.whole)
+    def available(self, counted: bool) -> float:
+        return max(self.share, self.headroom)
 
 
 def test_no_order_of_steps_passes_the_ceiling_and_one_may_use_what_others_leave() -> None:
-    assert broken(Ceiling, 2) == (False, True)
-    assert not broken(Ceiling, 3)[0]
+    assert broken(CeilingShare, 2) == (False, True)
+    assert not broken(CeilingShare, 3)[0]
 
 
 @pytest.mark.parametrize("defect", [FillsWhole, Blind, Uncut, Unpaid, Unlooked, Forgetful, Hasty, Trusting])
-def test_a_defect_in_the_rights_is_found(defect: type[Ceiling]) -> None:
+def test_a_defect_in_the_rights_is_found(defect: type[CeilingShare]) -> None:
     assert broken(defect, 2)[0]
 
 
@@ -181,7 +181,7 @@
             ceiling_burst=ceiling * BURST,
             ceiling_slack=SLACK,
         )
-        self.random, self.order = Random(seed), count()
+        self.random, self.send_order = Random(seed), count()
         self.now = START
         self.events: list[tuple[float, int, int, Gateway, api.Event]] = []
         self.totals: dict[int, float] = {}
@@ -231,11 +231,11 @@
                     self.totals[action.name] = self.totals.get(action.name, 0.0) + action.amount
                     answer = api.CountAnswer(action.name, Status.OK, self.totals[action.name], 4.0)
                     after = 4.0
-                heappush(self.events, (now + after, next(self.order), 0, front, answer))
+                heappush(self.events, (now + after, next(self.send_order), 0, front, answer))
             elif isinstance(action, api.Send):
-                self.out(now, front.policy.held[action.request].request.units)
+                self.out(now, front.policy.requests[action.request].request.units)
                 done = api.Outcome(action.request, 0, action.server, Status.OK, True, 60.0, (), 0.0, 0)
-                heappush(self.events, (now + 60.0, next(self.order), 0, front, done))
+                heappush(self.events, (now + 60.0, next(self.send_order), 0, front, done))
 
     def out(self, now: float, units: float) -> None:
         passed, self.at = now - self.at, now
@@ -294,24 +294,24 @@
 def test_a_total_without_the_own_adds_tells_of_counts_lost(total: float) -> None:
     shop = Shop(2.0)
     shop.play(1.0, (1.0, 0.0, 0.0), times=1.0)
-    account = shop.fronts[0].policy.accounts[7]
-    account.added, account.total = 6.0, 6.0
-    account.learn(shop.now, 1.0, total)
-    assert account.ceiling.whole < account.ceiling.part  # nothing is known of the others
+    account = shop.fronts[0].policy.quotas[7]
+    account.confirmed, account.total = 6.0, 6.0
+    account.record_total(shop.now, 1.0, total)
+    assert account.ceiling.headroom < account.ceiling.share  # nothing is known of the others
 
 
 def test_one_of_many_goes_by_its_part_and_reads_nothing() -> None:
     # Its totals are estimates: an add past the part would be refused after it, and stay in the count.
     settings = Shop(2.0, gateways=12).fronts[0].policy.settings
     request = api.Request(1, 0, 0, 7, START + 4000.0, 4.0, 12, 0)
-    one = opened_account(request, settings, START)
+    one = new_quota(request, settings, START)
     assert one.windows.flat
-    one.ceiling.part, one.ceiling.whole = 1.0, one.ceiling.most + 8.0
-    one.ceiling.turn(0.0, True)
-    assert not one.must_read(4.0)
-    one.ceiling.caught_up(0.0, 0.0)
-    assert one.room(True) == 1.0
+    one.ceiling.share, one.ceiling.headroom = 1.0, one.ceiling.capacity + 8.0
+    one.ceiling.start_window(0.0, True)
+    assert not one.must_read_previous(4.0)
+    one.ceiling.finish_previous(0.0, 0.0)
+    assert one.available(True) == 1.0
 
 
 def test_a_plan_without_a_ceiling_has_no_bound() -> None:
-    assert opened(PLAN, 3).room(False) == float("inf")
+    assert initial_share(PLAN, 3).available(False) == float("inf")
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -7,7 +7,7 @@
 from tests.support.policy_gateway import Gateway, every, only
 from wickspring import interface as api
 from wickspring.interface import Status
-from wickspring.policy import ASK_LEAST
+from wickspring.quota.counter_calls import MIN_PROBABILITY
 
 Build = Callable[..., Gateway]
 
@@ -89,10 +89,10 @@
 ) -> None:
     front = gateway(servers=20, plan={"rate": 0.0002, "burst": 8.0})
     front.request()
-    account = front.policy.accounts[7]
+    account = front.policy.quotas[7]
     for _ in range(40):
-        account.learn(front.now, 1.0, account.total + 1.0 + elsewhere)
-    account.store, account.alone, account.heat = 8.0, 8.0, 0.0
+        account.record_total(front.now, 1.0, account.total + 1.0 + elsewhere)
+    account.tokens, account.local_tokens, account.usage_ratio = 8.0, 8.0, 0.0
     sent = 0
     for _ in range(20):
         front.now += 100
@@ -109,8 +109,8 @@
     # Cut to what a small one needs, a part of a quarter refused every large request of a calm customer.
     front = gateway(servers=20, plan={"rate": 0.002, "burst": 8.0})
     front.count(only(front.request(), api.Count).name, 1.0)
-    account = front.policy.accounts[7]
-    account.own, account.elsewhere, account.heat = 1.0, 3.0, 0.0
+    account = front.policy.quotas[7]
+    account.local_usage, account.remote_usage, account.usage_ratio = 1.0, 3.0, 0.0
     front.now += 20_000
     front.count(only(front.request(), api.Count).name, 0.0, Status.TIMEOUT)
     front.now += 4000
@@ -127,7 +127,7 @@
         front.run(60)
     front.run(400)
     asked = sum(len(every(front.request(customer=100 + n), api.Count)) for n in range(100))
-    assert 1 <= asked <= 100 * 2 * ASK_LEAST
+    assert 1 <= asked <= 100 * 2 * MIN_PROBABILITY
 
 
 def test_calls_fall_while_answers_are_late_and_their_units_go_with_the_next(gateway: Build) -> None:
@@ -141,7 +141,7 @@
             actions = front.request()
             for call in every(actions, api.Count):
                 calls, units = calls + 1, units + call.amount
-                total = front.policy.accounts[7].total + call.amount
+                total = front.policy.quotas[7].total + call.amount
                 actions = actions + front.feed(api.CountAnswer(call.name, Status.OK, total, elapsed))
             for send in every(actions, api.Send):
                 sent += 1
--- a/tests/routing/test_room.py
+++ b/tests/routing/test_concurrency_limit.py
@@ -7,26 +7,26 @@
 from tests.support.policy_gateway import Gateway, make_settings
 from wickspring import interface as api
 from wickspring.policy import Policy
-from wickspring.routing.room import LEAST, START, Room
+from wickspring.routing.concurrency_limit import INITIAL_PER_SERVER, MIN_PER_SERVER, ConcurrencyLimit
 
 
 def test_two_slow_servers_of_ten_do_not_close_the_room() -> None:
-    room, now = Room(), 0.0
+    limit, now = ConcurrencyLimit(), 0.0
     for number in range(3000):
         now += 10.0
-        room.fits(1, 2.0)
-        room.learn(now, 1.5 if number % 10 < 2 else 0.17, 3, 2.0)
-    assert room.size >= START * 2.0 and not room.slow
+        limit.allows(1, 2.0)
+        limit.record(now, 1.5 if number % 10 < 2 else 0.17, 3, 2.0)
+    assert limit.limit >= INITIAL_PER_SERVER * 2.0 and not limit.slow
 
 
 def test_answers_slow_in_the_main_close_it_to_its_least() -> None:
-    room, now = Room(), 0.0
+    limit, now = ConcurrencyLimit(), 0.0
     for _ in range(3000):
         now += 10.0
-        room.fits(1, 2.0)
-        room.learn(now, 0.6, 3, 2.0)
-    room.fits(1, 2.0)
-    assert room.slow and room.size == LEAST * 2.0
+        limit.allows(1, 2.0)
+        limit.record(now, 0.6, 3, 2.0)
+    limit.allows(1, 2.0)
+    assert limit.slow and limit.limit == MIN_PER_SERVER * 2.0
 
 
 def test_a_server_put_back_is_tried_while_it_is_cold() -> None:
--- a/tests/routing/test_silence.py
+++ b/tests/routing/test_lost_responses.py
@@ -10,7 +10,7 @@
 from tests.support.policy_gateway import KIND, Gateway, every, only
 from wickspring import interface as api
 from wickspring.interface import Status
-from wickspring.routing.silence import LATE, MEMORY, SIZES_MOST, Order, Sizes
+from wickspring.routing.lost_responses import MAX_SIZE, MIN_ANSWERS, OVERDUE_FACTOR, LatencyBySize, SendOrder
 
 Build = Callable[..., Gateway]
 ROOMY = {"rate": 1.0, "burst": 1000.0}
@@ -70,32 +70,32 @@
 
 
 def test_order_marks_what_was_sent_before_and_forgets_what_has_ended() -> None:
-    order = Order()
+    order = SendOrder()
     for number in range(4):
-        order.begin((number, 0))
-    order.end((1, 0), answered=False)
-    order.end((2, 0), answered=True)
-    assert [order.overtaken((number, 0)) for number in range(4)] == [True, False, False, False]
-    order.end((9, 9), answered=True)  # not known: nothing is told by it
-    assert not order.overtaken((3, 0))
-    assert set(order.out) == {(0, 0), (3, 0)}
-    assert order.load == 2.0
+        order.add((number, 0))
+    order.remove((1, 0), answered=False)
+    order.remove((2, 0), answered=True)
+    assert [order.is_overtaken((number, 0)) for number in range(4)] == [True, False, False, False]
+    order.remove((9, 9), answered=True)  # not known: nothing is told by it
+    assert not order.is_overtaken((3, 0))
+    assert set(order.work_by_attempt) == {(0, 0), (3, 0)}
+    assert order.work == 2.0
     for number in (0, 3):
-        order.end((number, 0), answered=True)
-    assert not order.out and not order.passed and order.load == 0.0
+        order.remove((number, 0), answered=True)
+    assert not order.work_by_attempt and not order.overtaken and order.work == 0.0
 
 
 def test_sizes_are_told_apart_and_bounded() -> None:
-    sizes = Sizes()
-    assert not sizes.late(1.0, 1e9)
-    sizes.learn(1.0, 10.0)
-    assert not sizes.late(1.0, 1e9)  # one answer is no mean
+    sizes = LatencyBySize()
+    assert not sizes.overdue(1.0, 1e9)
+    sizes.record(1.0, 10.0)
+    assert not sizes.overdue(1.0, 1e9)  # one answer is no mean
     for units in range(1000):
-        for _ in range(MEMORY):
-            sizes.learn(float(units), 10.0 * min(max(units, 1), 2))
-    assert len(sizes.means) <= SIZES_MOST + 1
-    assert sizes.late(1.0, LATE * 10.0)
-    assert not sizes.late(2.0, LATE * 10.0)
+        for _ in range(MIN_ANSWERS):
+            sizes.record(float(units), 10.0 * min(max(units, 1), 2))
+    assert len(sizes.means) <= MAX_SIZE + 1
+    assert sizes.overdue(1.0, OVERDUE_FACTOR * 10.0)
+    assert not sizes.overdue(2.0, OVERDUE_FACTOR * 10.0)
 
 
 def test_a_large_request_is_given_the_time_that_large_ones_take(gateway: Build) -> None:
@@ -164,9 +164,9 @@
 def test_what_flows_is_no_work_of_its_server(gateway: Build) -> None:
     front = gateway(servers=1, plan=ROOMY, may_probe=False)
     send = front.admitted()
-    order = front.policy.servers[send.server].order
-    assert order.load > 0.0
+    order = front.policy.server_table.servers[send.server].send_order
+    assert order.work > 0.0
     front.feed(api.StreamStarted(send.request, 0, send.server))
-    assert order.load == 0.0 and not order.out
+    assert order.work == 0.0 and not order.work_by_attempt
     front.outcome(send, Status.OK)
-    assert order.load == 0.0
+    assert order.work == 0.0
--- a/tests/support/policy_gateway.py
+++ b/tests/support/policy_gateway.py
@@ -7,6 +7,7 @@
 
 from wickspring import interface as api
 from wickspring.policy import Policy
+from wickspring.routing.server_table import Server
 
 A = TypeVar("A")
 STEP = 20.0
@@ -75,6 +76,11 @@
         self.done: list[api.Action] = []
         self.next_id = 1
 
+    @property
+    def subset(self) -> list[Server]:
+        """The servers that this gateway uses by its aperture."""
+        return self.policy.server_table.subset
+
     def feed(self, event: api.Event) -> list[api.Action]:
         actions = self.policy.handle(self.now, event)
         self.done += actions
--- a/wickspring/core/succession.py
+++ b/wickspring/core/succession.py
@@ -11,13 +11,15 @@
 
 import msgspec
 
+from wickspring import interface as api
 from wickspring.core.reducer import Reducer
 from wickspring.policy import Policy
-from wickspring.quota.account import Account
-from wickspring.quota.ceiling import opened
-from wickspring.quota.windows import window
-from wickspring.routing.pace import Pace
-from wickspring.routing.room import Room
+from wickspring.quota.ceiling_share import initial_share
+from wickspring.quota.counting_windows import counting_window
+from wickspring.quota.customer_quota import CustomerQuota
+from wickspring.routing.concurrency_limit import ConcurrencyLimit
+from wickspring.routing.latency_estimate import LatencyEstimate
+from wickspring.routing.server_table import Server
 
 VERSION = 1  # of the messages; another is answered with a plain start
 BATCH = 256  # accounts, servers or ids in one message, so that none is longer than a socket takes
@@ -41,60 +43,60 @@
     """The successor can serve: from here on it alone accepts."""
 
 
-class AccountState(msgspec.Struct, array_like=True, frozen=True):
-    """One customer's quota; the fields are those of `account.Account`."""
+class QuotaState(msgspec.Struct, array_like=True, frozen=True):
+    """One customer's quota; the fields are those of `CustomerQuota`, their order is fixed by the wire."""
 
     customer: int
     plan: int
     spread: int
-    at: float
-    store: float
-    alone: float
-    ceiling: float
+    updated_at: float
+    tokens: float
+    local_tokens: float
+    ceiling_share: float
     window: int
-    past_in: int
+    last_overspent: int
     total: float
-    owed: float
-    units: float
-    heat: float
-    heat_at: float
-    own: float
-    elsewhere: float
+    unreported: float
+    last_units: float
+    usage_ratio: float
+    counted_at: float
+    local_usage: float
+    remote_usage: float
 
 
 class ServerState(msgspec.Struct, array_like=True, frozen=True):
-    """One ticket server's health and pace; the fields are those of `state.Server`."""
+    """One ticket server's health and latency; the fields are those of `Server` in their order on the wire."""
 
     server: bytes
-    cold_from: float
-    fails: int
-    shun_until: float
-    shun_part: dict[int, float]
-    heard_at: float
-    served_at: dict[int, float]
-    pace_mean: float
-    pace_at: float | None
+    warming_since: float
+    failures: int
+    ejected_until: float
+    ejected_for: dict[int, float]
+    last_received_at: float
+    last_success_at: dict[int, float]
+    latency_mean: float
+    latency_updated_at: float | None
 
 
 class General(msgspec.Struct, array_like=True, frozen=True):
     """What the decision module knows of no one customer or server."""
 
-    ask: float
-    cut_at: float
-    units: float
-    room: float
-    delay: float
-    middle: float
-    room_at: float
-    full: list[float]
-    retries: float
-    answer_ms: list[float]
+    call_probability: float
+    probability_cut_at: float
+    mean_units: float
+    concurrency_limit: float
+    mean_latency: float
+    median_latency: float
+    limit_updated_at: float
+    full_ratio: list[float]
+    retry_balance: float
+    mean_latency_ms: list[float]
 
 
 class State(msgspec.Struct, tag="state", array_like=True, frozen=True):
     """A part of the state; with the last one it is whole."""
 
-    accounts: list[AccountState] = []
+    quotas: list[QuotaState] = []
     servers: list[ServerState] = []
     general: General | None = None
     open: dict[str, float] = {}  # call ids under way, until when at most
@@ -124,112 +126,129 @@
 Message = Hello | Welcome | Serving | State | ClientConnection | MaintenanceChanged | DescriptorsHeld
 
 
-def _plans(policy: Policy) -> dict[int, int]:
-    return {id(plan): index for index, plan in enumerate(policy.settings.plans)}
-
-
-def _account(account: Account, plans: dict[int, int]) -> AccountState:
-    return AccountState(
-        account.customer,
-        plans[id(account.plan)],
-        account.spread,
-        account.at,
-        account.store,
-        account.alone,
-        account.ceiling.part,
-        account.window,
-        account.past_in,
-        account.total,
-        account.owed,
-        account.units,
-        account.heat,
-        account.heat_at,
-        account.own,
-        account.elsewhere,
+def _quota_state(quota: CustomerQuota, plan: int) -> QuotaState:
+    return QuotaState(
+        quota.customer,
+        plan,
+        quota.spread,
+        quota.updated_at,
+        quota.tokens,
+        quota.local_tokens,
+        quota.ceiling.share,
+        quota.window,
+        quota.last_overspent,
+        quota.total,
+        quota.unreported,
+        quota.last_units,
+        quota.usage_ratio,
+        quota.counted_at,
+        quota.local_usage,
+        quota.remote_usage,
     )
 
 
+def _quota(state: QuotaState, settings: api.Settings) -> CustomerQuota:
+    plan = settings.plans[state.plan]
+    return CustomerQuota(
+        state.customer,
+        plan,
+        state.spread,
+        counting_window(plan, state.spread, settings.largest_units),
+        state.updated_at,
+        state.tokens,
+        state.local_tokens,
+        replace(initial_share(plan, state.spread), share=state.ceiling_share),
+        settings.largest_units,
+        window=state.window,
+        last_overspent=state.last_overspent,
+        total=state.total,
+        unreported=state.unreported,
+        last_units=state.last_units,
+        usage_ratio=state.usage_ratio,
+        counted_at=state.counted_at,
+        local_usage=state.local_usage,
+        remote_usage=state.remote_usage,
+    )
+
+
+def _server_state(name: bytes, server: Server) -> ServerState:
+    return ServerState(
+        name,
+        server.warming_since,
+        server.failures,
+        server.ejected_until,
+        server.ejected_for,
+        server.last_received_at,
+        server.last_success_at,
+        server.latency.mean,
+        server.latency.updated_at,
+    )
+
+
+def _restore_server(server: Server, state: ServerState) -> None:
+    server.warming_since = state.warming_since
+    server.failures = state.failures
+    server.ejected_until = state.ejected_until
+    server.ejected_for = state.ejected_for
+    server.last_received_at = state.last_received_at
+    server.last_success_at = state.last_success_at
+    server.latency = LatencyEstimate(state.latency_mean, state.latency_updated_at)
+
+
+def _general(policy: Policy) -> General:
+    calls, limit = policy.counter_calls, policy.concurrency_limit
+    return General(
+        calls.probability,
+        calls.cut_at,
+        calls.mean_units,
+        limit.limit,
+        limit.mean_latency,
+        limit.median_latency,
+        limit.updated_at,
+        policy.full_ratio,
+        policy.retry_budget.balance,
+        policy.mean_latency_ms,
+    )
+
+
+def _restore_general(policy: Policy, general: General) -> None:
+    calls = policy.counter_calls
+    calls.probability = general.call_probability
+    calls.cut_at = general.probability_cut_at
+    calls.mean_units = general.mean_units
+    policy.selector.concurrency_limit = ConcurrencyLimit(
+        general.concurrency_limit, general.mean_latency, general.median_latency, general.limit_updated_at
+    )
+    policy.retry_budget.balance = general.retry_balance
+    same_plans = len(general.full_ratio) == len(policy.full_ratio)
+    if same_plans and len(general.mean_latency_ms) == len(policy.mean_latency_ms):
+        policy.full_ratio = list(general.full_ratio)
+        policy.mean_latency_ms = list(general.mean_latency_ms)
+
+
 def export_state(reducer: Reducer) -> Iterator[State]:
     """Return the state in parts; the last one says so."""
     policy = reducer.policy
-    plans = _plans(policy)
-    accounts = [_account(account, plans) for account in policy.accounts.values()]
-    servers = [
-        ServerState(
-            name,
-            one.cold_from,
-            one.fails,
-            one.shun_until,
-            one.shun_part,
-            one.heard_at,
-            one.served_at,
-            one.pace.mean,
-            one.pace.at,
-        )
-        for name, one in policy.servers.items()
-    ]
-    is_open, unsafe = list(reducer.open_ids().items()), list(reducer.spent_ids().items())
-    for at in range(0, max(len(accounts), len(servers), len(is_open), len(unsafe)), BATCH):
+    plan_indexes = {id(plan): index for index, plan in enumerate(policy.settings.plans)}
+    quotas = [_quota_state(quota, plan_indexes[id(quota.plan)]) for quota in policy.quotas.values()]
+    servers = [_server_state(name, server) for name, server in policy.server_table.servers.items()]
+    open_ids, unsafe = list(reducer.open_ids().items()), list(reducer.spent_ids().items())
+    for at in range(0, max(len(quotas), len(servers), len(open_ids), len(unsafe)), BATCH):
         part = slice(at, at + BATCH)
-        yield State(accounts[part], servers[part], open=dict(is_open[part]), unsafe=dict(unsafe[part]))
-    yield State(
-        general=General(
-            policy.ask,
-            policy.cut_at,
-            policy.units,
-            policy.room.size,
-            policy.room.delay,
-            policy.room.middle,
-            policy.room.at,
-            policy.full,
-            policy.retries,
-            policy.answer_ms,
-        ),
-        last=True,
-    )
+        yield State(quotas[part], servers[part], open=dict(open_ids[part]), unsafe=dict(unsafe[part]))
+    yield State(general=_general(policy), last=True)
 
 
 def import_state(reducer: Reducer, state: State) -> None:
-    """Take a part of the old process's state in; what does not fit the settings here is passed over."""
+    """Take a part of the old process's state in; what does not fit the settings here is ignored."""
     policy, settings = reducer.policy, reducer.settings
-    for told in state.accounts:
-        if not 0 <= told.plan < len(settings.plans) or not 1 <= told.spread <= max(1, settings.gateways):
-            continue
-        plan = settings.plans[told.plan]
-        windows = window(plan, told.spread, settings.largest_units)
-        ceiling = replace(opened(plan, told.spread), part=told.ceiling)
-        policy.accounts[told.customer] = Account(
-            told.customer,
-            plan,
-            told.spread,
-            windows,
-            told.at,
-            told.store,
-            told.alone,
-            ceiling,
-            settings.largest_units,
-            window=told.window,
-            past_in=told.past_in,
-            total=told.total,
-            owed=told.owed,
-            units=told.units,
-            heat=told.heat,
-            heat_at=told.heat_at,
-            own=told.own,
-            elsewhere=told.elsewhere,
-        )
-    for one in state.servers:
-        server = policy.servers.get(one.server)
-        if server is None or server.cold_from > one.cold_from:
-            continue  # gone, or started anew since: nothing of old holds
-        server.cold_from, server.fails, server.shun_until = one.cold_from, one.fails, one.shun_until
-        server.shun_part, server.heard_at, server.served_at = one.shun_part, one.heard_at, one.served_at
-        server.pace = Pace(one.pace_mean, one.pace_at)
-    general = state.general
-    if general is not None:
-        policy.ask, policy.cut_at, policy.units = general.ask, general.cut_at, general.units
-        policy.room = Room(general.room, general.delay, general.middle, general.room_at)
-        policy.retries = general.retries
-        if len(general.full) == len(policy.full) and len(general.answer_ms) == len(policy.answer_ms):
-            policy.full, policy.answer_ms = list(general.full), list(general.answer_ms)
+    for quota in state.quotas:
+        if 0 <= quota.plan < len(settings.plans) and 1 <= quota.spread <= max(1, settings.gateways):
+            policy.quotas[quota.customer] = _quota(quota, settings)
+    for server_state in state.servers:
+        server = policy.server_table.servers.get(server_state.server)
+        if server is not None and server.warming_since <= server_state.warming_since:
+            _restore_server(server, server_state)  # else it is gone, or started anew since
+    if state.general is not None:
+        _restore_general(policy, state.general)
     reducer.adopt_ids(state.open, state.unsafe)
--- a/wickspring/interface.py
+++ b/wickspring/interface.py
@@ -11,6 +11,9 @@
 ServerId = bytes
 """Opaque address of a server; compare and return it, never read meaning into it."""
 
+LONG_AGO = -1e12
+"""A time before that of any clock, ms."""
+
 
 class Effect(Enum):
     """How often a request's effect may happen."""
--- a/wickspring/lab/simulation/large_peers.py
+++ b/wickspring/lab/simulation/large_peers.py
@@ -29,7 +29,7 @@
 from wickspring.peer_state.messages import PeerInfo, PeerMessage
 from wickspring.peer_state.participant import Participant
 from wickspring.peer_state.shares import Shares
-from wickspring.routing.aperture import near
+from wickspring.routing.aperture import subset
 
 BASE = 1_000_000_000.0  # ms; the ingresses' clock at the beginning
 HOP_MS = (0.3, 3.0)
@@ -54,7 +54,7 @@
         self.participant = Participant(
             self.name, about, shares, fleet.now, round_s=scenario.peers.round_s, seed=fleet.seed + number
         )
-        self.near = near(fleet.servers, number, scenario.ingresses.count)
+        self.subset = subset(fleet.servers, number, scenario.ingresses.count)
         self.given = 0  # bytes
         self.shunned: dict[api.ServerId, float] = {}
         self.learnt: dict[api.ServerId, float] = {}  # when a bad server was known here, ms of the run
@@ -170,7 +170,7 @@
 
     def _choose(self, now: float) -> api.ServerId:
         random = self.fleet.random
-        servers = self.fleet.servers if random.random() < FAR else self.near
+        servers = self.fleet.servers if random.random() < FAR else self.subset
         for _ in range(8):
             server = random.choice(servers)
             if self.shunned.get(server, 0.0) <= now:
--- a/wickspring/routing/__init__.py
+++ b/wickspring/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which servers one of many ingresses keeps to, how long they take, how much is let out; no I/O, no clock."""
+"""Which servers an ingress uses, their latencies, its concurrency limit, maintenance; no I/O, no clock."""
--- a/wickspring/routing/aperture.py
+++ b/wickspring/routing/aperture.py
@@ -1,8 +1,8 @@
-"""Which servers one of many gateways keeps to: an even part of a ring of all of them.
+"""Which servers one of many gateways uses: an even part of a ring of all of them (a deterministic aperture).
 
-Where all gateways use all servers, each has a connection to each and hears of each but rarely. With a
-deterministic aperture (Finagle's word) each keeps to the servers next to its own place on the ring. Free of
-I/O and clock.
+Where all gateways use all servers, each has a connection to each and receives few answers of any one. With a
+deterministic aperture, as in Finagle's load balancer, each uses the subset of servers next to its own place
+on the ring. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from typing import TypeVar
 
 T = TypeVar("T")
-SHARES = 5  # gateways that each server is near to: fewer would feel each one that is killed
-LEAST = 8  # servers near to a gateway, so that a few that fail leave enough
+GATEWAYS_PER_SERVER = 5  # whose subsets a server is in: with fewer, it would feel each one that is killed
+MIN_SUBSET = 8  # servers, so that a few that fail leave enough
 
 
-def near(ring: Sequence[T], number: int, gateways: int) -> list[T]:
-    """Return the part of gateway `number` of so many, or all where they are few.
+def subset(ring: Sequence[T], gateway: int, gateways: int) -> list[T]:
+    """Return the subset of the gateway with number `gateway` of `gateways`, or all where they are few.
 
-    Parts lie evenly, so every server is near to as many gateways as any other, give or take one. A server
-    that comes or goes moves the edges of parts by one place at most.
+    Subsets lie evenly, so every server is in as many of them as any other, give or take one. A server that
+    comes or goes moves the edges of subsets by one place at most.
     """
     count, gateways = len(ring), max(1, gateways)
-    width = min(count, max(LEAST, math.ceil(SHARES * count / gateways)))
-    start = number * count // gateways
+    width = min(count, max(MIN_SUBSET, math.ceil(GATEWAYS_PER_SERVER * count / gateways)))
+    start = gateway * count // gateways
     return [ring[(start + step) % count] for step in range(width)]
