--- a/wickspring/command_line/tables.py
+++ b/wickspring/command_line/tables.py
@@ -3,20 +3,33 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
+from types import MappingProxyType
 
 import msgspec
 
 COLUMN_GAP = "  "
 EMPTY = "none"
 JSON_INDENT = 1
+_KEYS_ARE_LABELS: Mapping[str, str] = MappingProxyType({})
 
 
-def format_table(rows: Sequence[Mapping[str, object]], columns: Sequence[str] = ()) -> str:
-    """Return the rows under a header line, by default with the first row's keys as columns."""
+def format_table(
+    rows: Sequence[Mapping[str, object]],
+    columns: Sequence[str] = (),
+    labels: Mapping[str, str] = _KEYS_ARE_LABELS,
+) -> str:
+    """Return the rows under a header line.
+
+    Args:
+        rows: cells by key; a key that a row lacks gives an empty cell.
+        columns: keys of the columns in their order; by default those of the first row.
+        labels: what the header says of a key, where that is not the key itself.
+    """
     if not rows:
         return EMPTY
-    names = list(columns or rows[0])
-    return format_rows(names, [[str(row.get(name, "")) for name in names] for row in rows])
+    keys = list(columns or rows[0])
+    cells = [[str(row.get(key, "")) for key in keys] for row in rows]
+    return format_rows([labels.get(key, key) for key in keys], cells)
 
 
 def format_rows(header: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
--- a/wickspring/ctl/reports.py
+++ b/wickspring/ctl/reports.py
@@ -1,109 +1,164 @@
 """What control planes answer, as far as the command line reads it, and the rows that it prints.
 
-Field names of the answers are keys of the HTTP API. Rows keep the column and key names of earlier versions
-(`lighthouse`, `pilots`), because operators' scripts read them.
+Keys of the HTTP API and of `--json` are fixed by earlier versions, because operators' scripts read them; the
+`rename` of a class or the name of a field keeps them. Tables show the terms of `docs/GLOSSARY.md`.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from enum import Enum
 
 import msgspec
 
 NO_CONTACT = "none"  # `contact` of a node that does not reach a majority
+NOTHING = "-"
 UNKNOWN = "?"
 
-
-class ChainStatus(msgspec.Struct, frozen=True):
+# Keys of a row of `status` with the columns of its table, in their order.
+STATUS_LABELS = {
+    "lighthouse": "control_plane",
+    "state": "state",
+    "epoch": "epoch",
+    "held": "stored",
+    "safe": "committed",
+    "servers": "endpoints",
+    "pilots": "data_planes",
+}
+STATUS_COLUMNS = tuple(STATUS_LABELS)
+ENDPOINT_LABELS = {"silent_s": "since_heartbeat_s"}
+QUOTA_LABELS = {"in_span": "used", "left": "remaining"}
+
+
+class ChainStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "is_member": "member",
+        "stored_version": "held",
+        "committed_version": "safe",
+        "disk_id": "disk",
+        "shortfalls": "short",
+    },
+):
     """`chain` of `GET /status`: the view that a node knows, and its own part in it."""
 
     epoch: int
     members: list[str]
-    member: bool
+    is_member: bool
     contact: str
     frozen: bool
     steady: bool
-    held: int
-    safe: int
-    disk: str
-    short: list[str]
+    stored_version: int
+    committed_version: int
+    disk_id: str
+    shortfalls: list[str]
 
 
-class PeerStatus(msgspec.Struct, frozen=True):
+class PeerStatus(msgspec.Struct, frozen=True, rename={"is_live": "live", "disk_id": "disk"}):
     """One entry of `core`: another node; disk and version are missing before its first report."""
 
-    live: bool
+    is_live: bool
     behind: list[str]
-    disk: str = UNKNOWN
+    disk_id: str = UNKNOWN
     version: int | None = None
 
 
-class StatusReport(msgspec.Struct, frozen=True):
+class StatusReport(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "replication": "chain",
+        "peer_nodes": "core",
+        "data_planes": "pilots",
+        "endpoints": "servers",
+        "quota_counts": "counts",
+    },
+):
     """`GET /status`."""
 
     node: str
-    chain: ChainStatus
-    core: dict[str, PeerStatus]
-    pilots: list[str]
-    servers: list[dict[str, str | int | float]]
-    counts: dict[str, dict[str, int | float]]
+    replication: ChainStatus
+    peer_nodes: dict[str, PeerStatus]
+    data_planes: list[str]
+    endpoints: list[dict[str, str | int | float]]
+    quota_counts: dict[str, dict[str, int | float]]
 
 
-class SnapshotDocument(msgspec.Struct, frozen=True):
+class SnapshotDocument(msgspec.Struct, frozen=True, rename={"departures": "leaving"}):
     """`GET /snapshot`, as far as it is looked at here."""
 
-    leaving: dict[str, int]
+    departures: dict[str, int]
 
 
-class RestoreReport(msgspec.Struct, frozen=True):
+class RestoreReport(msgspec.Struct, frozen=True, rename={"version": "generation", "departures": "leaving"}):
     """The answer to `POST /snapshot`."""
 
-    generation: str
-    leaving: int
+    version: str
+    departures: int
 
 
-class ReplaceReport(msgspec.Struct, frozen=True):
+class ReplaceReport(msgspec.Struct, frozen=True, rename={"version": "generation"}):
     """The answer to `POST /config/replace`."""
 
-    generation: str
+    version: str
 
 
 class NodeState(Enum):
-    """How a control plane stands, in one word for operators."""
+    """How a control plane stands; the values are those of `--json`."""
 
-    STEADY = "steady"
+    STABLE = "steady"
     FROZEN = "frozen"
     SPARE = "spare"
-    ALONE = "alone"
-
-
-class NodeRow(msgspec.Struct, frozen=True):
-    """One line of `status`; the table shows the fields that `ctl.__main__.STATUS_COLUMNS` names, JSON all."""
-
-    control_plane: str = msgspec.field(name="lighthouse")  # key fixed by earlier versions
+    ISOLATED = "alone"
+
+
+class NodeRow(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "control_plane": "lighthouse",
+        "stored": "held",
+        "committed": "safe",
+        "endpoints": "servers",
+        "data_planes": "pilots",
+        "shortfalls": "short",
+    },
+):
+    """One line of `status`; the table shows the keys of `STATUS_LABELS`, JSON all."""
+
+    control_plane: str
     state: str
     epoch: int
-    held: str
-    safe: str
-    servers: int
-    pilots: str
-    short: list[str]
+    stored: str
+    committed: str
+    endpoints: int
+    data_planes: str
+    shortfalls: list[str]
 
 
-class UnreachableRow(msgspec.Struct, frozen=True):
+class UnreachableRow(msgspec.Struct, frozen=True, rename={"control_plane": "lighthouse"}):
     """One line of `status`, of a control plane that did not answer."""
 
-    control_plane: str = msgspec.field(name="lighthouse")  # key fixed by earlier versions
+    control_plane: str
     state: str
 
+    @property
+    def shortfalls(self) -> list[str]:
+        """Nothing is known of its view."""
+        return []
+
+
+StatusRow = NodeRow | UnreachableRow
+
 
 class ReplicaRow(msgspec.Struct, frozen=True):
     """One line of `chain`."""
 
-    place: str
-    machine: str
+    position: str
+    node: str
     live: bool
-    safe: str
+    committed: str
     disk: str
     behind: str
 
@@ -111,41 +166,51 @@
 def node_state(chain: ChainStatus) -> NodeState:
     """Return the state that operators are shown for a node."""
     if chain.frozen:
-        return NodeState.STEADY if chain.steady else NodeState.FROZEN
+        return NodeState.STABLE if chain.steady else NodeState.FROZEN
     if chain.contact == NO_CONTACT:
-        return NodeState.ALONE
+        return NodeState.ISOLATED
     if chain.steady:
-        return NodeState.STEADY
-    return NodeState.ALONE if chain.member else NodeState.SPARE
+        return NodeState.STABLE
+    return NodeState.ISOLATED if chain.is_member else NodeState.SPARE
 
 
 def node_row(address: str, report: StatusReport) -> NodeRow:
     """Return a control plane's line of `status`."""
-    chain = report.chain
+    chain = report.replication
     return NodeRow(
         control_plane=address,
         state=node_state(chain).value,
         epoch=chain.epoch,
-        held=f"r{chain.held}",
-        safe=f"r{chain.safe}",
-        servers=len(report.servers),
-        pilots=",".join(report.pilots) or "-",
-        short=chain.short,
+        stored=f"r{chain.stored_version}",
+        committed=f"r{chain.committed_version}",
+        endpoints=len(report.endpoints),
+        data_planes=",".join(report.data_planes) or NOTHING,
+        shortfalls=chain.shortfalls,
     )
 
 
+def printed_status(row: StatusRow) -> Mapping[str, object]:
+    """Return a line of `status` for the table: by the keys of JSON, with the state's present name."""
+    cells: dict[str, object] = msgspec.to_builtins(row)
+    names = {state.value: state.name.lower() for state in NodeState}
+    cells["state"] = names.get(row.state, row.state)
+    return cells
+
+
 def replica_rows(report: StatusReport) -> list[ReplicaRow]:
     """Return the lines of `chain`: its members from head to tail, then the spares."""
-    members = report.chain.members
-    places = ("head", *("middle",) * (len(members) - 2), "tail")
-    rows = [_replica_row(report, places[index], ip) for index, ip in enumerate(members)]
-    spares = [ip for ip in report.core if ip not in members]
+    members = report.replication.members
+    positions = ("head", *("middle",) * (len(members) - 2), "tail")
+    rows = [_replica_row(report, positions[index], ip) for index, ip in enumerate(members)]
+    spares = [ip for ip in report.peer_nodes if ip not in members]
     return rows + [_replica_row(report, "spare", ip) for ip in spares]
 
 
-def _replica_row(report: StatusReport, place: str, ip: str) -> ReplicaRow:
-    peer = report.core.get(ip)
+def _replica_row(report: StatusReport, position: str, ip: str) -> ReplicaRow:
+    peer = report.peer_nodes.get(ip)
     if peer is None:  # the node that was asked
-        return ReplicaRow(place, ip, True, f"r{report.chain.safe}", report.chain.disk, "-")
+        chain = report.replication
+        return ReplicaRow(position, ip, True, f"r{chain.committed_version}", chain.disk_id, NOTHING)
     version = UNKNOWN if peer.version is None else peer.version
-    return ReplicaRow(place, ip, peer.live, f"r{version}", peer.disk, "; ".join(peer.behind) or "-")
+    behind = "; ".join(peer.behind) or NOTHING
+    return ReplicaRow(position, ip, peer.is_live, f"r{version}", peer.disk_id, behind)
