--- a/tests/common/test_docs.py
+++ b/tests/common/test_docs.py
@@ -26,7 +26,7 @@
 BASES = (ROOT, ROOT / PACKAGE)
 # A path with a folder (`membership/swim.py`, `lab/days/`), or a module or page by its name alone.
 _PATH = re.compile(r"`((?:[\w.*-]+/)+(?:[\w*-]+\.(?:py|md|toml|json|txt))?|[\w*-]+\.(?:py|md))`")
-# `wickspring.ctl`, `wickspring.lab.simulation.core`, with or without a name in it.
+# `wickspring.ctl`, `wickspring.lab.simulation.replication.group`, with or without a name in it.
 _MODULE = re.compile(rf"\b{PACKAGE}((?:\.\w+)+)")
 
 # `test_something`, `test_some_...` and `test_some[parameter]`.
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -28,7 +28,14 @@
 from wickspring.controlplane.replication.replica import Config, Replica, Update
 from wickspring.controlplane.replication.view import Member, View
 from wickspring.dataplane.process import DataPlane
-from wickspring.lab.faults.core_faults import Chaos
+from wickspring.lab.faults.chaos import Chaos
+from wickspring.lab.simulation.replication.messages import (
+    LeaseGrant,
+    NodeStatus,
+    SimulatedMessage,
+    SubmitUpdate,
+    UpdateOutcome,
+)
 from wickspring.membership.anti_entropy import Digest, EntryVersion
 
 ODD: list[Any] = [
@@ -287,13 +294,26 @@
     """Some messages between nodes arrive corrupted: they may be refused, and nothing is lost by them."""
     random, refused = Random(seed), 0
 
+    def encode(message: SimulatedMessage) -> list[Any]:
+        match message:
+            case LeaseGrant(disk_id, status_sent_at, epoch):
+                return ["tock", disk_id, status_sent_at, epoch]
+            case SubmitUpdate(ticket, update):
+                return ["enter", ticket, update.pack()]
+            case UpdateOutcome(ticket, outcome):
+                return ["entered", ticket, int(outcome)]
+            case NodeStatus():
+                raise AssertionError("a status is not corrupted")
+            case _:
+                return message.encode()
+
     class ChaosWithCorruption(Chaos):
-        def send(self, sender: str, to: str, message: list[Any]) -> None:
-            if message[0] != "status" and random.random() < 0.01:
+        def send(self, sender: str, to: str, message: SimulatedMessage) -> None:
+            if not isinstance(message, NodeStatus) and random.random() < 0.01:
                 chain = self.nodes[to].chain if to in self.nodes else None
                 try:
                     if chain is not None:  # what is not read whole changes nothing that is saved or said
-                        corrupted = decode(corrupt(random, message))
+                        corrupted = decode(corrupt(random, encode(message)))
                         if corrupted is not None:
                             copy.deepcopy(chain).receive(self.now, sender, corrupted)
                 except (*DECODE_ERRORS, AssertionError):
--- a/tests/controlplane/test_chain.py
+++ b/tests/controlplane/test_chain.py
@@ -15,8 +15,9 @@
     PeerObservation,
     View,
 )
-from wickspring.lab.faults.core_faults import Chaos, Episodes
-from wickspring.lab.simulation.core import ANSWER_MS, SimulatedCore
+from wickspring.lab.faults.chaos import Chaos
+from wickspring.lab.faults.episodes import Episodes
+from wickspring.lab.simulation.replication.group import ANSWER_MS, SimulatedGroup
 from wickspring.lab.simulation.state_exploration import ONE_NUMBER, explore
 
 ONE, TWO, THREE, ZONE = FaultTolerance(1), FaultTolerance(2), FaultTolerance(3), FaultTolerance(1, 1)
@@ -41,8 +42,8 @@
     for run in range(runs):
         core = Chaos(1000 * machines + run, machines, seeds, zones=zones, tolerance=tolerance)
         core.play(9_000.0)
-        acks, refusals = acks + core.ledger.acks, refusals + core.ledger.refusals
-        reads, usable = reads + core.reads, usable + core.usable
+        acks, refusals = acks + core.checker.acks, refusals + core.checker.refusals
+        reads, usable = reads + core.checker.reads, usable + core.usable_leases
     assert acks > 6 * runs  # and it is no core that refuses everything
     assert refusals > runs
     assert reads > 6 * runs
@@ -129,7 +130,7 @@
 
 
 def test_the_sweep_finds_copies_that_hold_as_many_but_others() -> None:
-    core = SimulatedCore(3, 4)
+    core = SimulatedGroup(3, 4)
     core.run(3000.0)
     spare, head = core.nodes["m3"].chain, core.nodes["m0"].chain
     assert spare is not None and head is not None and not spare.is_member
--- a/tests/controlplane/test_chain_defects.py
+++ b/tests/controlplane/test_chain_defects.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 import pytest
 
@@ -15,8 +14,11 @@
 from wickspring.controlplane.replication.update_passing import UpdatePassing
 from wickspring.controlplane.replication.view import FaultTolerance, Member, PeerObservation, View
 from wickspring.controlplane.replication.view_change import ViewChange
-from wickspring.lab.faults.core_faults import Chaos, Episodes
-from wickspring.lab.simulation.core_time import InvariantBrokenError
+from wickspring.lab.faults.chaos import Chaos
+from wickspring.lab.faults.episodes import Episodes
+from wickspring.lab.faults.fault_injector import FaultKind
+from wickspring.lab.simulation.replication.node import SimulatedNode
+from wickspring.lab.simulation.replication.seeded_run import InvariantBrokenError
 from wickspring.lab.simulation.state_exploration import ONE_NUMBER, explore
 
 
@@ -152,34 +154,47 @@
 class Amnesiac(Chaos):
     """A machine whose disk was wiped comes back under the name of its old disk, and so with its vote."""
 
-    kinds = ("wipe", "wipe", "cut", "kill")
+    kinds = (FaultKind.WIPE, FaultKind.WIPE, FaultKind.PARTITION, FaultKind.KILL)
 
-    def stop(self, node: Any, wipe: bool = False) -> None:
+    def stop(self, node: SimulatedNode, wipe: bool = False) -> None:
         kept = node.disk
         super().stop(node, wipe)
         if wipe and kept is not None:
             node.disk = kept
-            del self.ledger.highest_ranks[Member(node.ip, kept["disk"])]  # what is caught is what comes of it
+            del self.checker.highest_ranks[
+                Member(node.ip, kept.disk_id)
+            ]  # what is caught is what comes of it
 
 
 class Leaving(Episodes):
     """Planned replacements, and a loss as soon as the old machine has gone."""
 
-    kinds = ("planned", "wipe")
+    kinds = (FaultKind.PLANNED_REPLACE, FaultKind.WIPE)
 
 
 class Cut(Chaos):
     """Cuts above all."""
 
-    kinds = ("cut", "one_way", "stop", "lossy")
+    kinds = (
+        FaultKind.PARTITION,
+        FaultKind.ONE_WAY_PARTITION,
+        FaultKind.SUSPEND,
+        FaultKind.MESSAGE_LOSS,
+    )
 
 
-class Kept(Lease):
+class LongLease(Lease):
     """A lease that its holder keeps too long."""
 
     duration_ms = 3000.0
 
 
+class CutWithLongLease(Cut):
+    """Partitions, and leases that are kept too long."""
+
+    lease_type = LongLease
+
+
 def chaos(seed: int, chain: type[ReplicationChain]) -> None:
     Chaos(seed, 3, chain=chain).play(25_000.0)
 
@@ -197,7 +212,7 @@
 
 
 def kept(seed: int, chain: type[ReplicationChain]) -> None:
-    Cut(seed, 4, chain=chain, lease=Kept).play(25_000.0)
+    CutWithLongLease(seed, 4, chain=chain).play(25_000.0)
 
 
 DEFECTS: list[tuple[Callable[[int, type[ReplicationChain]], None], type[ReplicationChain], int, str]] = [
--- a/tests/controlplane/test_chain_history.py
+++ b/tests/controlplane/test_chain_history.py
@@ -6,7 +6,7 @@
 
 from wickspring.controlplane.replication.replica import CommitOutcome, Update
 from wickspring.controlplane.replication.view import FaultTolerance
-from wickspring.lab.simulation.core import SimulatedCore
+from wickspring.lab.simulation.replication.group import SimulatedGroup
 
 CHANGES = 500
 TEXT = 2000  # bytes
@@ -15,7 +15,7 @@
 CATCH_UP_MS = 5000.0
 
 
-class Busy(SimulatedCore):
+class Busy(SimulatedGroup):
     """One operator who changes the configuration again and again, going on until he is answered."""
 
     changed = 0
@@ -34,9 +34,9 @@
         self.schedule(EVERY_MS, lambda: self.change(ends))
 
 
-def caught_up(core: SimulatedCore, ip: str) -> bool:
+def caught_up(core: SimulatedGroup, ip: str) -> bool:
     """Tell whether a machine holds what the core has acknowledged."""
-    return core.nodes[ip].replica.config.version >= core.ledger.highest_acknowledged
+    return core.nodes[ip].replica.config.version >= core.checker.highest_acknowledged
 
 
 def until(core: Busy, what: str, bound_ms: float, ip: str = "", changed: int = 0) -> float:
@@ -88,7 +88,7 @@
     assert one.received < (16 if how == "twice ended" else 6) * (TEXT + CHANGES * ENTRY)
     until(core, "the last changes", 60_000.0, changed=CHANGES)
     core.check_recovery()
-    assert core.ledger.highest_acknowledged == CHANGES
+    assert core.checker.highest_acknowledged == CHANGES
 
 
 @pytest.mark.parametrize("away", [0, 1, 2])
@@ -103,7 +103,7 @@
     core.change(60)
     until(core, "changes while one is away", 60_000.0, changed=60)
     others = {(one.ip, ip) for ip in core.nodes if ip != one.ip}
-    core.cut = others | {(ip, there) for there, ip in others}
+    core.network.cut = others | {(ip, there) for there, ip in others}
     core.start(one)
     answers: list[CommitOutcome] = []
     for update in (Update(), Update(10, b"other"), Update(61, b"new")) * 5:
@@ -111,6 +111,6 @@
         core.run(core.now + 1000.0)
         assert one.chain is not None and one.chain.committed.config.version == 0
     assert set(answers) <= {CommitOutcome.NOT_YET}
-    core.cut.clear()
+    core.network.cut.clear()
     assert until(core, "it does not catch up", CATCH_UP_MS, one.ip) <= CATCH_UP_MS
     core.check_recovery()
--- a/wickspring/lab/simulation/core_ledger.py
+++ b/wickspring/lab/simulation/replication/invariant_checker.py
@@ -1,4 +1,4 @@
-"""The ledger of a simulation run: what nodes answered, saved and committed, checked against the invariants.
+"""Checks what the nodes of a simulation run answer, save and commit against the invariants of replication.
 
 No acknowledged update is lost or taken back, no version is committed with two texts, and no update is refused
 but for another that is committed.
@@ -10,6 +10,7 @@
 from dataclasses import dataclass, field
 
 from wickspring.common.digest import digest_of
+from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.replica import (
     MAX_HISTORY,
     CommitOutcome,
@@ -22,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Ledger:
+class InvariantChecker:
     """What has been answered, saved and committed in one run; `fail` is called for a violation."""
 
     fail: Callable[[str], None]
@@ -33,11 +34,12 @@
     acknowledged: set[tuple[int, bytes]] = field(default_factory=set)  # version and digest of updates
     departures: dict[str, int] = field(default_factory=dict)  # acknowledged
     saved_as: dict[Rank, tuple[bytes, tuple[tuple[int, bytes], ...]]] = field(default_factory=dict)
-    highest_ranks: dict[Member, Rank] = field(default_factory=dict)  # highest rank that each disk has stored
+    highest_ranks: dict[Member, Rank] = field(default_factory=dict)  # that each disk has stored
     highest_acknowledged: int = 0  # version
-    acks: int = 0
+    acks: int = 0  # acknowledged updates and reads
     refusals: int = 0
-    checked: Rank = (0, 0)  # rank that was checked last, to save time
+    reads: int = 0  # answered
+    last_checked: Rank = (0, 0)  # committed rank that was checked last, to save time
 
     def on_view(self, ip: str, view: View) -> None:
         """Check a view that a node has installed: views of one epoch are one view."""
@@ -48,16 +50,15 @@
         """Check a replica that has reached a disk: equal rank is equal text, with an equal history."""
         config = replica.config
         if not config.complete:
-            self.fail(f"{member[0]} keeps r{config.version} without its text as a copy")
+            self.fail(f"{member.address} keeps r{config.version} without its text as a copy")
         if config.version:
-            what = config.digest, config.history
-            known = self.saved_as.setdefault(config.rank, what)
-            if known[0] != config.digest:
-                self.fail(f"two texts of {config.rank} on disks, at {member[0]}")
-            if known[1] != config.history:
-                self.fail(f"two histories of {config.rank} on disks, at {member[0]}")
+            digest, history = self.saved_as.setdefault(config.rank, (config.digest, config.history))
+            if digest != config.digest:
+                self.fail(f"two texts of {config.rank} on disks, at {member.address}")
+            if history != config.history:
+                self.fail(f"two histories of {config.rank} on disks, at {member.address}")
         if config.rank < self.highest_ranks.get(member, (0, 0)):
-            self.fail(f"{member[0]}'s disk went back from {self.highest_ranks[member]} to {config.rank}")
+            self.fail(f"{member.address}'s disk went back from {self.highest_ranks[member]} to {config.rank}")
         self.highest_ranks[member] = config.rank
 
     def on_committed(self, ip: str, config: Config) -> None:
@@ -68,52 +69,64 @@
         for member in view.chain if view is not None else ():
             if self.highest_ranks.get(member, (0, 0)) < config.rank:
                 had = self.highest_ranks.get(member)
-                self.fail(f"{ip} calls {config.rank} safe, {member[0]} has had {had} at most")
+                self.fail(f"{ip} calls {config.rank} safe, {member.address} has had {had} at most")
         if view is None and config.version:
             self.fail(f"{ip} calls {config.rank} safe, and nobody has that view")
-        if config.rank == self.checked:
+        if config.rank == self.last_checked:
             return
-        self.checked = config.rank
+        self.last_checked = config.rank
         self.committed_rank = max(self.committed_rank, config.rank)
         for version, digest in (*config.history, (config.version, config.digest)):
             if version and self.committed.setdefault(version, digest) != digest:
                 self.fail(f"r{version} is safe with two texts, the other at {ip}")
 
-    def answered(
+    def on_outcome(
         self,
         ip: str,
         update: Update,
         outcome: CommitOutcome,
-        safe: Config,
-        view: View,
+        chain: ReplicationChain,
         disks: Mapping[Member, Replica],
     ) -> None:
-        """Check an outcome of a head: only one text is ever acknowledged as that of a version."""
-        version, digest = update.version, digest_of(update.document)
+        """Check an outcome of a head: only one text is ever acknowledged as that of a version.
+
+        `disks` has what each node's disk stores at this moment.
+        """
+        digest = digest_of(update.document)
         if outcome == CommitOutcome.CONFLICT:
-            self._check_refusal(ip, version, digest)
+            self._check_refusal(ip, update.version, digest)
         if outcome != CommitOutcome.COMMITTED:
             return
         self.acks += 1
-        for server, state in update.departures.items():
-            self.departures[server] = max(state, self.departures.get(server, 0))
-        for member in view.chain:
-            replica = disks.get(member)
-            if replica is None:
-                continue
-            if replica.config.version < version:
-                self.fail(f"r{version} acknowledged, {member[0]} has r{replica.config.version} on its disk")
-            if version and replica.config.outcome_of(version, digest) != CommitOutcome.COMMITTED:
-                self.fail(f"r{version} acknowledged, {member[0]} has another text of it on its disk")
-            if any(replica.departures.get(server, 0) < state for server, state in update.departures.items()):
-                self.fail(f"a server's leaving acknowledged, and not on the disk of {member[0]}")
-        if not version:
-            return
+        for endpoint_id, state in update.departures.items():
+            self.departures[endpoint_id] = max(state, self.departures.get(endpoint_id, 0))
+        for member in chain.view.chain:
+            if member in disks:
+                self._check_stored(member, disks[member], update, digest)
+        if update.version:
+            self._on_acknowledged(ip, update.version, digest, chain.committed.config)
+
+    def _check_stored(self, member: Member, replica: Replica, update: Update, digest: bytes) -> None:
+        """Check that a member's disk stores an update that is acknowledged."""
+        version, config = update.version, replica.config
+        if config.version < version:
+            self.fail(f"r{version} acknowledged, {member.address} has r{config.version} on its disk")
+        if version and config.outcome_of(version, digest) != CommitOutcome.COMMITTED:
+            self.fail(f"r{version} acknowledged, {member.address} has another text of it on its disk")
+        stored = replica.departures
+        if any(stored.get(endpoint_id, 0) < state for endpoint_id, state in update.departures.items()):
+            self.fail(f"a server's leaving acknowledged, and not on the disk of {member.address}")
+
+    def _on_acknowledged(self, ip: str, version: int, digest: bytes, committed: Config) -> None:
+        """Check an acknowledged version against what is committed and was acknowledged before."""
         self.acknowledged.add((version, digest))
-        remembered = len(safe.history) < MAX_HISTORY or version >= safe.history[0][0]
-        if remembered and self.committed.get(version, digest) != digest:
+        history = committed.history
+        is_remembered = len(history) < MAX_HISTORY or version >= history[0][0]
+        if is_remembered and self.committed.get(version, digest) != digest:
             self.fail(f"{ip} acknowledges r{version} with another text than the one that is safe")
-        if (safe.digest if version == safe.version else dict(safe.history).get(version)) == digest:
+        is_current = version == committed.version
+        committed_digest = committed.digest if is_current else dict(history).get(version)
+        if committed_digest == digest:
             if self.acknowledged_digests.setdefault(version, digest) != digest:
                 self.fail(f"two texts of r{version} acknowledged as its own")
             self.highest_acknowledged = max(self.highest_acknowledged, version)
@@ -125,27 +138,31 @@
         if (version, digest) in self.acknowledged:
             self.fail(f"{ip} refuses r{version}, which had been acknowledged")
 
-    def read(self, ip: str, safe: Replica, acked: int) -> None:
-        """Check what was read; `acked` was the highest version acknowledged when the read started."""
-        if safe.config.version < acked:
-            self.fail(f"{ip} read r{safe.config.version}, and r{acked} had been acknowledged before")
-        if safe.config.version and self.committed.get(safe.config.version) != safe.config.digest:
-            self.fail(f"what {ip} read of r{safe.config.version} is not what is safe")
+    def on_read(self, ip: str, committed: Replica, acknowledged: int) -> None:
+        """Check what was read; `acknowledged` is the highest acknowledged version when the read started."""
+        self.reads += 1
+        config = committed.config
+        if config.version < acknowledged:
+            self.fail(f"{ip} read r{config.version}, and r{acknowledged} had been acknowledged before")
+        if config.version and self.committed.get(config.version) != config.digest:
+            self.fail(f"what {ip} read of r{config.version} is not what is safe")
 
     def check_final_state(self, replicas: Mapping[str, Replica]) -> None:
         """Check the replicas of all nodes at the end: they are equal, and have all that was acknowledged."""
         if len({one.config for one in replicas.values()}) > 1:
             ranks = {ip: (one.config.rank, one.config.digest.hex()[:6]) for ip, one in replicas.items()}
             self.fail(f"copies differ at the end: {ranks}")
-        for ip, one in replicas.items():
-            past = dict((*one.config.history, (one.config.version, one.config.digest)))
-            if one.config.version < self.highest_acknowledged:
-                self.fail(
-                    f"r{self.highest_acknowledged} was acknowledged, {ip} ends with r{one.config.version}"
-                )
-            for version, digest in self.acknowledged_digests.items():
-                if version >= min(past) and past.get(version) != digest:
-                    self.fail(f"r{version} was acknowledged with a text that {ip} does not end with")
-            for server, state in self.departures.items():
-                if one.departures.get(server, 0) < state:
-                    self.fail(f"{server} was acknowledged as leaving, and {ip} does not end with it")
+        for ip, replica in replicas.items():
+            self._check_final_replica(ip, replica)
+
+    def _check_final_replica(self, ip: str, replica: Replica) -> None:
+        config = replica.config
+        digests = dict((*config.history, (config.version, config.digest)))
+        if config.version < self.highest_acknowledged:
+            self.fail(f"r{self.highest_acknowledged} was acknowledged, {ip} ends with r{config.version}")
+        for version, digest in self.acknowledged_digests.items():
+            if version >= min(digests) and digests.get(version) != digest:
+                self.fail(f"r{version} was acknowledged with a text that {ip} does not end with")
+        for endpoint_id, state in self.departures.items():
+            if replica.departures.get(endpoint_id, 0) < state:
+                self.fail(f"{endpoint_id} was acknowledged as leaving, and {ip} does not end with it")
--- a/wickspring/lab/simulation/core_operators.py
+++ b/wickspring/lab/simulation/replication/operators.py
@@ -2,7 +2,7 @@
 
 Operators reuse versions with other texts: two at once, eight updates together, an update sent again to any
 node whose answer was lost, old versions, texts that come back under a later version, and one who goes on
-until he is answered. `core_ledger` checks what they are answered.
+until he is answered. `invariant_checker` checks what they are answered.
 """
 
 from __future__ import annotations
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -20,7 +20,7 @@
 from wickspring.controlplane.replication.paxos import PaxosVoter, Proposal
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import Member, PeerObservation, View
-from wickspring.lab.simulation.core_time import InvariantBrokenError
+from wickspring.lab.simulation.replication.seeded_run import InvariantBrokenError
 
 IPS = ("a", "b", "c")
 STEP_MS = 2000.0  # that pass with each look round: all that waits for time is due
