--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -12,11 +12,22 @@
 
 from tests.support.command_line import run_command
 from wickspring.config import build_settings, flatten
-from wickspring.lab.checks import rules
+from wickspring.lab.checks.copies import find_forbidden
+from wickspring.lab.checks.observed_run import ObservedRun
+from wickspring.lab.checks.quotas import quota_excess
+from wickspring.lab.checks.rules import Rule, check
 from wickspring.lab.emulation import shape
 from wickspring.lab.experiments import scenario
 from wickspring.lab.experiments.run import run
-from wickspring.lab.reports.record import Arrival, Asked, Load, Record, Told
+from wickspring.lab.reports.record import (
+    Announcement,
+    Answer,
+    Arrival,
+    ClientRequest,
+    ColdLoad,
+    Outage,
+    Record,
+)
 from wickspring.lab.reports.result import Result
 from wickspring.lab.simulation.ingress_site import run as run_virtual
 from wickspring.lab.traffic import schedule
@@ -101,40 +112,41 @@
     firm = schedule.Firm(1, 0, 1, 0, False)
     one = schedule.ScheduledRequest(0, 100.0, firm, kind, 1, 10.0, 1000.0, 0, "id", "key")
     record = Record()
-    record.made["id"] = {b"body"}
+    record.served_bodies["id"] = {b"body"}
     return record, one, {"id": one}
 
 
 def arrival(server: str = "s", hall: int = 0, at: float = 105.0, **more: Any) -> Arrival:
-    return Arrival(server, hall, "id", at, at, False, **{"ran": True, "answered": True, **more})
+    return Arrival(server, hall, "id", at, at, False, **{"started": True, "answered": True, **more})
 
 
-def judged(record: Record, tries: dict[str, schedule.ScheduledRequest]) -> dict[str, int]:
-    found = rules.check(scenario.parse(SMALL, ""), record, tries)
-    names = rules.RULES
-    counts = {name: len(getattr(found, name)) for name in names}
-    assert found.broken == sum(counts.values())
+def violations(
+    record: Record, requests: dict[str, schedule.ScheduledRequest], site: str = ""
+) -> dict[str, int]:
+    """Return how often each rule is broken, without those that are kept."""
+    findings = check(ObservedRun(scenario.parse(SMALL, "", site), record, requests))
+    counts = {rule.value: findings.count(rule) for rule in Rule}
+    assert set(findings.violations) == set(Rule)
+    assert findings.total == sum(counts.values())
     return {name: count for name, count in counts.items() if count}
 
 
 @pytest.mark.parametrize(
     ("answers", "sent", "broken"),
     [
-        ([(150.0, 200, b"body")], 101.0, {}),
-        ([(150.0, 429, b"")], 101.0, {}),
+        ([Answer(150.0, 200, b"body")], 101.0, {}),
+        ([Answer(150.0, 429, b"")], 101.0, {}),
         ([], -1.0, {}),  # never taken
         ([], 101.0, {"lost": 1}),
-        ([(150.0, 200, b"body"), (151.0, 200, b"body")], 101.0, {"doubled": 1}),
-        ([(1500.0, 502, b"")], 101.0, {"late": 1}),
-        ([(150.0, 200, b"another's")], 101.0, {"foreign": 1}),
+        ([Answer(150.0, 200, b"body"), Answer(151.0, 200, b"body")], 101.0, {"doubled": 1}),
+        ([Answer(1500.0, 502, b"")], 101.0, {"late": 1}),
+        ([Answer(150.0, 200, b"another's")], 101.0, {"foreign": 1}),
     ],
 )
-def test_the_checker_sees_answers(
-    answers: list[tuple[float, int, bytes]], sent: float, broken: dict[str, int]
-) -> None:
-    record, one, tries = record_of(0)
-    record.asked.append(Asked(one, sent=sent, answers=answers))
-    assert judged(record, tries) == broken
+def test_the_checker_sees_answers(answers: list[Answer], sent: float, broken: dict[str, int]) -> None:
+    record, one, requests = record_of(0)
+    record.requests.append(ClientRequest(one, sent_at=sent, answers=answers))
+    assert violations(record, requests) == broken
 
 
 @pytest.mark.parametrize(
@@ -145,41 +157,46 @@
         (1, arrival(hall=1, at=2000.0), {"forbidden": 1}),
         (1, arrival(at=3000.0), {"forbidden": 1}),
         (2, arrival(at=200.0), {"forbidden": 1}),
-        (2, arrival(at=200.0, ran=False), {}),  # turned away: it never ran
-        (2, arrival(at=200.0, ran=False, answered=False), {"forbidden": 1}),  # it may have
+        (2, arrival(at=200.0, started=False), {}),  # turned away: it never ran
+        (2, arrival(at=200.0, started=False, answered=False), {"forbidden": 1}),  # it may have
     ],
 )
 def test_the_checker_sees_copies(kind: int, second: Arrival, broken: dict[str, int]) -> None:
-    record, _, tries = record_of(kind)
+    record, _, requests = record_of(kind)
     record.arrivals += [arrival(), second]
-    assert judged(record, tries) == broken
+    assert violations(record, requests) == broken
 
 
 @pytest.mark.parametrize(("after", "broken"), [(400.0, {}), (600.0, {"drains": 1})])
 def test_the_checker_sees_drains_from_when_the_last_was_told(after: float, broken: dict[str, int]) -> None:
-    record, _, tries = record_of(0)
-    record.told += [Told(0, "s", "up", 0.0), Told(0, "s", "draining", 50.0), Told(1, "s", "draining", 90.0)]
+    record, _, requests = record_of(0)
+    record.announcements += [
+        Announcement(0, "s", "up", 0.0),
+        Announcement(0, "s", "draining", 50.0),
+        Announcement(1, "s", "draining", 90.0),
+    ]
     record.arrivals.append(arrival(at=90.0 + after))
-    assert judged(record, tries) == broken
+    assert violations(record, requests) == broken
 
 
 @pytest.mark.parametrize(("work", "broken"), [(20.0, {}), (60.0, {"cold": 1})])
 def test_the_checker_sees_a_cold_server_pushed_over(work: float, broken: dict[str, int]) -> None:
-    record, _, tries = record_of(0)
-    record.cold += [Load("s", 10.0 * n, work, 0.4) for n in range(100)]
-    assert judged(record, tries) == broken
+    record, _, requests = record_of(0)
+    record.cold_loads += [ColdLoad("s", 10.0 * n, work, 0.4) for n in range(100)]
+    assert violations(record, requests) == broken
 
 
 def test_the_checker_measures_what_goes_beyond_a_quota() -> None:
     record, one, _ = record_of(0)
-    tries = {}
+    requests = {}
     for number in range(10):
         again = schedule.ScheduledRequest(number, 0.0, one.firm, 0, 1, 1.0, 100.0, 0, f"id{number}", "")
-        tries[again.call_id] = again
+        requests[again.call_id] = again
         record.arrivals += [Arrival("s", 0, again.call_id, 0.0, 0.0, False)] * 2  # copies count once
-    share, worst = rules.beyond_quota(record, (schedule.Plan(1.0, 8.0),), tries)
-    assert share == pytest.approx(0.2)
-    assert worst == pytest.approx(2 / 8)
+    plans = (schedule.Plan(1.0, 8.0),)
+    excess = quota_excess(ObservedRun(scenario.parse(SMALL, ""), record, requests, plans))
+    assert excess.share == pytest.approx(0.2)
+    assert excess.worst == pytest.approx(2 / 8)
 
 
 def tinting(**more: Any) -> scenario.Scenario:
@@ -227,44 +244,47 @@
 
 
 def test_the_checker_sees_an_attempt_beside_another_where_the_site_forbids_it() -> None:
-    record, _, tries = record_of(0)
-    record.arrivals += [arrival(), arrival(at=130.0, beside=True)]
-    assert judged(record, tries) == {}
-    found = rules.check(tinting(), record, tries)
-    assert len(found.beside) == found.broken == 1
+    record, _, requests = record_of(0)
+    record.arrivals += [arrival(), arrival(at=130.0, overlaps=True)]
+    assert violations(record, requests) == {}
+    assert violations(record, requests, "tinting") == {"beside": 1}
 
 
 def test_the_checker_holds_a_keyed_repeat_to_its_rack_where_the_site_does() -> None:
-    record, _, tries = record_of(2)  # tint-record
+    record, _, requests = record_of(2)  # tint-record
     record.arrivals += [arrival(), arrival(at=1500.0, cell=1)]
-    assert rules.check(tinting(), record, tries).forbidden == ["id"]
+    assert list(find_forbidden(ObservedRun(tinting(), record, requests))) == ["id"]
     record.arrivals[1].cell = 0
-    assert not rules.check(tinting(), record, tries).broken
-    record.arrivals[1].whole = 105.0 + 1500.0 + 60.0
-    assert rules.check(tinting(), record, tries).forbidden == ["id"]
+    assert violations(record, requests, "tinting") == {}
+    record.arrivals[1].received_at = 105.0 + 1500.0 + 60.0
+    assert list(find_forbidden(ObservedRun(tinting(), record, requests))) == ["id"]
 
 
 @pytest.mark.parametrize(("units", "broken"), [(30, False), (40, True)])
 def test_the_checker_sees_a_ceiling_that_is_passed(units: int, broken: bool) -> None:
     record, one, _ = record_of(0)
     plan = schedule.Plan(1.0, 8.0, ceiling_rate=2.0, ceiling_burst=16.0, ceiling_slack=4.0)
-    tries = {}
+    requests = {}
     for number in range(units):
         again = schedule.ScheduledRequest(number, 0.0, one.firm, 0, 1, 1.0, 100.0, 0, f"id{number}", "")
-        tries[again.call_id] = again
+        requests[again.call_id] = again
         at = 200.0 * number  # five a second, where two are allowed: 16 + 2 t + 4.3 at most
-        record.arrivals += [Arrival("s", 0, again.call_id, at, at, False, ran=True, answered=True)] * 2
-    found = rules.check(tinting(), record, tries, (plan,))
-    assert bool(found.ceilings) == broken
+        record.arrivals += [Arrival("s", 0, again.call_id, at, at, False, started=True, answered=True)] * 2
+    findings = check(ObservedRun(tinting(), record, requests, (plan,)))
+    assert bool(findings.count(Rule.CEILINGS)) == broken
 
 
 def test_what_a_killed_ingress_had_taken_is_not_lost_and_anothers_is() -> None:
-    record, one, tries = record_of(0)
-    record.asked.append(Asked(one, sent=101.0, broken=140.0, place=0))
-    record.down += [[1, 130.0, 900.0], [0, 150.0, 900.0], [0, 20.0, 90.0]]  # another, later, earlier
-    assert judged(record, tries) == {"lost": 1}
-    record.down.append([0, 130.0, 900.0])
-    assert judged(record, tries) == {}
+    record, one, requests = record_of(0)
+    record.requests.append(ClientRequest(one, sent_at=101.0, broken_at=140.0, ingress=0))
+    record.outages += [
+        Outage(1, 130.0, 900.0),  # another ingress
+        Outage(0, 150.0, 900.0),  # later
+        Outage(0, 20.0, 90.0),  # earlier
+    ]
+    assert violations(record, requests) == {"lost": 1}
+    record.outages.append(Outage(0, 130.0, 900.0))
+    assert violations(record, requests) == {}
 
 
 def test_hot_keys_gather_and_a_hot_caller_leaves_the_others_as_they_were() -> None:
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -490,7 +490,7 @@
     cut = scenario.NetFault(
         at_s=1.0, for_s=2.5, kind="cut", source=("hall:0",), target=("not-hall:0", "counter")
     )
-    broken = scenario.Fault(at_s=1.0, for_s=4.0, kind="failing", servers=(1, 4))
+    broken = scenario.Fault(at_s=1.0, for_s=4.0, kind=scenario.FaultKind.FAILING, servers=(1, 4))
     result = play("peers-split", 9.0, cut, broken)
     assert result.served > 0
     views = seen[0].views
@@ -504,12 +504,12 @@
     seen: list[peer_ingresses.PeerIngresses],
 ) -> None:
     faults = (
-        scenario.Fault(at_s=1.0, for_s=3.0, kind="ingress-paused", ingresses=(1,)),
-        scenario.Fault(at_s=1.5, for_s=1.5, kind="ingress-crash", ingresses=(2, 3)),
+        scenario.Fault(at_s=1.0, for_s=3.0, kind=scenario.FaultKind.INGRESS_PAUSED, ingresses=(1,)),
+        scenario.Fault(at_s=1.5, for_s=1.5, kind=scenario.FaultKind.INGRESS_CRASH, ingresses=(2, 3)),
         scenario.NetFault(at_s=1.0, for_s=3.0, kind="cut", source=("n4",), one_way=True),
         scenario.NetFault(at_s=4.5, for_s=0.5, kind="half", source=("n5",)),
         scenario.NetFault(at_s=5.2, for_s=0.1, kind="reset", source=("all",)),
-        scenario.Fault(at_s=0.5, for_s=5.0, kind="failing", servers=(0, 1, 2, 3, 4, 5)),
+        scenario.Fault(at_s=0.5, for_s=5.0, kind=scenario.FaultKind.FAILING, servers=(0, 1, 2, 3, 4, 5)),
     )
     result = play("peers-paused", 7.0, *faults)
     assert result.gateway.get("broken[no_event_raises]", 0.0) == 0.0
@@ -523,7 +523,7 @@
 def test_with_the_counter_silent_six_that_hear_each_other_tell_what_they_send_on(
     seen: list[peer_ingresses.PeerIngresses],
 ) -> None:
-    silent = scenario.Fault(at_s=1.0, for_s=4.0, kind="counter-silent")
+    silent = scenario.Fault(at_s=1.0, for_s=4.0, kind=scenario.FaultKind.COUNTER_SILENT)
     result = play("peers-counter-lost", 5.0, silent)
     assert result.served > 0
     for number, view in seen[0].views.items():  # how much that helps is shown without processes, above
--- a/wickspring/lab/cli.py
+++ b/wickspring/lab/cli.py
@@ -38,7 +38,7 @@
 
     def __call__(self, at_s: float, record: Record) -> None:
         """Show how far the run has come."""
-        text = f"{len(record.asked)} asked, {len(record.dials)} dials"
+        text = f"{len(record.requests)} asked, {len(record.dials)} dials"
         self._write(f"\r{at_s:.1f} of {self._seconds:.0f} s  {text}")
 
     def _write(self, text: str) -> None:
--- a/wickspring/lab/emulation/peer_ingresses.py
+++ b/wickspring/lab/emulation/peer_ingresses.py
@@ -14,12 +14,13 @@
 import msgspec
 import trio
 
-from wickspring.lab.checks import rules
-from wickspring.lab.emulation.site import Site, free_port, odd_build
+from wickspring.lab.checks import quotas
+from wickspring.lab.checks.observed_run import ObservedRun
+from wickspring.lab.emulation.site import Site, free_port, write_modified_build
 from wickspring.lab.experiments.evaluate import peak
-from wickspring.lab.experiments.scenario import NetFault, Scenario, parties
+from wickspring.lab.experiments.scenario import FaultKind, NetFault, Scenario, parties
 from wickspring.lab.faults.network_relay import Relay
-from wickspring.lab.reports.record import Record
+from wickspring.lab.reports.record import Outcome, Record
 from wickspring.lab.reports.result import Result
 from wickspring.peer_state.messages import NUMBERS, Reply, StatusRequest, View
 from wickspring.wire import Link, WireError, connect
@@ -31,8 +32,8 @@
 MS_PER_S = 1000.0
 COUNTER = "counter"
 DISCOVERY = "discovery"
-DETECTED_FAULTS = ("spoilt", "accept-silent", "failing")  # kinds of a server's fault
-AVOIDABLE_FAULTS = (*DETECTED_FAULTS, "slow", "restart")
+DETECTED_FAULTS = (FaultKind.SPOILT, FaultKind.ACCEPT_SILENT, FaultKind.FAILING)  # kinds of a server's fault
+AVOIDABLE_FAULTS = (*DETECTED_FAULTS, FaultKind.SLOW, FaultKind.RESTART)
 _LIAR_MAIN = """
 from wickspring.peer_state import shares
 from wickspring.peer_state.judgements import FailingServer, FailureReport
@@ -53,7 +54,7 @@
 
 def liar_build(folder: Path) -> Path:
     """Write a build that reports every ticket server as failing; all else is the present program."""
-    return odd_build(folder / "liar", "liar", _LIAR_MAIN)
+    return write_modified_build(folder / "liar", "liar", _LIAR_MAIN)
 
 
 class PeerIngresses:
@@ -169,15 +170,15 @@
 
     def judge(self, result: Result, record: Record) -> None:
         """Add the figures of shared state to a result."""
-        plans = self.site.script.plans
-        attempts = self.site.tries
+        run = ObservedRun(self.scenario, record, self.site.requests, self.site.script.plans)
         result.ingresses = self.count
-        result.quota_error_worst = rules.quota_error_worst(record, plans, attempts)
-        over_quota = rules.beyond_ids(record, plans, attempts)
+        result.quota_error_worst = quotas.worst_excess_in_a_minute(run)
+        beyond_quota = quotas.ids_beyond_quota(run)
         served_inside = sum(
-            asked.plan.call_id not in over_quota and asked.outcome == "served" for asked in record.asked
+            request.outcome is Outcome.SERVED and request.scheduled.call_id not in beyond_quota
+            for request in record.requests
         )
-        result.served_inside_share = served_inside / max(1, len(record.asked))
+        result.served_inside_share = served_inside / max(1, len(record.requests))
         result.judged_s, result.judged_worst_s = judged(self.scenario, record, self.avoided_since)
         if not self.config.enabled:
             return
@@ -252,7 +253,7 @@
 
     It learns by an attempt of its own that failed, or by hearsay; one that never did, by the fault's end.
     """
-    gateway_of_call = {asked.plan.call_id: asked.place for asked in record.asked}
+    gateway_of_call = {request.scheduled.call_id: request.ingress for request in record.requests}
     took_s = list[float]()
     for fault in scenario.fault:
         if fault.kind not in DETECTED_FAULTS:
@@ -266,9 +267,9 @@
                 if name == server and begin <= at <= end
             }
             for arrival in record.arrivals:
-                if arrival.server == server and begin <= arrival.whole <= end:
+                if arrival.server == server and begin <= arrival.received_at <= end:
                     number = gateway_of_call.get(arrival.call_id, -1)
-                    learnt_at[number] = min(arrival.whole, learnt_at.get(number, end))
+                    learnt_at[number] = min(arrival.received_at, learnt_at.get(number, end))
             for number in range(scenario.ingresses.count):
                 took_s.append((learnt_at.get(number, end) - begin) / MS_PER_S)
     return middle_and_ninth(took_s)
--- a/wickspring/lab/emulation/ticket_servers.py
+++ b/wickspring/lab/emulation/ticket_servers.py
@@ -20,7 +20,7 @@
 from wickspring.lab.emulation.sockets import peek
 from wickspring.lab.emulation.ticket_connections import ReceivedRequest, ServerConnection, reset
 from wickspring.lab.experiments.scenario import Scenario
-from wickspring.lab.reports.record import Arrival, Load, Record
+from wickspring.lab.reports.record import Arrival, ColdLoad, Record, ServerEvent
 from wickspring.lab.simulation.clock import RunClock
 from wickspring.lab.traffic.schedule import ScheduledRequest
 
@@ -152,7 +152,7 @@
     async def _serve(self, sock: trio.socket.SocketType) -> None:
         connection = ServerConnection(sock, self.clock.now())
         self.connections.add(connection)
-        self.record.dials.append((connection.opened_at, self.name))
+        self.record.dials.append(ServerEvent(connection.opened_at, self.name))
         try:
             with connection.scope:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -162,7 +162,7 @@
         finally:
             sock.close()
             self.connections.discard(connection)
-            self.record.ends.append((self.clock.now(), self.name))
+            self.record.ends.append(ServerEvent(self.clock.now(), self.name))
             if self.scenario.servers.table and self._nursery is not None and not self.down:
                 self._nursery.start_soon(self._accept_again)
 
@@ -238,12 +238,12 @@
             cut = closing.mode == "silent" and connection.uses > 0 and idle >= closing.within_ms
             if data and (connection.black_holed or cut):
                 connection.black_holed = True
-                self.record.dead_writes.append((self.clock.now(), self.name))
+                self.record.dead_writes.append(ServerEvent(self.clock.now(), self.name))
                 await trio.sleep_forever()
             closes_at_write = closing.mode == "at-write" and connection.uses > 0
             if data and closes_at_write and self.random.random() < closing.share:
                 # The close crosses the request: it was sent before a byte of the request was read.
-                self.record.dead_writes.append((self.clock.now(), self.name))
+                self.record.dead_writes.append(ServerEvent(self.clock.now(), self.name))
                 reset(connection.sock)
                 raise ConnectionResetError
             return data
@@ -254,7 +254,7 @@
         connection.sock.shutdown(socket.SHUT_WR)
         with trio.move_on_after(LINGER_S):
             if await connection.sock.recv(RECEIVE_BYTES):
-                self.record.dead_writes.append((self.clock.now(), self.name))
+                self.record.dead_writes.append(ServerEvent(self.clock.now(), self.name))
                 reset(connection.sock)
 
     async def _stays_open(self, connection: ServerConnection) -> bool:
@@ -263,7 +263,7 @@
         if closing.mode == "race" and self.random.random() < closing.share:
             await trio.sleep(self.random.uniform(0.0, closing.within_ms) / 1000.0)
             if peek(connection.sock):  # written to a connection that was on its way out
-                self.record.dead_writes.append((self.clock.now(), self.name))
+                self.record.dead_writes.append(ServerEvent(self.clock.now(), self.name))
                 reset(connection.sock)
             return False
         return True
@@ -285,20 +285,20 @@
             server=self.name,
             hall=self.hall,
             call_id=call_id,
-            first_byte=request.first_byte_at,
-            whole=self.clock.now(),
+            first_byte_at=request.first_byte_at,
+            received_at=self.clock.now(),
             reused=connection.uses > 1,
             cell=self.cell,
         )
-        in_flight = self.record.out.setdefault(call_id, [])
-        arrival.beside = any(sock.fileno() >= 0 and peek(sock) is None for sock in in_flight)
+        in_flight = self.record.in_flight.setdefault(call_id, [])
+        arrival.overlaps = any(sock.fileno() >= 0 and peek(sock) is None for sock in in_flight)
         in_flight.append(connection.sock)
         try:
             return await self._handle(connection, arrival, open_cost_ms)
         finally:
             in_flight.remove(connection.sock)
             if not in_flight:
-                self.record.out.pop(call_id, None)
+                self.record.in_flight.pop(call_id, None)
 
     async def _handle(self, connection: ServerConnection, arrival: Arrival, open_cost_ms: float) -> bool:
         scheduled = self.requests.get(arrival.call_id)
@@ -307,7 +307,7 @@
             await self._answer(connection, 400, b"no such id\n")
             return True
         work_ms = scheduled.work_ms + open_cost_ms
-        self._add_cold_work(work_ms, arrival.whole)
+        self._add_cold_work(work_ms, arrival.received_at)
         if self.down:
             return False
         if self._core_queue.waiting >= self.scenario.servers.queue:
@@ -320,7 +320,7 @@
             return True
         await self._run(arrival, work_ms)
         if self.random.random() < self.malformed_share:
-            self.record.counted["spoilt"] += 1
+            self.record.counters["spoilt"] += 1
             await connection.sock.send(self.random.choice(MALFORMED_RESPONSES))
             await trio.sleep_forever()
         await self._answer_served(connection, arrival)
@@ -332,7 +332,7 @@
         try:
             await self._core_queue.acquire()
             try:
-                arrival.ran = True
+                arrival.started = True
                 await trio.sleep(work_ms * self.slowdown / self.speed / self.warmth() / 1000.0)
             finally:
                 self._core_queue.release()
@@ -341,9 +341,9 @@
 
     async def _answer_served(self, connection: ServerConnection, arrival: Arrival) -> None:
         """Answer 200 with a body that no other answer has."""
-        body = f"{self.name} {arrival.call_id} {self.record.counted['answers']}\n".encode()
-        self.record.counted["answers"] += 1
-        self.record.made.setdefault(arrival.call_id, set()).add(body)
+        body = f"{self.name} {arrival.call_id} {self.record.counters['answers']}\n".encode()
+        self.record.counters["answers"] += 1
+        self.record.served_bodies.setdefault(arrival.call_id, set()).add(body)
         arrival.answered = True
         await self._answer(connection, 200, body)
 
@@ -354,14 +354,14 @@
             return
         shape = self.scenario.shape
         capacity = self.cores * self.speed * warmth
-        self.record.cold.append(Load(self.name, now, work_ms, capacity))
+        self.record.cold_loads.append(ColdLoad(self.name, now, work_ms, capacity))
         recent = self._recent_cold_work
         recent.append((now, work_ms))
         while recent and recent[0][0] < now - shape.fall_ms:
             recent.popleft()
         max_work_ms = shape.fall_factor * capacity * shape.fall_ms
         if sum(work for _, work in recent) > max_work_ms and not self.down:
-            self.record.fallen.append(self.name)
+            self.record.overloaded.append(self.name)
             self.kill()
 
     async def _answer(
--- a/wickspring/lab/experiments/evaluate.py
+++ b/wickspring/lab/experiments/evaluate.py
@@ -3,13 +3,16 @@
 from __future__ import annotations
 
 from collections import defaultdict
+from dataclasses import dataclass
 from itertools import accumulate
 
 from hdrh.histogram import HdrHistogram
 
-from wickspring.lab.checks import rules
+from wickspring.lab.checks import cold_servers, drains, quotas, rules
+from wickspring.lab.checks.observed_run import ObservedRun
+from wickspring.lab.checks.rules import Findings, Rule
 from wickspring.lab.experiments.scenario import Scenario
-from wickspring.lab.reports.record import Record
+from wickspring.lab.reports.record import Outcome, Record
 from wickspring.lab.reports.result import Result, Series
 from wickspring.lab.traffic.schedule import ScheduledRequest, Script
 
@@ -19,7 +22,7 @@
 
 
 def peak(times: list[float], span: float = 1000.0, *, closed: bool = True) -> int:
-    """Return the most of these times within any span; not `closed`, within less than one."""
+    """Return the most of these times (ms) within any span, its ends included only if `closed`."""
     ordered = sorted(times)
     largest = 0
     first = 0
@@ -31,19 +34,20 @@
 
 
 def evaluate(
-    scenario: Scenario, seed: int, script: Script, tries: dict[str, ScheduledRequest], record: Record
+    scenario: Scenario, seed: int, script: Script, requests: dict[str, ScheduledRequest], record: Record
 ) -> Result:
     """Return all figures that follow from what clients, servers and discovery recorded."""
     result = Result(scenario.name, seed, scenario.seconds)
-    findings = rules.check(scenario, record, tries, script.plans)
+    run = ObservedRun(scenario, record, requests, script.plans)
     _add_outcomes(result, scenario, record)
-    _add_findings(result, findings)
-    result.cold_load_most = rules.cold_load_most(scenario, record)
+    _add_findings(result, rules.check(run))
+    result.drain_ms_most = drains.longest_drain_ms(record)
+    result.cold_load_most = cold_servers.highest_cold_load(run)
     _add_connections(result, record)
-    share, worst = rules.beyond_quota(record, script.plans, tries)
-    result.beyond_quota_share = share
-    result.beyond_quota_worst = worst
-    result.counter_calls_per_request = record.counted["counter_calls"] / max(1, result.requests)
+    excess = quotas.quota_excess(run)
+    result.beyond_quota_share = excess.share
+    result.beyond_quota_worst = excess.worst
+    result.counter_calls_per_request = record.counters["counter_calls"] / max(1, result.requests)
     result.series = _series(scenario, record)
     result.connections_peak = max(result.series.open, default=0)
     return result
@@ -54,18 +58,20 @@
     kinds = scenario.shape.kind
     histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     served_in_target = 0
-    for asked in record.asked:
-        kind = kinds[asked.plan.kind]
-        outcome = asked.outcome
+    for request in record.requests:
+        kind = kinds[request.scheduled.kind]
+        outcome = request.outcome
         once = kind.effect == "once"
         result.requests += 1
         result.escalates += once
-        if outcome == "served":
+        if outcome is Outcome.SERVED:
             result.served += 1
-            latency_ms = asked.answers[0][0] - asked.plan.at_ms  # from when it was due: waiting counts
+            latency_ms = (
+                request.answers[0].at - request.scheduled.at_ms
+            )  # from when it was due: waiting counts
             histogram.record_value(max(1, int(1000.0 * latency_ms)))
             served_in_target += latency_ms <= kind.aim_ms
-        elif outcome == "refused":
+        elif outcome is Outcome.REFUSED:
             result.refused += 1
         else:
             result.failed += 1
@@ -78,21 +84,20 @@
     result.escalate_failed_share = result.escalate_failed / max(1, result.escalates)
 
 
-def _add_findings(result: Result, findings: rules.Findings) -> None:
+def _add_findings(result: Result, findings: Findings) -> None:
     """Add how often each rule was broken."""
-    result.answers_lost = len(findings.lost)
-    result.answers_doubled = len(findings.doubled)
-    result.answers_late = len(findings.late)
-    result.answers_foreign = len(findings.foreign)
-    result.forbidden_copies = len(findings.forbidden)
-    result.drains_broken = len(findings.drains)
-    result.drain_ms_most = findings.drain_ms_most
-    result.cold_broken = len(findings.cold)
-    result.copies_beside = len(findings.beside)
-    result.ceilings_broken = len(findings.ceilings)
-    result.rules_broken = findings.broken
-    for name in rules.RULES:
-        result.violations += [f"{name}: {item}" for item in getattr(findings, name)[:MAX_SHOWN]]
+    result.answers_lost = findings.count(Rule.LOST)
+    result.answers_doubled = findings.count(Rule.DOUBLED)
+    result.answers_late = findings.count(Rule.LATE)
+    result.answers_foreign = findings.count(Rule.FOREIGN)
+    result.forbidden_copies = findings.count(Rule.FORBIDDEN)
+    result.drains_broken = findings.count(Rule.DRAINS)
+    result.cold_broken = findings.count(Rule.COLD)
+    result.copies_beside = findings.count(Rule.BESIDE)
+    result.ceilings_broken = findings.count(Rule.CEILINGS)
+    result.rules_broken = findings.total
+    for rule, violations in findings.violations.items():
+        result.violations += [f"{rule}: {violation}" for violation in violations[:MAX_SHOWN]]
 
 
 def _add_connections(result: Result, record: Record) -> None:
@@ -111,29 +116,41 @@
 
 
 def _series(scenario: Scenario, record: Record) -> Series:
+    """Return figures over time, by when requests were due and connections came and went."""
     series = Series()
-    bins = int(1000.0 * scenario.seconds / series.bin_ms) + 1
-
-    def spread(times: list[float]) -> list[int]:
-        out = [0] * bins
-        for time in times:
-            out[min(bins - 1, max(0, int(time / series.bin_ms)))] += 1
-        return out
-
-    ends: dict[str, list[float]] = {"served": [], "refused": [], "failed": []}
-    latencies: list[list[float]] = [[] for _ in range(bins)]
-    for asked in record.asked:
-        ends[asked.outcome].append(asked.plan.at_ms)
-        if asked.outcome == "served":
-            index = min(bins - 1, max(0, int(asked.plan.at_ms / series.bin_ms)))
-            latencies[index].append(asked.answers[0][0] - asked.plan.at_ms)
-    series.offered = spread([asked.plan.at_ms for asked in record.asked])
-    series.served, series.refused = spread(ends["served"]), spread(ends["refused"])
-    series.failed = spread(ends["failed"])
+    bins = _Bins(series.bin_ms, int(1000.0 * scenario.seconds / series.bin_ms) + 1)
+    due: dict[Outcome, list[float]] = {outcome: [] for outcome in Outcome}
+    latencies: list[list[float]] = [[] for _ in range(bins.count)]
+    for request in record.requests:
+        due_at = request.scheduled.at_ms
+        due[request.outcome].append(due_at)
+        if request.outcome is Outcome.SERVED:
+            latencies[bins.index(due_at)].append(request.answers[0].at - due_at)
+    series.offered = bins.histogram([request.scheduled.at_ms for request in record.requests])
+    series.served = bins.histogram(due[Outcome.SERVED])
+    series.refused = bins.histogram(due[Outcome.REFUSED])
+    series.failed = bins.histogram(due[Outcome.FAILED])
     series.latency_ms = [round(sorted(some)[len(some) // 2], 3) if some else 0.0 for some in latencies]
-    series.dials = spread([at for at, _ in record.dials])
-    series.ends = spread([at for at, _ in record.ends])
-    series.dead_writes = spread([at for at, _ in record.dead_writes])
-    changes = [up - down for up, down in zip(series.dials, series.ends, strict=True)]
+    series.dials = bins.histogram([event.at for event in record.dials])
+    series.ends = bins.histogram([event.at for event in record.ends])
+    series.dead_writes = bins.histogram([event.at for event in record.dead_writes])
+    changes = [dials - ends for dials, ends in zip(series.dials, series.ends, strict=True)]
     series.open = list(accumulate(changes))
     return series
+
+
+@dataclass(slots=True, frozen=True)
+class _Bins:
+    """Equal parts of a run's time; what lies outside of the run counts in the first or last."""
+
+    width_ms: float
+    count: int
+
+    def index(self, time_ms: float) -> int:
+        return min(self.count - 1, max(0, int(time_ms / self.width_ms)))
+
+    def histogram(self, times_ms: list[float]) -> list[int]:
+        counts = [0] * self.count
+        for time_ms in times_ms:
+            counts[self.index(time_ms)] += 1
+        return counts
--- a/wickspring/lab/experiments/fleet.py
+++ b/wickspring/lab/experiments/fleet.py
@@ -18,7 +18,7 @@
     Progress,
     Site,
     listen,
-    tell,
+    report_progress,
 )
 from wickspring.lab.experiments.evaluate import evaluate
 from wickspring.lab.experiments.fleet_site import FleetSite
@@ -46,7 +46,7 @@
                 with trio.CancelScope(shield=True):
                     await trio.to_thread.run_sync(fleet.stop)
             nursery.cancel_scope.cancel()
-        result = evaluate(scenario, seed, script, site.tries, site.record)
+        result = evaluate(scenario, seed, script, site.requests, site.record)
     _add_fleet_results(result, fleet, view)
     return result
 
@@ -56,7 +56,7 @@
     site = fleet.site
     for server in site.servers:
         await server.start(nursery)
-        site.tell(server, late_ms=0.0)
+        site.announce(server, late_ms=0.0)
     counter = await listen(nursery, site.counter.serve)
     discoveries = [await listen(nursery, discovery.serve) for discovery in site.discoveries]
     fleet.write_files(discoveries, counter, script)
@@ -72,14 +72,14 @@
         fleet.start_agent(number)
     await fleet.wait_until_ready()
     random = Random(f"load {fleet.seed}")
-    load = Load(scenario, site.tries, site.record, site.clock, random, fleet.addresses)
+    load = Load(scenario, site.requests, site.record, site.clock, random, fleet.addresses)
     fleet.load = load
     site.record.dials.clear()
     site.clock.start(in_s=LOAD_DELAY_S)
-    await site.faults(nursery)
+    site.start_faults(nursery)
     nursery.start_soon(fleet.sample)
     if progress is not None:
-        nursery.start_soon(tell, scenario, site, progress)
+        nursery.start_soon(report_progress, scenario, site, progress)
     await _play(fleet, load, script, nursery)
     with trio.move_on_after(scenario.shape.deadline_ms / 1000.0 + FINISH_MARGIN_S):
         while load.ended < load.begun:
--- a/wickspring/lab/experiments/fleet_site.py
+++ b/wickspring/lab/experiments/fleet_site.py
@@ -28,7 +28,7 @@
     Site,
     free_port,
     limits_text,
-    odd_build,
+    write_modified_build,
 )
 from wickspring.lab.experiments.scenario import AgentFault, Command, InstanceFault, Scenario
 from wickspring.lab.traffic import schedule as scripts
@@ -61,7 +61,7 @@
 
 def write_bad_build(folder: Path, fault: str) -> None:
     """Write a build with a fault, `never-ready` or any other; all else in it is the present program."""
-    odd_build(folder, "bad", _NEVER_READY_PROGRAM if fault == "never-ready" else _FAILING_PROGRAM)
+    write_modified_build(folder, "bad", _NEVER_READY_PROGRAM if fault == "never-ready" else _FAILING_PROGRAM)
 
 
 async def answers_up(address: str) -> bool:
--- a/wickspring/lab/experiments/scenario.py
+++ b/wickspring/lab/experiments/scenario.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from pathlib import Path
 from typing import Literal
 
@@ -17,25 +18,28 @@
 from wickspring.lab.emulation.shape import load as load_shape
 
 SHIPPED = Path(__file__).parents[1] / "scenarios"
-FaultKind = Literal[
-    "reset-all",
-    "restart",
-    "slow",
-    "drain",
-    "half-open",
-    "accept-silent",
-    "spoilt",
-    "failing",
-    "replace",
-    "counter-silent",
-    "counter-slow",
-    "counter-spoilt",
-    "counter-flush",
-    "discovery-silent",
-    "ingress-crash",
-    "ingress-paused",
-    "hall-lost",
-]
+
+
+class FaultKind(StrEnum):
+    """A kind of fault at servers, the counter, discovery or ingresses, as scenario files name it."""
+
+    RESET_ALL = "reset-all"
+    RESTART = "restart"
+    SLOW = "slow"
+    DRAIN = "drain"
+    HALF_OPEN = "half-open"
+    ACCEPT_SILENT = "accept-silent"
+    SPOILT = "spoilt"
+    FAILING = "failing"
+    REPLACE = "replace"
+    COUNTER_SILENT = "counter-silent"
+    COUNTER_SLOW = "counter-slow"
+    COUNTER_SPOILT = "counter-spoilt"
+    COUNTER_FLUSH = "counter-flush"
+    DISCOVERY_SILENT = "discovery-silent"
+    INGRESS_CRASH = "ingress-crash"
+    INGRESS_PAUSED = "ingress-paused"
+    HALL_LOST = "hall-lost"
 
 
 class ScenarioError(ValueError):
--- a/wickspring/lab/experiments/scenario_checks.py
+++ b/wickspring/lab/experiments/scenario_checks.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Iterator
 
-from wickspring.lab.experiments.scenario import Fault, NetFault, Scenario, ScenarioError, party
+from wickspring.lab.experiments.scenario import Fault, FaultKind, NetFault, Scenario, ScenarioError, party
 
 MAX_NUMBER = 1e7
-SOCKET_FAULTS = ("ingress-crash", "ingress-paused", "hall-lost")
-VIRTUAL_FAULTS = ("reset-all", "slow")
+SOCKET_FAULTS = (FaultKind.INGRESS_CRASH, FaultKind.INGRESS_PAUSED, FaultKind.HALL_LOST)
+VIRTUAL_FAULTS = (FaultKind.RESET_ALL, FaultKind.SLOW)
 
 
 def check_scenario(scenario: Scenario, file: str) -> None:
@@ -66,7 +66,7 @@
             yield f"{key}.ingresses: there is no ingress {ingress}"
     if not 0 <= fault.hall < scenario.servers.halls:
         yield f"{key}.hall: there is no hall {fault.hall}"
-    if fault.kind == "counter-flush" and not 0 < fault.size <= 1:
+    if fault.kind == FaultKind.COUNTER_FLUSH and not 0 < fault.size <= 1:
         yield f"{key}.size must lie between 0 and 1: {fault.size}"
     if fault.kind in SOCKET_FAULTS and scenario.kind != "sockets":
         yield f"{key}.kind: {fault.kind} is for sockets alone"
--- a/wickspring/lab/experiments/socket_run.py
+++ b/wickspring/lab/experiments/socket_run.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import math
 import signal
 import tempfile
 from collections import Counter
@@ -13,9 +12,10 @@
 
 from wickspring.lab.emulation.gateway_process import GatewayFiles, GatewayProcess
 from wickspring.lab.emulation.peer_ingresses import COUNTER, DISCOVERY, PeerIngresses, liar_build
-from wickspring.lab.emulation.site import LabError, Progress, Site, limits_text, listen, tell
+from wickspring.lab.emulation.site import LabError, Progress, Site, limits_text, listen, report_progress
 from wickspring.lab.experiments.evaluate import evaluate
-from wickspring.lab.experiments.scenario import Fault, Scenario
+from wickspring.lab.experiments.scenario import Fault, FaultKind, Scenario
+from wickspring.lab.reports.record import Outage
 from wickspring.lab.reports.result import Result
 from wickspring.lab.traffic import schedule as scripts
 from wickspring.lab.traffic.client import Load
@@ -60,7 +60,7 @@
     async def _start_site(self, nursery: trio.Nursery) -> None:
         for server in self.site.servers:
             await server.start(nursery)
-            self.site.tell(server, late_ms=0.0)
+            self.site.announce(server, late_ms=0.0)
 
     async def _create_gateways(self, nursery: trio.Nursery, peers: PeerIngresses, folder: Path) -> None:
         scenario = self.scenario
@@ -103,22 +103,22 @@
         site = self.site
         addresses = [gateway.address for gateway in self.gateways]
         random = Random(f"load {self.seed}")
-        load = Load(self.scenario, site.tries, site.record, site.clock, random, addresses)
+        load = Load(self.scenario, site.requests, site.record, site.clock, random, addresses)
         for gateway in self.gateways:
             gateway.measure()
         cpu_ms_before = [gateway.cpu_ms for gateway in self.gateways]
         site.record.dials.clear()
         site.clock.start(in_s=START_DELAY_S)
-        await site.faults(nursery)
+        site.start_faults(nursery)
         await peers.faults()
         nursery.start_soon(peers.sample)
         for fault in self.scenario.fault:
-            if fault.kind == "ingress-paused":
+            if fault.kind == FaultKind.INGRESS_PAUSED:
                 nursery.start_soon(self._pause, fault)
-            if fault.kind in ("ingress-crash", "hall-lost"):
+            if fault.kind in (FaultKind.INGRESS_CRASH, FaultKind.HALL_LOST):
                 nursery.start_soon(self._crash, fault, load, processes)
         if self.progress is not None:
-            nursery.start_soon(tell, self.scenario, site, self.progress)
+            nursery.start_soon(report_progress, self.scenario, site, self.progress)
         await load.run(self.script.requests, nursery)
         with trio.move_on_after(self.scenario.shape.deadline_ms / 1000.0 + GRACE_S):
             while load.ended < load.begun:
@@ -137,7 +137,7 @@
         await self._sleep_until(fault.at_s)
         for number in numbers:
             now = self.site.clock.now()
-            self.site.record.down.append([float(number), now, now + 1000.0 * fault.for_s])
+            self.site.record.outages.append(Outage(number, now, now + 1000.0 * fault.for_s))
             self.gateways[number].signal(signal.SIGSTOP)
         try:
             await trio.sleep(fault.for_s)
@@ -146,34 +146,34 @@
                 self.gateways[number].signal(signal.SIGCONT)
 
     async def _crash(self, fault: Fault, load: Load, processes: trio.Nursery) -> None:
-        """Kill gateways and start them again later: they know nothing of their earlier lives."""
+        """Kill gateways and start them again later: they keep no state."""
         numbers = self._crashed_gateways(fault)
         await self._sleep_until(fault.at_s)
-        spans = []
+        outages = []
         for number in numbers:
-            span = [float(number), self.site.clock.now(), math.inf]
-            spans.append(span)
-            self.site.record.down.append(span)
+            outage = Outage(number, self.site.clock.now())
+            outages.append(outage)
+            self.site.record.outages.append(outage)
             await self.gateways[number].kill()
         await trio.sleep(min(FRONT_DETECTION_S, fault.for_s))
         load.closed.update(numbers)
         await trio.sleep(max(0.0, fault.for_s - FRONT_DETECTION_S))
-        for number, span in zip(numbers, spans, strict=True):
+        for number, outage in zip(numbers, outages, strict=True):
             await self.gateways[number].start(processes)
-            span[2] = self.site.clock.now()
+            outage.until = self.site.clock.now()
             load.addresses[number] = self.gateways[number].address
             load.closed.discard(number)
 
     def _crashed_gateways(self, fault: Fault) -> list[int]:
         count = len(self.gateways)
-        if fault.kind == "hall-lost":
+        if fault.kind == FaultKind.HALL_LOST:
             return [number for number in range(count) if number % self.scenario.servers.halls == fault.hall]
         return list(fault.ingresses) or list(range(0, count, 2))
 
     # Evaluation.
 
     def _evaluate(self, peers: PeerIngresses) -> Result:
-        result = evaluate(self.scenario, self.seed, self.script, self.site.tries, self.site.record)
+        result = evaluate(self.scenario, self.seed, self.script, self.site.requests, self.site.record)
         peers.judge(result, self.site.record)
         figures: Counter[str] = Counter()
         for gateway in self.gateways:
@@ -191,7 +191,7 @@
 
     def _broken_invariants(self, figures: Counter[str]) -> int:
         """Return how often gateways found their own invariants broken."""
-        paused = any(fault.kind == "ingress-paused" for fault in self.scenario.fault)
+        paused = any(fault.kind == FaultKind.INGRESS_PAUSED for fault in self.scenario.fault)
         excused = MISSED_DEADLINE if paused else ""  # one that was paused past a deadline learns of it late
         return int(
             sum(count for key, count in figures.items() if key.startswith("broken[") and key != excused)
--- a/wickspring/lab/experiments/storage_cost.py
+++ b/wickspring/lab/experiments/storage_cost.py
@@ -29,8 +29,8 @@
 
 def _written_bytes() -> int:
     """Return the bytes that this process has handed to write calls."""
-    told = dict(line.split(": ") for line in Path("/proc/self/io").read_text().splitlines())
-    return int(told["wchar"])
+    counters = dict(line.split(": ") for line in Path("/proc/self/io").read_text().splitlines())
+    return int(counters["wchar"])
 
 
 def _median_and_worst(durations_ms: list[float]) -> str:
@@ -38,7 +38,7 @@
 
 
 class StoreBenchmark:
-    """A replica store under changes."""
+    """A replica store that is changed and saved again and again."""
 
     def __init__(self, folder: Path, departures: int, size: int) -> None:
         self.folder = folder
@@ -99,12 +99,12 @@
             duration_ms = 1000.0 * (time.perf_counter() - started_at)
             store.close()
         if found != (self.durable, self.replica):
-            raise CommandError("what was read is not what was saved")
+            raise CommandError("the state that was read is not the one that was saved")
         return duration_ms
 
 
 def measure_all(folder: Path, changes: int, departures: int, size: int) -> list[Row]:
-    """Save and measure; return what was found."""
+    """Save and measure; return a row for each measurement."""
     benchmark = StoreBenchmark(folder, departures, size)
     rows = []
     for name, times, steps in (
@@ -120,8 +120,7 @@
     ):
         written, durations_ms = benchmark.measure(times, *steps)
         rows.append((name, f"{written:,.0f} B, {_median_and_worst(durations_ms)}"))
-    for name in (FILE, f"{FILE}-wal"):
-        rows.append((name, f"{(folder / name).stat().st_size:,} B"))
+    rows.extend((name, f"{(folder / name).stat().st_size:,} B") for name in (FILE, f"{FILE}-wal"))
     rows.append(("a start, as after a kill", _median_and_worst([benchmark.start() for _ in range(STARTS)])))
     benchmark.store.close()
     rows.append(("a start, as after an end", _median_and_worst([benchmark.start() for _ in range(STARTS)])))
--- a/wickspring/lab/simulation/ingress_site.py
+++ b/wickspring/lab/simulation/ingress_site.py
@@ -25,8 +25,8 @@
 from wickspring.core.reducer import Reducer
 from wickspring.lab.emulation.site import Progress
 from wickspring.lab.experiments.evaluate import evaluate
-from wickspring.lab.experiments.scenario import Fault, Scenario
-from wickspring.lab.reports.record import Arrival, Asked, Record
+from wickspring.lab.experiments.scenario import Fault, FaultKind, Scenario
+from wickspring.lab.reports.record import Answer, Arrival, ClientRequest, Record, ServerEvent
 from wickspring.lab.reports.result import Result
 from wickspring.lab.simulation.timeline import Timeline
 from wickspring.lab.traffic import schedule as scripts
@@ -92,7 +92,7 @@
         self.pools = pooling.Pools(limits, settings.idle_close, self._look, settings.seed)
         self.pools.most = most_connections(limits, site.scenario.ingresses.sockets, 0)
         self.conns: dict[pooling.Conn, list[Wish]] = {}
-        self.asked: dict[int, Asked] = {}
+        self.asked: dict[int, ClientRequest] = {}
         self.wishes: dict[tuple[int, int], Wish] = {}
         self._wakes = math.inf
         self._news: deque[core.Event] = deque()
@@ -123,9 +123,9 @@
         finally:
             self._busy = False
 
-    def ask(self, asked: Asked) -> None:
+    def ask(self, asked: ClientRequest) -> None:
         """Take a client's request."""
-        one = asked.plan
+        one = asked.scheduled
         request = api.Request(
             len(self.asked) + 1,
             one.kind,
@@ -137,16 +137,16 @@
             one.firm.first,
         )
         self.asked[request.request] = asked
-        asked.sent = self.site.timeline.now
+        asked.sent_at = self.site.timeline.now
         self.dispatch(core.RequestArrived(request, one.call_id))
 
     def _effect(self, effect: core.Effect) -> None:
         site, timeline = self.site, self.site.timeline
         if isinstance(effect, core.SendResponse):
             body = effect.body if effect.kind is core.ResponseKind.SERVED else b""
-            self.asked[effect.request].answers.append((timeline.now, STATUS[effect.kind], body))
+            self.asked[effect.request].answers.append(Answer(timeline.now, STATUS[effect.kind], body))
         elif isinstance(effect, core.StartAttempt):
-            one = self.asked[effect.request].plan
+            one = self.asked[effect.request].scheduled
             once = site.scenario.shape.kind[one.kind].effect == "once"
             wish = Wish(
                 effect.server,
@@ -166,7 +166,7 @@
                 self._stop(stopped, None)
         elif isinstance(effect, api.Count):
             total = site.totals[effect.name] = site.totals.get(effect.name, 0.0) + effect.amount
-            site.record.counted["counter_calls"] += 1
+            site.record.counters["counter_calls"] += 1
             took = site.scenario.counter.ms
             answer = api.CountAnswer(effect.name, api.Status.OK, total, took)
             timeline.at(timeline.now + took, partial(self.dispatch, answer))
@@ -192,13 +192,13 @@
             elif isinstance(action, pooling.Dial):
                 conn = action.conn
                 self.conns[conn] = []
-                site.record.counted["dials_begun"] += 1
+                site.record.counters["dials_begun"] += 1
                 timeline.at(timeline.now + self.settings.dial_timeout, partial(self._not_up, conn))
                 server = site.servers[conn.server]
                 server.work(site.scenario.servers.open_ms, partial(self._up, conn, server))
             elif isinstance(action, pooling.Close):
                 if self.conns.pop(action.conn, None) is not None:
-                    site.record.ends.append((timeline.now, action.conn.server.decode()))
+                    site.record.ends.append(ServerEvent(timeline.now, action.conn.server.decode()))
             elif isinstance(action.want, Wish):
                 self._end(action.want, api.Status.CONNECT_FAILED)
         due = self.pools.next_due(self.now)
@@ -212,7 +212,7 @@
 
     def _up(self, conn: pooling.Conn, server: VirtualServer) -> None:
         if conn.state is pooling.State.DIALING:
-            self.site.record.dials.append((self.site.timeline.now, server.name))
+            self.site.record.dials.append(ServerEvent(self.site.timeline.now, server.name))
             self._perform(self.pools.up(self.now, conn, 1))
 
     def _not_up(self, conn: pooling.Conn) -> None:
@@ -225,7 +225,13 @@
         self.conns[conn].append(wish)
         server = site.servers[wish.server]
         arrival = Arrival(
-            server.name, server.hall, wish.one.call_id, timeline.now, timeline.now, conn.uses > 1, ran=True
+            server.name,
+            server.hall,
+            wish.one.call_id,
+            timeline.now,
+            timeline.now,
+            conn.uses > 1,
+            started=True,
         )
         site.record.arrivals.append(arrival)
         server.work(wish.one.work_ms, partial(self._answered, wish, conn, arrival, server))
@@ -236,7 +242,7 @@
         self.conns[conn].remove(wish)
         arrival.answered = True
         body = f"{server.name} {wish.one.call_id}".encode()
-        self.site.record.made.setdefault(wish.one.call_id, set()).add(body)
+        self.site.record.served_bodies.setdefault(wish.one.call_id, set()).add(body)
         self._perform(self.pools.done(self.now, wish, answered=True))
         self._end(wish, api.Status.OK, body)
 
@@ -266,7 +272,7 @@
         wishes = self.conns.pop(conn, None)
         if wishes is None:
             return
-        self.site.record.ends.append((self.site.timeline.now, conn.server.decode()))
+        self.site.record.ends.append(ServerEvent(self.site.timeline.now, conn.server.decode()))
         for wish in wishes:
             if not wish.over:
                 self.pools.lost(self.now, wish, heard=False)
@@ -340,9 +346,9 @@
                 gateway.break_all(self.scenario.virtual.reset_hold_ms)
 
         at = 1000.0 * fault.at_s
-        if fault.kind == "reset-all":
+        if fault.kind == FaultKind.RESET_ALL:
             self.timeline.at(at, cut)
-        elif fault.kind == "slow":
+        elif fault.kind == FaultKind.SLOW:
             self.timeline.at(at, partial(slow, fault.size))
             self.timeline.at(at + 1000.0 * fault.for_s, partial(slow, 1.0))
 
@@ -355,8 +361,8 @@
     for fault in scenario.fault:
         site.fault(fault)
     for one in script.requests:
-        asked = Asked(one)
-        record.asked.append(asked)
+        asked = ClientRequest(one)
+        record.requests.append(asked)
         timeline.at(one.at_ms, partial(site.gateways[one.ingress].ask, asked))
     end, used = 1000.0 * scenario.seconds + TAIL_MS, time.process_time()
     while timeline.now < end:
--- a/wickspring/lab/traffic/client.py
+++ b/wickspring/lab/traffic/client.py
@@ -1,14 +1,15 @@
-"""The load tool: arrivals keep to their schedule whatever becomes of the answers (open loop).
+"""The load generator: requests keep to their schedule whatever becomes of the answers (open loop).
 
 Each gateway has a pool of client connections that grows with need, as the front before real gateways has. A
 request that finds its connection closed before any answer is sent once more on a new one, as the protocol
-lets clients do. What a client then does of its own (a retry) is a request of its own with a fresh id.
+lets clients do. A retry by the client itself is a request of its own with a fresh id.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable
+from dataclasses import dataclass, replace
 from random import Random
 
 import h11
@@ -17,64 +18,92 @@
 from wickspring.lab.emulation.shape import Shape
 from wickspring.lab.emulation.sockets import peek
 from wickspring.lab.experiments.scenario import Scenario
-from wickspring.lab.reports.record import Asked, Record
+from wickspring.lab.reports.record import (
+    STATUS_SERVED,
+    STATUSES_REFUSED,
+    Answer,
+    ClientRequest,
+    Record,
+)
 from wickspring.lab.simulation.clock import RunClock
 from wickspring.lab.traffic.schedule import ScheduledRequest
 
-LATE_MS = 400.0  # past its budget for which an answer is still watched for: a late one breaks a rule
-RETRY_SHARE = 0.7  # of the refused or failed tries that are retried, where clients retry
+LATE_MS = 400.0  # for which an answer is awaited past the deadline: a late one breaks a rule
+RETRY_SHARE = 0.7  # of the refused or failed requests that are retried, where clients retry
+RECEIVE_BYTES = 65536
+BODY = b"x" * 120  # of requests that are not idempotent
+
+
+@dataclass(slots=True, frozen=True)
+class Response:
+    """A complete response."""
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
 
 
 class ClientConnection:
     """One connection of the front to a gateway."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
-        self.stream, self.http = stream, h11.Connection(h11.CLIENT)
+        self.stream = stream
+        self.http = h11.Connection(h11.CLIENT)
 
-    def idle_dead(self) -> bool:
-        """Tell whether the gateway has closed it, or sent something unasked."""
+    @property
+    def is_stale(self) -> bool:
+        """Tell whether the gateway has closed it, or sent something without a request."""
         return peek(self.stream.socket) is not None
 
-    async def ask(self, data: bytes, sent: Callable[[], None]) -> tuple[int, dict[str, str], bytes] | None:
-        """Send a request and read its answer; None where the connection ended without one."""
+    async def exchange(self, data: bytes, on_sent: Callable[[], None]) -> Response | None:
+        """Send a request and read its response; None if the connection ends before that is complete."""
         try:
             await self.stream.send_all(data)
-            sent()
-            status, headers, body = 0, dict[str, str](), b""
-            while True:
-                event = self.http.next_event()
-                if event is h11.NEED_DATA:
-                    self.http.receive_data(await self.stream.receive_some(65536))
-                elif isinstance(event, h11.Response):
-                    status = event.status_code
-                    headers = {name.decode(): value.decode() for name, value in event.headers}
-                elif isinstance(event, h11.Data):
-                    body += event.data
-                elif isinstance(event, h11.EndOfMessage):
-                    return status, headers, body
-                else:
-                    return None
+            on_sent()
+            return await self._read_response()
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError):
             return None
 
-    def encode(self, one: ScheduledRequest, shape: Shape) -> bytes:
-        """Write a request's bytes."""
+    async def _read_response(self) -> Response | None:
+        status = 0
+        headers: dict[str, str] = {}
+        body = b""
+        while True:
+            event = self.http.next_event()
+            if event is h11.NEED_DATA:
+                self.http.receive_data(await self.stream.receive_some(RECEIVE_BYTES))
+            elif isinstance(event, h11.Response):
+                status = event.status_code
+                headers = {name.decode(): value.decode() for name, value in event.headers}
+            elif isinstance(event, h11.Data):
+                body += event.data
+            elif isinstance(event, h11.EndOfMessage):
+                return Response(status, headers, body)
+            else:
+                return None
+
+    @property
+    def is_reusable(self) -> bool:
+        """Tell whether another request may follow on it."""
+        return self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
+
+    def encode(self, request: ScheduledRequest, shape: Shape) -> bytes:
+        """Return the bytes of a request."""
+        kind, firm = shape.kind[request.kind], request.firm
         headers = [
             ("Host", "app.svc"),
-            ("X-Call-Id", one.call_id),
-            ("X-Call-Class", shape.kind[one.kind].name),
-            ("Api-Plan", shape.plan[one.firm.plan].name),
-            ("X-Budget-Ms", str(int(one.budget_ms))),
-            ("Api-Terms", f"units={one.units},spread={one.firm.spread},first={one.firm.first}"),
+            ("X-Call-Id", request.call_id),
+            ("X-Call-Class", kind.name),
+            ("Api-Plan", shape.plan[firm.plan].name),
+            ("X-Budget-Ms", str(int(request.budget_ms))),
+            ("Api-Terms", f"units={request.units},spread={firm.spread},first={firm.first}"),
         ]
-        if one.key:
-            headers.append(("Idempotency-Key", one.key))
-        safe = shape.kind[one.kind].effect == "repeatable"
-        body = b"" if safe else b"x" * 120
-        if not safe:
+        if request.key:
+            headers.append(("Idempotency-Key", request.key))
+        method, body = ("GET", b"") if kind.effect == "repeatable" else ("POST", BODY)
+        if body:
             headers.append(("Content-Length", str(len(body))))
-        method = "GET" if safe else "POST"
-        target = f"/api?customer={one.firm.customer:016x}"
+        target = f"/api?customer={firm.customer:016x}"
         data = self.http.send(h11.Request(method=method, target=target, headers=headers)) or b""
         if body:
             data += self.http.send(h11.Data(data=body)) or b""
@@ -87,120 +116,132 @@
     def __init__(
         self,
         scenario: Scenario,
-        tries: dict[str, ScheduledRequest],
+        requests: dict[str, ScheduledRequest],
         record: Record,
         clock: RunClock,
         random: Random,
         addresses: list[str],
     ) -> None:
-        self.scenario, self.tries, self.record = scenario, tries, record
-        self.clock, self.random, self.addresses = clock, random, addresses
+        self.scenario = scenario
+        self.requests = requests  # by call id; clients' retries are added
+        self.record = record
+        self.clock = clock
+        self.random = random
+        self.addresses = addresses  # of the gateways
         self.idle: list[list[ClientConnection]] = [[] for _ in addresses]
-        self.closed: set[int] = set()  # gateways that the front has seen down
-        self.begun = self.ended = 0
-
-    async def run(self, tries: tuple[ScheduledRequest, ...], nursery: trio.Nursery) -> None:
-        """Start every try at its time."""
-        for one in tries:
-            wait = one.at_ms - self.clock.now()
-            if wait > 0:
-                await trio.sleep(wait / 1000.0)
-            self.begin(one, nursery)
-
-    def begin(self, one: ScheduledRequest, nursery: trio.Nursery, retry_of: int = -1) -> None:
-        """Start one try now."""
-        asked = Asked(one, retry_of=retry_of)
-        self.record.asked.append(asked)
+        self.closed: set[int] = set()  # gateways that the front knows to be down
+        self.begun = 0
+        self.ended = 0
+
+    async def run(self, requests: tuple[ScheduledRequest, ...], nursery: trio.Nursery) -> None:
+        """Start every request at its time."""
+        for request in requests:
+            wait_ms = request.at_ms - self.clock.now()
+            if wait_ms > 0:
+                await trio.sleep(wait_ms / 1000.0)
+            self.begin(request, nursery)
+
+    def begin(self, scheduled: ScheduledRequest, nursery: trio.Nursery, retry_of: int = -1) -> None:
+        """Start one request now."""
+        request = ClientRequest(scheduled, retry_of=retry_of)
+        self.record.requests.append(request)
         self.begun += 1
-        nursery.start_soon(self._one, asked, nursery)
-
-    async def _one(self, asked: Asked, nursery: trio.Nursery) -> None:
-        one = asked.plan
-        place = one.ingress
-        if place in self.closed:
-            others = [n for n in range(len(self.addresses)) if n not in self.closed] or [place]
-            place = others[one.number % len(others)]
-        left = one.at_ms + one.budget_ms + LATE_MS - self.clock.now()
-        with trio.move_on_after(max(left, 1.0) / 1000.0):
-            if not await self._exchange(asked, place, fresh=False):
-                asked.resent = True
-                asked.broken = -1.0
-                await self._exchange(asked, place, fresh=True)
+        nursery.start_soon(self._send, request, nursery)
+
+    async def _send(self, request: ClientRequest, nursery: trio.Nursery) -> None:
+        """Send a request, twice if its connection ended without an answer; then retry as clients do."""
+        scheduled = request.scheduled
+        request.ingress = self._choose_ingress(scheduled)
+        left_ms = scheduled.at_ms + scheduled.budget_ms + LATE_MS - self.clock.now()
+        with trio.move_on_after(max(left_ms, 1.0) / 1000.0):
+            if not await self._exchange(request, fresh=False):
+                request.broken_at = -1.0
+                await self._exchange(request, fresh=True)
         self.ended += 1
-        self._retry(asked, nursery)
-
-    async def _exchange(self, asked: Asked, place: int, *, fresh: bool) -> bool:
-        """Ask once on one connection; tell whether an answer came."""
-        pool, connection, asked.place = self.idle[place], None, place
-        while pool and not fresh and connection is None:
-            connection = pool.pop()
-            if connection.idle_dead():
-                await trio.aclose_forcefully(connection.stream)
-                connection = None
+        self._retry(request, nursery)
+
+    def _choose_ingress(self, scheduled: ScheduledRequest) -> int:
+        """Return the scheduled ingress, or another where the front knows that one to be down."""
+        if scheduled.ingress not in self.closed:
+            return scheduled.ingress
+        others = [number for number in range(len(self.addresses)) if number not in self.closed]
+        return others[scheduled.number % len(others)] if others else scheduled.ingress
+
+    async def _exchange(self, request: ClientRequest, *, fresh: bool) -> bool:
+        """Send a request on one connection; tell whether an answer came."""
+        connection = None if fresh else await self._take_idle(request.ingress)
         if connection is None:
-            host, _, port = self.addresses[place].rpartition(":")
+            host, _, port = self.addresses[request.ingress].rpartition(":")
             try:
                 connection = ClientConnection(await trio.open_tcp_stream(host, int(port)))
             except OSError:
                 return False
         keep = False
         try:
-            data = connection.encode(asked.plan, self.scenario.shape)
+            data = connection.encode(request.scheduled, self.scenario.shape)
 
-            def sent() -> None:
-                asked.sent = self.clock.now()
+            def on_sent() -> None:
+                request.sent_at = self.clock.now()
 
-            answer = await connection.ask(data, sent)
-            if answer is None:
-                asked.broken = self.clock.now()
+            response = await connection.exchange(data, on_sent)
+            if response is None:
+                request.broken_at = self.clock.now()
                 return False
-            status, headers, body = answer
-            asked.answers.append((self.clock.now(), status, body))
-            if "retry-after" in headers:
-                asked.advice_ms = 1000.0 * float(headers["retry-after"])
-            keep = connection.http.our_state is h11.DONE and connection.http.their_state is h11.DONE
+            self._record_answer(request, response)
+            keep = connection.is_reusable
             if keep:
                 connection.http.start_next_cycle()
-                pool.append(connection)
+                self.idle[request.ingress].append(connection)
             return True
         finally:
             if not keep:
                 await trio.aclose_forcefully(connection.stream)
 
-    def _retry(self, asked: Asked, nursery: trio.Nursery) -> None:
-        """Try once more as clients do, where the scenario has them do so."""
-        mode, one = self.scenario.clients.retry, asked.plan
-        status = asked.answers[0][1] if asked.answers else 0
-        if mode == "never" or status == 200 or asked.retry_of >= 0 or self.random.random() > RETRY_SHARE:
+    async def _take_idle(self, ingress: int) -> ClientConnection | None:
+        """Take an idle connection that is still open; None if there is none."""
+        pool = self.idle[ingress]
+        while pool:
+            connection = pool.pop()
+            if not connection.is_stale:
+                return connection
+            await trio.aclose_forcefully(connection.stream)
+        return None
+
+    def _record_answer(self, request: ClientRequest, response: Response) -> None:
+        request.answers.append(Answer(self.clock.now(), response.status, response.body))
+        if "retry-after" in response.headers:
+            request.retry_after_ms = 1000.0 * float(response.headers["retry-after"])
+
+    def _retry(self, request: ClientRequest, nursery: trio.Nursery) -> None:
+        """Send a request once more as clients do, where the scenario has them do so."""
+        if not self._client_retries(request):
             return
-        if self.scenario.shape.kind[one.kind].effect == "once" and status not in (429, 503):
-            return  # it may have run
-        wait = asked.advice_ms if mode == "advised" and asked.advice_ms > 0 else 0.0
-        at = self.clock.now() + wait
-        if at > 1000.0 * self.scenario.seconds or not math.isfinite(at):
+        scheduled, advice_ms = request.scheduled, request.retry_after_ms
+        wait_ms = advice_ms if self.scenario.clients.retry == "advised" and advice_ms > 0 else 0.0
+        at_ms = self.clock.now() + wait_ms
+        if at_ms > 1000.0 * self.scenario.seconds or not math.isfinite(at_ms):
             return
-        again = ScheduledRequest(
-            one.number,
-            at,
-            one.firm,
-            one.kind,
-            one.units,
-            one.work_ms,
-            one.budget_ms,
-            one.ingress,
-            f"{self.random.getrandbits(64):016x}",
-            one.key,
-        )
-        self.tries[again.call_id] = again
-
-        async def later() -> None:
-            await trio.sleep(wait / 1000.0)
-            self.begin(again, nursery, retry_of=one.number)
-
-        nursery.start_soon(later)
+        again = replace(scheduled, at_ms=at_ms, call_id=f"{self.random.getrandbits(64):016x}")
+        self.requests[again.call_id] = again
+
+        async def begin_later() -> None:
+            await trio.sleep(wait_ms / 1000.0)
+            self.begin(again, nursery, retry_of=scheduled.number)
+
+        nursery.start_soon(begin_later)
+
+    def _client_retries(self, request: ClientRequest) -> bool:
+        """Draw whether a client retries; not what it has retried already, or what may not run twice."""
+        status = request.answers[0].status if request.answers else 0
+        if self.scenario.clients.retry == "never" or status == STATUS_SERVED or request.retry_of >= 0:
+            return False
+        if self.random.random() > RETRY_SHARE:
+            return False
+        effect = self.scenario.shape.kind[request.scheduled.kind].effect
+        return effect != "once" or status in STATUSES_REFUSED
 
     async def close(self) -> None:
-        """End all idle connections."""
+        """Close all idle connections."""
         for pool in self.idle:
             for connection in pool:
                 await trio.aclose_forcefully(connection.stream)
