--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -13,12 +13,14 @@
 from tests.agent.test_config import example
 from tests.net.test_parsers import CALLS, GOOD
 from tests.support.ldap_server import NO_SUCH_OBJECT, Entry, LdapServer
-from wickspring import cli, config
+from wickspring import cli
 from wickspring.agent import agent, control, directory
 from wickspring.agent.control import Command
+from wickspring.agent.settings import DirectoryFile, load_agent
 from wickspring.agent.supervisor import State, Supervisor
 from wickspring.lab.emulation.site import free_port
 from wickspring.net.calls import CallReader, PlanError
+from wickspring.settings.errors import ConfigError
 from wickspring.tenants import PlanBook, Tenant, Tenants, TenantsError, load_copy, save_copy
 
 PLANS = frozenset(("basic", "standard", "premium"))
@@ -29,9 +31,9 @@
     return f"uid={number},ou=firms,dc=nz", {**attributes, **changes}
 
 
-def source(url: str, **changes: object) -> config.DirectoryFile:
+def source(url: str, **changes: object) -> DirectoryFile:
     fields = {"url": url, "base": "ou=firms,dc=nz", "copy": "t.json", "page_size": 4, "timeout_s": 1}
-    return config.DirectoryFile(**{**fields, **changes})  # type: ignore[arg-type]
+    return DirectoryFile(**{**fields, **changes})  # type: ignore[arg-type]
 
 
 def test_directory_is_read_page_by_page() -> None:
@@ -137,7 +139,7 @@
 def test_agent_runs_restarts_drains_and_reports(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     async def main(ldap: LdapServer) -> None:
         path = agent_file(tmp_path, ("n0", "n1"), ldap=ldap.url)
-        settings = config.load_agent(path)
+        settings = load_agent(path)
 
         async def ask(do: str, *names: str) -> control.Result:
             return await control.ask(settings.control, Command(do, names))
@@ -194,7 +196,7 @@
 
 
 def test_pause_grows_to_its_most(tmp_path: Path) -> None:
-    settings = config.load_agent(agent_file(tmp_path, ("n0",), "backoff_most_s = 1.0"))
+    settings = load_agent(agent_file(tmp_path, ("n0",), "backoff_most_s = 1.0"))
     supervisor = Supervisor(settings.instances[0], settings.file)
     pauses = []
     for failures in range(7):
@@ -206,7 +208,7 @@
 def test_instance_that_cannot_start_waits_and_is_let_go(tmp_path: Path) -> None:
     async def main() -> None:
         path = agent_file(tmp_path, ("n0",), "backoff_most_s = 0.2")
-        settings = config.load_agent(path)
+        settings = load_agent(path)
         (tmp_path / "n0.json").write_text("{}")  # broken after the check
         supervisor = Supervisor(settings.instances[0], settings.file)
         with trio.fail_after(20):
@@ -240,8 +242,8 @@
     path = agent_file(tmp_path, ("n0", "n1"), ldap="ldap://127.0.0.1:1")
     assert cli.main(["check-config", str(path)]) == 0
     path.write_text(path.read_text().replace(*change))
-    with pytest.raises(config.ConfigError, match=named):
-        config.load_agent(path)
+    with pytest.raises(ConfigError, match=named):
+        load_agent(path)
     assert cli.main(["check-config", str(path)]) == 2
 
 
--- a/tests/agent/test_config.py
+++ b/tests/agent/test_config.py
@@ -10,6 +10,9 @@
 
 from tests.policy.test_simwire import SETTINGS
 from wickspring import cli, config, simwire
+from wickspring.settings.errors import ConfigError
+from wickspring.settings.http2_file import HTTP2_FILE, load_http2
+from wickspring.settings.pairs import flatten
 
 EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
 
@@ -43,7 +46,7 @@
 
 def test_nested_json_and_the_simulators_lines_come_to_the_same(tmp_path: Path) -> None:
     data = example()
-    lines = "\n".join(f"{key}={value}" for key, value in config.flatten(data["settings"]).items())
+    lines = "\n".join(f"{key}={value}" for key, value in flatten(data["settings"]).items())
     instance = load(tmp_path, data)
     assert simwire.parse_settings(lines, int(data["seed"], 16)) == instance.settings
 
@@ -74,7 +77,7 @@
     ],
 )
 def test_message_names_the_key(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
-    with pytest.raises(config.ConfigError) as caught:
+    with pytest.raises(ConfigError) as caught:
         load(tmp_path, example(**changes))
     assert named in str(caught.value)
 
@@ -83,12 +86,12 @@
     ("text", "named"), [("enabled = 1", "enabled"), ("listen = 'x'", "listen"), ("lisen = 'x'", "lisen")]
 )
 def test_http2_file_is_checked(tmp_path: Path, text: str, named: str) -> None:
-    with pytest.raises(config.ConfigError, match=named):
+    with pytest.raises(ConfigError, match=named):
         load(tmp_path, example(), http2=text)
 
 
 def test_http2_is_off_as_deployed() -> None:
-    assert not config.load_http2(config.HTTP2_FILE).enabled
+    assert not load_http2(HTTP2_FILE).enabled
 
 
 def test_check_config_tells_the_key_and_fails(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -16,13 +16,13 @@
 from rpds import HashTrieMap
 
 from tests.support.fleet import fleet_file
-from wickspring import config
 from wickspring.agent import wire
 from wickspring.agent.node import Node
 from wickspring.agent.tls import who
 from wickspring.fleet.file import load_fleet
 from wickspring.fleet.home import Home
 from wickspring.fleet.model import Kind, Record
+from wickspring.settings.errors import ConfigError
 from wickspring.tls import Certificates
 from wickspring.wire import Greeting, WireError
 
@@ -102,7 +102,7 @@
     assert peer is not None
     assert peer.agent
     assert who(fleet, None) is None
-    with pytest.raises(config.ConfigError, match="tls"):
+    with pytest.raises(ConfigError, match="tls"):
         Certificates(tmp_path / "ca.pem", tmp_path / "a0.pem", tmp_path / "a0.pem")
     assert ssl.HAS_TLSv1_3
 
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -17,9 +17,7 @@
 
 from tests.support.command_line import run_command
 from tests.support.policy_gateway import make_settings
-from wickspring import config
 from wickspring import interface as api
-from wickspring.config import Bounds
 from wickspring.lab.emulation import peer_ingresses
 from wickspring.lab.emulation.site import free_port
 from wickspring.lab.experiments import scenario
@@ -47,6 +45,8 @@
 from wickspring.peer_state.messages import NUMBERS, PeerMessage, Reply
 from wickspring.peer_state.shares import ShareMessages, Shares
 from wickspring.policy import Policy
+from wickspring.settings.errors import ConfigError
+from wickspring.settings.peers_file import PEERS_FILE, Bounds, load_peers
 from wickspring.wire import Greeting, Lines
 
 LINK_CLOSED_WITHIN_S = 3.0  # of bytes that cannot be read
@@ -419,12 +419,12 @@
     ],
 )
 def test_a_fault_in_the_file_is_named_by_key(tmp_path: Path, text: str, key: str) -> None:
-    with pytest.raises(config.ConfigError, match=key):
-        config.load_peers(write(tmp_path / "peers.toml", text))
+    with pytest.raises(ConfigError, match=key):
+        load_peers(write(tmp_path / "peers.toml", text))
 
 
 def test_as_deployed_nothing_of_it_is_loaded_and_where_it_is_on_no_more_than_it_needs() -> None:
-    assert not config.load_peers(config.PEERS_FILE).enabled
+    assert not load_peers(PEERS_FILE).enabled
     code = (
         "import sys, os; os.environ.pop('GW_CONFIG', None)\nfrom wickspring.cli import main\n"
         "from wickspring.net import server\nassert main(['serve']) == 2\n{}"
--- a/tests/system/test_example.py
+++ b/tests/system/test_example.py
@@ -11,6 +11,7 @@
 from tests.agent.test_config import example
 from tests.support.ingress import client1, request
 from wickspring import config
+from wickspring.agent.settings import load_agent
 from wickspring.lab.emulation.site import free_port
 from wickspring.net import server
 
@@ -46,5 +47,5 @@
 
 
 def test_agent_example_is_right() -> None:
-    agent = config.load_agent(Path(toy.__file__).parent / "agent.toml")
+    agent = load_agent(Path(toy.__file__).parent / "agent.toml")
     assert [managed.listen[1] for managed in agent.instances] == [5000, 5001]
--- a/wickspring/agent/agent.py
+++ b/wickspring/agent/agent.py
@@ -10,8 +10,8 @@
 from wickspring.agent import control
 from wickspring.agent.control import Command, Result
 from wickspring.agent.directory import Follower
+from wickspring.agent.settings import Agent as Settings
 from wickspring.agent.supervisor import State, Supervisor
-from wickspring.config import Agent as Settings
 from wickspring.logs import kv
 
 log = logging.getLogger(__name__)
--- a/wickspring/agent/directory.py
+++ b/wickspring/agent/directory.py
@@ -14,7 +14,7 @@
 import trio
 from ldap3.core.exceptions import LDAPException
 
-from wickspring.config import DirectoryFile
+from wickspring.agent.settings import DirectoryFile
 from wickspring.logs import kv
 from wickspring.tenants import Tenant, Tenants, TenantsError, load_copy, save_copy
 
--- a/wickspring/agent/node.py
+++ b/wickspring/agent/node.py
@@ -21,12 +21,13 @@
 from wickspring.agent.store import Store, StoreChange, StoreError
 from wickspring.agent.tls import who
 from wickspring.agent.wire import Answer, Peer
-from wickspring.config import ConfigError, parse_address
 from wickspring.fleet import home, rollout
 from wickspring.fleet.file import Fleet, FleetInstance, load_fleet
 from wickspring.fleet.model import Kind, Operation, Record, Seen, Slot, Want
 from wickspring.fleet.views import Content, View
 from wickspring.logs import kv
+from wickspring.settings.address import parse_address
+from wickspring.settings.errors import ConfigError
 from wickspring.tls import Certificates
 from wickspring.wire import WireError
 
--- a/wickspring/agent/supervisor.py
+++ b/wickspring/agent/supervisor.py
@@ -14,7 +14,7 @@
 import msgspec
 import trio
 
-from wickspring.config import AgentFile, Managed
+from wickspring.agent.settings import AgentFile, Managed
 from wickspring.logs import kv
 
 log = logging.getLogger(__name__)
--- a/wickspring/commands/admin.py
+++ b/wickspring/commands/admin.py
@@ -9,6 +9,7 @@
 import trio
 
 from wickspring import config
+from wickspring.agent.settings import load_agent
 from wickspring.command_line.errors import CommandError, ExitCode
 
 CALL_TIMEOUT_S = 3.0  # for one instance to answer
@@ -111,7 +112,7 @@
 def _admin_addresses(file: Path) -> dict[str, Address | None]:
     """Return the instances of an agent's file with the addresses of their admin APIs."""
     try:
-        return {managed.name: managed.door for managed in config.load_agent(file).instances}
+        return {managed.name: managed.door for managed in load_agent(file).instances}
     except config.ConfigError as error:
         raise CommandError(error, ExitCode.USAGE) from error
 
--- a/wickspring/commands/local.py
+++ b/wickspring/commands/local.py
@@ -12,6 +12,7 @@
 import trio
 
 from wickspring import __version__, cli, config, logs
+from wickspring.agent.settings import Agent, load_agent
 from wickspring.command_line.errors import CommandError, ExitCode
 from wickspring.tenants import Tenants
 
@@ -40,7 +41,7 @@
         """
         try:
             if file.suffix == ".toml":
-                return f"{file.name}: {len(config.load_agent(file).instances)} instances"
+                return f"{file.name}: {len(load_agent(file).instances)} instances"
             instance = config.load_instance(file, {}, http2)
         except config.ConfigError as error:
             raise CommandError(error, ExitCode.USAGE) from error
@@ -56,7 +57,7 @@
 
         logs.setup()
         try:
-            trio.run(agent.run, config.load_agent(file))
+            trio.run(agent.run, load_agent(file))
         except config.ConfigError as error:
             log.error("bad_configuration", extra=logs.kv(reason=error))
             _end_with(ExitCode.USAGE)
@@ -96,7 +97,7 @@
         from wickspring.agent import control, directory
 
         try:
-            agent = config.load_agent(file)
+            agent = load_agent(file)
             if agent.file.directory is None:
                 raise config.ConfigError("directory is not set")
             if fetch:
@@ -121,7 +122,7 @@
     from wickspring.agent import control
 
     try:
-        path = config.load_agent(file).control
+        path = load_agent(file).control
         result = trio.run(control.ask, path, control.Command(name, tuple(instances)))
     except config.ConfigError as error:
         raise CommandError(error, ExitCode.USAGE) from error
@@ -144,7 +145,7 @@
     )
 
 
-def _tenants_of_agent(agent: config.Agent) -> Tenants:
+def _tenants_of_agent(agent: Agent) -> Tenants:
     from wickspring.agent import control
 
     result = trio.run(control.ask, agent.control, control.Command("tenants"))
--- a/wickspring/commands/peers.py
+++ b/wickspring/commands/peers.py
@@ -12,6 +12,7 @@
 from wickspring.command_line.errors import CommandError, ExitCode
 from wickspring.command_line.tables import format_json, format_rows
 from wickspring.peer_state.messages import NUMBERS, BudgetView, MemberView, Reply, StatusRequest, View
+from wickspring.settings.peers_file import load_peers
 from wickspring.tls import Certificates
 from wickspring.wire import WireError, connect
 
@@ -81,7 +82,7 @@
 
 
 def _read_peers_file(path: Path) -> tuple[str, Certificates | None]:
-    file = config.load_peers(path)
+    file = load_peers(path)
     if not path.exists() or not file.enabled:
         raise config.ConfigError(f"{path}: enabled is not set: no ingress talks by this file")
     if file.tls is None:
--- a/wickspring/fleet/file.py
+++ b/wickspring/fleet/file.py
@@ -10,8 +10,12 @@
 
 import msgspec
 
-from wickspring.config import HTTP2_FILE, ConfigError, load_instance, parse_address, read_toml
+from wickspring.config import load_instance
 from wickspring.fleet.model import FLEET, Rules, scope_of
+from wickspring.settings.address import parse_address
+from wickspring.settings.errors import ConfigError
+from wickspring.settings.http2_file import HTTP2_FILE
+from wickspring.settings.toml_file import read_toml
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 
--- a/wickspring/lab/emulation/shape.py
+++ b/wickspring/lab/emulation/shape.py
@@ -12,7 +12,8 @@
 
 import msgspec
 
-from wickspring.config import ConfigError, decode_toml
+from wickspring.settings.errors import ConfigError
+from wickspring.settings.toml_file import decode_toml
 
 SITES = Path(__file__).parents[1] / "sites"
 
--- a/wickspring/lab/experiments/scenario.py
+++ b/wickspring/lab/experiments/scenario.py
@@ -12,10 +12,12 @@
 
 import msgspec
 
-from wickspring.config import Bounds, ConfigError, decode_toml
 from wickspring.connections.limits import ConnectionLimits
 from wickspring.lab.emulation.shape import Shape, ShapeError
 from wickspring.lab.emulation.shape import load as load_shape
+from wickspring.settings.errors import ConfigError
+from wickspring.settings.peers_file import Bounds
+from wickspring.settings.toml_file import decode_toml
 
 SHIPPED = Path(__file__).parents[1] / "scenarios"
 
--- a/wickspring/tls.py
+++ b/wickspring/tls.py
@@ -5,7 +5,7 @@
 import ssl
 from pathlib import Path
 
-from wickspring.config import ConfigError
+from wickspring.settings.errors import ConfigError
 
 
 class Certificates:
