--- a/tests/fleet/test_protocol.py
+++ b/tests/fleet/test_protocol.py
@@ -15,9 +15,14 @@
 from pyModelChecking.CTL import AG, EF, AtomicProposition, Not, modelcheck
 from rpds import HashTrieMap
 
-from wickspring.fleet import home, rollout
+from wickspring.fleet import home
 from wickspring.fleet.home import Around, Home
 from wickspring.fleet.model import FLEET, Kind, Operation, Phase, Record, Rules, Seen, Step, Want, scope_of
+from wickspring.fleet.rollout import coordinator
+from wickspring.fleet.rollout.instance_steps import MAX_CRASHES
+from wickspring.fleet.rollout.observation import FleetObservation
+from wickspring.fleet.rollout.plan import OperationRequest, plan_operation
+from wickspring.fleet.rollout.replies import receive_reply
 
 NOW = 1000.0
 RULES = Rules(
@@ -41,15 +46,17 @@
         homes.append(one)
     everything = records(tuple(homes))
     planned = tuple(
-        rollout.plan(
-            kind,
-            tuple(everything[name] for name in names),
-            id=f"op{index}",
-            by=f"by{index}",
-            coordinator="ab"[index],
-            now=NOW,
-            build=build,
-            batch=2,
+        plan_operation(
+            OperationRequest(
+                f"op{index}",
+                kind,
+                by=f"by{index}",
+                coordinator="ab"[index],
+                at=NOW,
+                build=build,
+                batch=2,
+            ),
+            [everything[name] for name in names],
         )
         for index, (kind, build, names, _) in enumerate(operations)
     )
@@ -71,18 +78,18 @@
     """Return every state that one step leads to."""
     homes, operations = state
     everything = records(homes)
-    setting = rollout.Setting(everything, WARDENS, RULES)
+    observation = FleetObservation(everything, WARDENS, RULES)
     for index, operation in enumerate(operations):
-        after, asks = rollout.advance(operation, NOW, setting)
+        after, requests = coordinator.advance(operation, NOW, observation)
         if after != operation:
             yield homes, (*operations[:index], after, *operations[index + 1 :])
             continue  # what needs no answer comes first
-        for ask in asks:
-            place = "ab".index(ask.agent)
-            changed, reply = reduce(homes[place], NOW, ask.request, RULES, Around(everything))
+        for sent in requests:
+            place = "ab".index(sent.agent)
+            changed, reply = reduce(homes[place], NOW, sent.request, RULES, Around(everything))
             new = (*homes[:place], changed, *homes[place + 1 :])
-            told = rollout.heard(operation, NOW, ask.agent, ask.request, reply)
-            yield new, (*operations[:index], told, *operations[index + 1 :])
+            received = receive_reply(operation, NOW, sent.agent, sent.request, reply)
+            yield new, (*operations[:index], received, *operations[index + 1 :])
             yield new, operations  # the answer is lost, or the coordinator killed before it kept it
     for place, one in enumerate(homes):
         for record in one.records.values():
@@ -100,7 +107,7 @@
         if want.build != BAD:
             yield msgspec.structs.replace(seen, state="ready")
         else:
-            yield msgspec.structs.replace(seen, state="waiting", failures=rollout.CRASHES)
+            yield msgspec.structs.replace(seen, state="waiting", failures=MAX_CRASHES)
             yield msgspec.structs.replace(seen, state="ready", requests=9, failed=0)
     elif seen.build == BAD and seen.state == "ready" and not seen.failed:
         yield msgspec.structs.replace(seen, requests=99, failed=90)
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -9,9 +9,13 @@
 from rpds import HashTrieMap
 
 from tests.support.fleet import NOW, RULES, homes, record
-from wickspring.fleet import home, rollout
+from wickspring.fleet import home
 from wickspring.fleet.home import Around
 from wickspring.fleet.model import FLEET, Kind, Operation, Phase, Step, scope_of
+from wickspring.fleet.rollout import coordinator
+from wickspring.fleet.rollout.observation import FleetObservation
+from wickspring.fleet.rollout.plan import OperationRequest, plan_operation
+from wickspring.fleet.rollout.replies import receive_reply
 
 
 class Drive:
@@ -21,21 +25,20 @@
         self.home = homes(*(record(f"n{n}") for n in range(count)))
         self.now, self.dead = NOW, frozenset[str]()
         chosen = tuple(self.home.records[f"n{n}"] for n in range(count))
-        self.operation = rollout.plan(
-            kind, chosen, id="op", by="x", coordinator="a0", now=NOW, build=build, batch=batch
-        )
+        request = OperationRequest("op", kind, by="x", coordinator="a0", at=NOW, build=build, batch=batch)
+        self.operation = plan_operation(request, chosen)
 
     def turn(self, times: int = 4) -> Operation:
         for _ in range(times):
-            setting = rollout.Setting(
+            observation = FleetObservation(
                 self.home.records, {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES, self.dead
             )
-            self.operation, asks = rollout.advance(self.operation, self.now, setting)
-            for one in asks:
+            self.operation, requests = coordinator.advance(self.operation, self.now, observation)
+            for one in requests:
                 self.home, reply = home.reduce(
                     self.home, self.now, one.request, RULES, Around(self.home.records)
                 )
-                self.operation = rollout.heard(self.operation, self.now, one.agent, one.request, reply)
+                self.operation = receive_reply(self.operation, self.now, one.agent, one.request, reply)
         return self.operation
 
     def be(self, name: str, state: str, **more: object) -> None:
@@ -138,13 +141,13 @@
 def test_a_coordinator_that_has_come_back_waits_for_what_it_has_not_heard() -> None:
     drive = Drive(Kind.UPGRADE, count=2)
     drive.turn()
-    setting = rollout.Setting(HashTrieMap(), {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES)
-    after, _ = rollout.advance(drive.operation, NOW + 5.0, setting)
+    observation = FleetObservation(HashTrieMap(), {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES)
+    after, _ = coordinator.advance(drive.operation, NOW + 5.0, observation)
     assert after.instances[0].step is Step.MOVING and after.phase is Phase.RUNNING
-    after, _ = rollout.advance(drive.operation, NOW + 60.0, setting)
+    after, _ = coordinator.advance(drive.operation, NOW + 60.0, observation)
     assert after.instances[0].step is Step.LOST
-    others = replace(setting, records=drive.home.records.remove("n0"))  # its agent tells, not of it
-    after, _ = rollout.advance(drive.operation, NOW + 5.0, others)
+    others = replace(observation, records=drive.home.records.remove("n0"))  # its agent tells, not of it
+    after, _ = coordinator.advance(drive.operation, NOW + 5.0, others)
     assert "no agent tells of it" in after.reason
 
 
@@ -187,7 +190,7 @@
 def test_a_cancelled_operation_ends_what_is_under_way_and_begins_nothing() -> None:
     drive = Drive(Kind.UPGRADE)
     drive.turn()
-    drive.operation = rollout.cancel(drive.operation, drive.now, "boss")
+    drive.operation = coordinator.cancel(drive.operation, drive.now, "boss")
     drive.be("n0", "ready")
     drive.pass_time(RULES.hold_s + 3)
     assert drive.operation.phase is Phase.CANCELLED
@@ -197,19 +200,20 @@
 
 def test_nothing_new_is_begun_without_a_quorum() -> None:
     drive = Drive(Kind.UPGRADE)
-    setting = rollout.Setting(
+    observation = FleetObservation(
         drive.home.records, {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES, quorum=False
     )
-    after, asks = rollout.advance(drive.operation, NOW, setting)
-    assert asks == []
+    after, requests = coordinator.advance(drive.operation, NOW, observation)
+    assert requests == []
     assert after.phase is Phase.CLAIMING
 
 
 def test_a_hall_that_the_file_no_longer_names_loses_its_instances_and_ends_the_operation() -> None:
     records = homes(record("n0")).records
-    planned = rollout.plan(Kind.RESTART, tuple(records.values()), id="op", by="x", coordinator="a0", now=NOW)
+    request = OperationRequest("op", Kind.RESTART, by="x", coordinator="a0", at=NOW)
+    planned = plan_operation(request, records.values())
     running = msgspec.structs.replace(planned, phase=Phase.RUNNING)
-    after, asks = rollout.advance(running, NOW, rollout.Setting(records, {FLEET: "a0"}, RULES))
-    assert asks == []
+    after, requests = coordinator.advance(running, NOW, FleetObservation(records, {FLEET: "a0"}, RULES))
+    assert requests == []
     assert after.phase is Phase.FAILED
     assert "hall:hall-a" in after.instances[0].note
--- a/wickspring/agent/node.py
+++ b/wickspring/agent/node.py
@@ -21,9 +21,14 @@
 from wickspring.agent.store import Store, StoreChange, StoreError
 from wickspring.agent.tls import who
 from wickspring.agent.wire import Answer, Peer
-from wickspring.fleet import home, rollout
+from wickspring.fleet import home
 from wickspring.fleet.file import Fleet, FleetInstance, load_fleet
 from wickspring.fleet.model import Kind, Operation, Record, Seen, Slot, Want
+from wickspring.fleet.rollout import coordinator
+from wickspring.fleet.rollout.observation import FleetObservation, Records
+from wickspring.fleet.rollout.plan import OperationRequest, plan_operation
+from wickspring.fleet.rollout.replies import receive_reply
+from wickspring.fleet.rollout.requests import AgentRequest
 from wickspring.fleet.views import Content, View
 from wickspring.logs import kv
 from wickspring.settings.address import parse_address
@@ -142,7 +147,7 @@
             if record.name in self.controllers:
                 self.controllers[record.name].wake()
 
-    def records(self) -> rollout.Records:
+    def records(self) -> Records:
         """Return the whole fleet as heard of, and the own instances as they are."""
         records = self.view.records()
         for record in self.home.records.values():
@@ -231,17 +236,17 @@
             return Answer(error="an upgrade needs a build")
         if message.build and self.fleet.build(message.build) is None:
             return Answer(error=f"there is no build {message.build!r}")
-        operation = rollout.plan(
+        request = OperationRequest(
+            message.id,
             message.kind,
-            tuple(records[name] for name in message.instances),
-            id=message.id,
             by=by,
             coordinator=self.me.name,
-            now=self.now(),
+            at=self.now(),
             build=message.build,
             batch=message.batch,
             below_floor=message.below_floor,
         )
+        operation = plan_operation(request, [records[name] for name in message.instances])
         names = ", ".join(message.instances)
         try:
             self._keep(operation, f"{operation.id}: {by} asks for {message.kind.value} of {names}")
@@ -253,7 +258,7 @@
         operation = self.operations.get(message.id)
         if operation is None:
             return Answer(error=f"{self.me.name} coordinates no operation {message.id}")
-        after = rollout.cancel(operation, self.now(), by)
+        after = coordinator.cancel(operation, self.now(), by)
         try:
             self._keep(after, f"{operation.id}: cancelled by {by}")
         except StoreError as error:
@@ -290,10 +295,10 @@
     async def _turn(self, number: str, busy: set[str]) -> None:
         try:
             now, file = self.now(), self.fleet.file
-            setting = rollout.Setting(
+            observation = FleetObservation(
                 self.records(), self.fleet.wardens(), file.rules, self.view.dead(now), self.view.quorum(now)
             )
-            after, asks = rollout.advance(self.operations[number], now, setting)
+            after, asks = coordinator.advance(self.operations[number], now, observation)
             self._keep(after)  # what was decided is kept before anybody is asked
             async with trio.open_nursery() as nursery:
                 for ask in asks:
@@ -304,7 +309,7 @@
         finally:
             busy.discard(number)
 
-    async def _ask(self, number: str, ask: rollout.Ask) -> None:
+    async def _ask(self, number: str, ask: AgentRequest) -> None:
         if ask.agent == self.me.name:
             reply: home.Reply | None = self.request(ask.request)
         else:
@@ -314,7 +319,7 @@
                 return  # asked again at the next turn
         if reply is not None and not (reply.wait and not isinstance(ask.request, home.TakeSlot)):
             with suppress(StoreError):  # heard again when it is asked again
-                self._keep(rollout.heard(self.operations[number], self.now(), ask.agent, ask.request, reply))
+                self._keep(receive_reply(self.operations[number], self.now(), ask.agent, ask.request, reply))
 
     async def exchange(self, agent: str, message: wire.Message) -> Answer:
         """Ask another agent."""
--- a/wickspring/commands/fleet/output.py
+++ b/wickspring/commands/fleet/output.py
@@ -10,8 +10,8 @@
 
 from wickspring.agent import wire
 from wickspring.command_line.tables import format_rows
-from wickspring.fleet import rollout
 from wickspring.fleet.model import Kind, Operation, Progress, Record
+from wickspring.fleet.rollout.plan import OperationRequest, desired_state, plan_operation
 
 STATUS_COLUMNS = (
     "instance",
@@ -68,9 +68,8 @@
 
 def plan_steps(kind: Kind, records: Sequence[Record], build: str, batch: int) -> list[PlanStep]:
     """Return what an operation would do, in its order."""
-    operation = rollout.plan(
-        kind, tuple(records), id="plan", by="", coordinator="", now=0.0, build=build, batch=batch
-    )
+    request = OperationRequest("plan", kind, by="", coordinator="", at=0.0, build=build, batch=batch)
+    operation = plan_operation(request, records)
     known = {record.name: record for record in records}
     return [
         _plan_step(operation, progress, known[progress.instance], index // batch + 1)
@@ -123,14 +122,14 @@
 
 
 def _plan_step(operation: Operation, progress: Progress, record: Record, batch: int) -> PlanStep:
-    run, build, anew = rollout.target(operation, progress, record)
+    desired = desired_state(operation, progress, record)
     return PlanStep(
         batch=batch,
         instance=progress.instance,
         hall=progress.hall,
         agent=progress.agent,
         before=_goal(progress.run_before, progress.build_before),
-        after=_goal(run, build) + (" anew" if anew else ""),
+        after=_goal(desired.run, desired.build) + (" anew" if desired.restart else ""),
         held_by=held_by(record),
     )
 
--- a/wickspring/lab/simulation/large_fleet.py
+++ b/wickspring/lab/simulation/large_fleet.py
@@ -14,8 +14,13 @@
 
 import msgspec
 
-from wickspring.fleet import home, rollout
+from wickspring.fleet import home
 from wickspring.fleet.model import FLEET, Kind, Operation, Record, Rules, Seen, Step, Want, scope_of
+from wickspring.fleet.rollout import coordinator
+from wickspring.fleet.rollout.observation import FleetObservation, Records
+from wickspring.fleet.rollout.plan import OperationRequest, plan_operation
+from wickspring.fleet.rollout.replies import receive_reply
+from wickspring.fleet.rollout.requests import AgentRequest
 from wickspring.fleet.views import Content, View
 from wickspring.lab.emulation.site import Progress
 from wickspring.lab.experiments.scenario import FleetPart, Scenario
@@ -56,7 +61,7 @@
         self.view = View(self.name, agents, fleet.now, fleet.rules, fleet.random.getrandbits(32))
         fleet.every(1000.0 * fleet.rules.gossip_s, self._gossip)
 
-    def records(self) -> rollout.Records:
+    def records(self) -> Records:
         """Return the fleet as heard of, and the own instances as they are."""
         records = self.view.records()
         for record in self.home.records.values():
@@ -133,25 +138,27 @@
         if operation is None or operation.phase.ended or not self.alive:
             return
         now = fleet.now
-        setting = rollout.Setting(
+        observation = FleetObservation(
             self.records(), fleet.wardens, fleet.rules, self.view.dead(now), self.view.quorum(now)
         )
-        self.operation, asks = rollout.advance(operation, now, setting)
-        for ask in asks:
-            key = f"{ask.agent} {type(ask.request).__name__} {getattr(ask.request, 'instance', '')}"
+        self.operation, requests = coordinator.advance(operation, now, observation)
+        for request in requests:
+            kind, instance = type(request.request).__name__, getattr(request.request, "instance", "")
+            key = f"{request.agent} {kind} {instance}"
             if key not in self.busy:
                 self.busy.add(key)
                 fleet.timeline.at(fleet.timeline.now + 2000.0, partial(self.busy.discard, key))
-                other = fleet.agents[ask.agent]
-                fleet.send(other, partial(self._asked, other, ask, key))
+                other = fleet.agents[request.agent]
+                fleet.send(other, partial(self._asked, other, request, key))
 
-    def _asked(self, other: VirtualAgent, ask: rollout.Ask, key: str) -> None:
-        reply = other.request(ask.request)
+    def _asked(self, other: VirtualAgent, request: AgentRequest, key: str) -> None:
+        reply = other.request(request.request)
 
         def back() -> None:
             self.busy.discard(key)
             if self.operation is not None:
-                self.operation = rollout.heard(self.operation, self.fleet.now, ask.agent, ask.request, reply)
+                now = self.fleet.now
+                self.operation = receive_reply(self.operation, now, request.agent, request.request, reply)
 
         self.fleet.send(self, back)
 
@@ -233,19 +240,19 @@
     return _result(scenario, seed, fleet, time.process_time() - started_cpu_s)
 
 
-def _start_upgrade(coordinator: VirtualAgent) -> None:
+def _start_upgrade(agent: VirtualAgent) -> None:
     """Plan an upgrade of all instances, in batches of a tenth."""
-    records = tuple(coordinator.records().values())
-    coordinator.operation = rollout.plan(
+    records = tuple(agent.records().values())
+    request = OperationRequest(
+        "upgrade",
         Kind.UPGRADE,
-        records,
-        id="upgrade",
         by="operator",
-        coordinator=coordinator.name,
-        now=coordinator.fleet.now,
+        coordinator=agent.name,
+        at=agent.fleet.now,
         build="2",
         batch=max(1, len(records) // 10),
     )
+    agent.operation = plan_operation(request, records)
 
 
 def _result(scenario: Scenario, seed: int, fleet: LargeFleet, cpu_s: float) -> Result:
