--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -12,6 +12,7 @@
 from tests.support.fleet import fleet_file
 from wickspring.agent import wire
 from wickspring.agent.node import Node
+from wickspring.agent.notifications import Notification
 from wickspring.fleet.file import load_fleet
 from wickspring.fleet.home import TakeClaims
 from wickspring.fleet.model import Kind
@@ -20,34 +21,38 @@
 
 def test_a_full_disk_is_told_and_changes_nothing(tmp_path: Path) -> None:
     node = Node(load_fleet(fleet_file(tmp_path)), "a0")
-    before = node.home
-    pages = node.store._db.execute("pragma page_count").fetchone()[0]
-    node.store._db.execute(f"pragma max_page_count={pages}")  # as a full disk: not one page more
+    before = node.instances.home
+    pages = node.context.store._db.execute("pragma page_count").fetchone()[0]
+    node.context.store._db.execute(f"pragma max_page_count={pages}")  # as a full disk: not one page more
     long = "x" * 200_000
-    reply = node.request(TakeClaims(long, long, "a0", "drain", ("n0",), 9e9))
+    reply = node.instances.handle_request(TakeClaims(long, long, "a0", "drain", ("n0",), 9e9))
     assert "cannot keep" in reply.reason
-    assert node.home == before
-    assert node._submit(wire.Submit(Kind.DRAIN, ("n0",), by=long, id=long), long).error
-    assert not node.operations
-    node.store._db.execute("pragma max_page_count=1000000")
-    assert not node.request(TakeClaims("op", "x", "a0", "drain", ("n0",), 9e9)).reason
+    assert node.instances.home == before
+    assert node.operations.submit(wire.Submit(Kind.DRAIN, ("n0",), by=long, id=long), long).error
+    assert not node.operations.operations
+    node.context.store._db.execute("pragma max_page_count=1000000")
+    assert not node.instances.handle_request(TakeClaims("op", "x", "a0", "drain", ("n0",), 9e9)).reason
 
 
 def test_a_fleet_file_changed_keeps_what_runs_and_takes_up_what_is_new(tmp_path: Path) -> None:
     path = fleet_file(tmp_path, instances=2)
     node = Node(load_fleet(path), "a0")
-    node.request(TakeClaims("op", "x", "a0", "drain", ("n1",), 9e9))
+    node.instances.handle_request(TakeClaims("op", "x", "a0", "drain", ("n1",), 9e9))
     text = path.read_text()
     cut = text[: text.index('[[instance]]\nname = "n1"')]
     first = text[text.index("[[instance]]") : len(cut)]
     path.write_text(cut + first.replace("n0", "n2"))
     (tmp_path / "n2.json").write_text((tmp_path / "n1.json").read_text())
     node.reread()
-    assert sorted(node.home.records) == ["n0", "n1", "n2"]  # n1 is to run, and held: it is not forgotten
-    assert node.home.records["n1"].claim is not None
+    assert sorted(node.instances.home.records) == [
+        "n0",
+        "n1",
+        "n2",
+    ]  # n1 is to run, and held: it is not forgotten
+    assert node.instances.home.records["n1"].claim is not None
     path.write_text("nonsense")
     node.reread()
-    assert sorted(node.home.records) == ["n0", "n1", "n2"]
+    assert sorted(node.instances.home.records) == ["n0", "n1", "n2"]
 
 
 def test_an_instance_taken_from_the_file_is_kept_no_more_once_it_is_stopped(tmp_path: Path) -> None:
@@ -56,38 +61,36 @@
         node = Node(load_fleet(path), "a0")
         text = path.read_text()
         async with trio.open_nursery() as nursery:
-            node._nursery = nursery
-            for controller in node.controllers.values():
-                nursery.start_soon(controller.run)
+            node.instances.start_controllers(nursery)
             await trio.testing.wait_all_tasks_blocked()
             path.write_text(text[: text.index('[[instance]]\nname = "n1"')])
             node.reread()
-            assert sorted(node.controllers) == sorted(node.home.records) == ["n0"]
+            assert sorted(node.instances.controllers) == sorted(node.instances.home.records) == ["n0"]
             await trio.sleep(1.2)  # past the next look of every controller
             nursery.cancel_scope.cancel()
-        node.store.close()
+        node.context.store.close()
         path.write_text(text)
         held = Node(load_fleet(path), "a0")
-        held.request(TakeClaims("op", "x", "a0", "drain", ("n1",), 9e9))
-        held.store.close()
+        held.instances.handle_request(TakeClaims("op", "x", "a0", "drain", ("n1",), 9e9))
+        held.context.store.close()
         path.write_text(text[: text.index('[[instance]]\nname = "n1"')])
         again = Node(load_fleet(path), "a0")  # a new agent, and the file has changed meanwhile
-        assert sorted(again.controllers) == sorted(again.home.records) == ["n0", "n1"]
+        assert sorted(again.instances.controllers) == sorted(again.instances.home.records) == ["n0", "n1"]
         with pytest.raises(WireError, match="no agent is called a9"):
-            await again.exchange("a9", wire.Show())
+            await again.peers.exchange("a9", wire.Show())
 
     trio.run(main)
 
 
-def test_a_status_that_cannot_be_read_does_no_harm(tmp_path: Path) -> None:
+def test_a_status_that_cannot_be_read_does_no_harm(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         node = Node(load_fleet(fleet_file(tmp_path)), "a0")
-        told = list[tuple[str, bool, int, int]]()
-        node.controllers["n0"].receive_report = lambda *words: told.append(words)  # type: ignore[method-assign]
+        received = list[Notification]()
+        monkeypatch.setattr(node.instances.controllers["n0"], "receive_report", received.append)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(node._listen_notify)
+            nursery.start_soon(node.listeners.receive_notifications)
             with trio.fail_after(10):
-                while not node.notify.exists():
+                while not node.context.notify_socket.exists():
                     await trio.sleep(0.01)
             with trio.socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sock:
                 for data in (
@@ -95,12 +98,12 @@
                     b"\xff\x00=",
                     b"READY=1\nX_TOKEN=t\nSTATUS=served=3 failed=1",
                 ):
-                    await sock.sendto(data, str(node.notify))
+                    await sock.sendto(data, str(node.context.notify_socket))
             with trio.fail_after(10):
-                while len(told) < 3:
+                while len(received) < 3:
                     await trio.sleep(0.01)
             nursery.cancel_scope.cancel()
-        assert told[0][2:] == (0, 0)
-        assert told[2] == ("t", True, 4, 1)
+        assert (received[0].served, received[0].failed) == (0, 0)
+        assert received[2] == Notification("t", True, 4, 1)
 
     trio.run(main)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -69,25 +69,27 @@
         stubborn = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE)
         assert stubborn.stdout is not None
         stubborn.stdout.readline()
-        controller: InstanceController = node.controllers["n0"]
+        controller: InstanceController = node.instances.controllers["n0"]
         process = processes.InstanceProcess(
             stubborn.pid, processes.start_ticks(stubborn.pid), "t", "1", 0, reported_ready=True
         )
         controller.current = process
-        node.home = home.observe(node.home, "n0", Seen())
-        held = node.home.records["n0"]
+        node.instances.home = home.observe(node.instances.home, "n0", Seen())
+        held = node.instances.home.records["n0"]
         stop = msgspec.structs.replace(held, want=Want(False, "1", 2))
-        node.home = msgspec.structs.replace(node.home, records=node.home.records.insert("n0", stop))
-        now = node.now()
+        node.instances.home = msgspec.structs.replace(
+            node.instances.home, records=node.instances.home.records.insert("n0", stop)
+        )
+        now = node.context.now()
         controller.step(now)
         assert process.alive
-        assert node.home.records["n0"].seen.state == "draining"
+        assert node.instances.home.records["n0"].seen.state == "draining"
         controller.step(now + 60.0)
         with trio.fail_after(20):
             await process.wait()
         controller.step(now + 61.0)
-        assert node.home.records["n0"].seen.state == "stopped"
-        assert "killed" in node.home.records["n0"].seen.note
+        assert node.instances.home.records["n0"].seen.state == "stopped"
+        assert "killed" in node.instances.home.records["n0"].seen.note
         stubborn.stdout.close()
 
     trio.run(main)
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -61,13 +61,13 @@
 
     async def main() -> None:
         node = Node(fleet, "a0")
-        node.home = Home("a0")  # no processes in this test
-        node.controllers.clear()
+        node.instances.home = Home("a0")  # no processes in this test
+        node.instances.controllers.clear()
         address = fleet.agent("a0").address
         async with trio.open_nursery() as nursery:
             host, _, port = address.rpartition(":")
             listeners = await trio.open_tcp_listeners(int(port), host=host)
-            nursery.start_soon(trio.serve_listeners, node._serve_tcp, listeners)
+            nursery.start_soon(trio.serve_listeners, node.listeners.serve_tcp, listeners)
 
             async def tell(name: str, to: str = "a0", message: wire.Message | None = None) -> wire.Answer:
                 tls = Certificates(tmp_path / "ca.pem", tmp_path / f"{name}.pem", tmp_path / f"{name}.pem")
@@ -77,7 +77,9 @@
             assert not (await tell("guest")).error
             submit = wire.Submit(Kind.DRAIN, ("n0",), id="op")
             assert "may read" in (await tell("guest", message=submit)).error
-            assert "only agents" in (await tell("boss", message=wire.Gossip(node.view.digest()))).error
+            assert (
+                "only agents" in (await tell("boss", message=wire.Gossip(node.context.view.digest()))).error
+            )
             with pytest.raises(WireError):
                 await tell("nobody")
             with pytest.raises(WireError, match="not accepted"):
--- a/wickspring/agent/instance_controller.py
+++ b/wickspring/agent/instance_controller.py
@@ -9,18 +9,18 @@
 
 import logging
 import math
-import secrets
-from collections.abc import Callable
-from pathlib import Path
+from typing import Protocol
 
 import msgspec
 import trio
 
 from wickspring.agent import processes
-from wickspring.agent.instance_launch import UnknownBuildError, plan_launch
+from wickspring.agent.context import AgentContext
+from wickspring.agent.notifications import Notification
+from wickspring.agent.process_launcher import LaunchError, ProcessLauncher
 from wickspring.agent.processes import InstanceProcess
-from wickspring.agent.store import Process, Store, StoreChange, StoreError
-from wickspring.fleet.file import Fleet, FleetInstance
+from wickspring.agent.store import Process, StoreError
+from wickspring.fleet.file import FleetFile, FleetInstance
 from wickspring.fleet.model import Record, Seen, Want
 from wickspring.logs import kv
 
@@ -34,29 +34,24 @@
 MAX_BACKOFF_DOUBLINGS = 16
 
 
+class InstanceRecords(Protocol):
+    """Where a controller reads what is wanted of its instance, and reports how it is."""
+
+    def record(self, name: str) -> Record:
+        """Return an instance's record."""
+
+    def report(self, name: str, seen: Seen) -> None:
+        """Take in how an instance is."""
+
+
 class InstanceController:
-    """The processes of one instance. Times are seconds of the clock `now`."""
-
-    def __init__(
-        self,
-        fleet: Fleet,
-        instance: FleetInstance,
-        folder: Path,
-        store: Store,
-        notify: Path,
-        *,
-        record: Callable[[], Record],
-        report: Callable[[Seen], None],
-        now: Callable[[], float],
-    ) -> None:
-        self.fleet = fleet
-        self.instance = instance
-        self.folder = folder
-        self.store = store
-        self.notify = notify
-        self.record = record
-        self.report = report
-        self.now = now
+    """The processes of one instance. Times are Unix seconds."""
+
+    def __init__(self, context: AgentContext, instance: FleetInstance, records: InstanceRecords) -> None:
+        self.context = context
+        self.instance = instance  # replaced when the fleet file is read again
+        self.records = records
+        self.launcher = ProcessLauncher(context)
         self.current: InstanceProcess | None = None
         self.successor: InstanceProcess | None = None
         self.draining: list[InstanceProcess] = []
@@ -76,6 +71,13 @@
         candidates = (self.current, self.successor, *self.draining)
         return [process for process in candidates if process is not None]
 
+    @property
+    def _file(self) -> FleetFile:
+        return self.context.fleet.file
+
+    def _record(self) -> Record:
+        return self.records.record(self.instance.name)
+
     def wake(self) -> None:
         """Have the controller step at once."""
         self.changed.set()
@@ -92,8 +94,8 @@
                 nursery.start_soon(self._watch, process)
             while True:
                 self.changed = trio.Event()
-                due = self.step(self.now())
-                with trio.move_on_after(max(0.0, due - self.now())):
+                due = self.step(self.context.now())
+                with trio.move_on_after(max(0.0, due - self.context.now())):
                     await self.changed.wait()
 
     async def _watch(self, process: InstanceProcess) -> None:
@@ -113,38 +115,35 @@
             self.draining = found[1:-1]
 
     def _find(self, stored: Process) -> InstanceProcess | None:
-        pid, start_ticks = processes.find(stored.pid, stored.born, stored.token, self._pid_file(stored.token))
-        if not pid:
+        process = self.launcher.find(stored)
+        if process is None:
             self._forget(stored.token)
             return None
-        process = InstanceProcess(
-            pid, start_ticks, stored.token, stored.build, stored.generation, adopted=True
-        )
-        process.started_at = process.last_report_at = self.now()
-        fields = {"name": self.instance.name, "pid": pid, "build": stored.build}
+        process.started_at = process.last_report_at = self.context.now()
+        fields = {"name": self.instance.name, "pid": process.pid, "build": process.build}
         log.info("adopted", extra=kv(**fields))
         return process
 
-    def receive_report(self, token: str, ready: bool, served: int, failed: int) -> None:
-        """Take in what the process with a token reports of itself."""
+    def receive_report(self, notification: Notification) -> None:
+        """Take in what a process reports of itself, if it is one of this instance's."""
         for process in self.processes:
-            if process.token != token:
+            if process.token != notification.token:
                 continue
-            changed = process.reported_ready != ready
-            process.reported_ready = ready
-            process.last_report_at = self.now()
-            process.served = served
-            process.failed = failed
+            changed = process.reported_ready != notification.ready
+            process.reported_ready = notification.ready
+            process.last_report_at = self.context.now()
+            process.served = notification.served
+            process.failed = notification.failed
             if changed:
                 self.wake()
             else:
-                self._report(self.now(), self.record())
+                self._report(self.context.now(), self._record())
 
     # Decisions.
 
     def step(self, now: float) -> float:
         """Do what is due now; return when to look again at the latest."""
-        record = self.record()
+        record = self._record()
         self._remove_ended(now, record.want.run)
         due = self._kill_overdue(now)
         if record.want.run:
@@ -181,12 +180,12 @@
         self.successor = None
 
     def _is_steady(self, process: InstanceProcess, now: float) -> bool:
-        return now - process.started_at > self.fleet.file.steady_s
+        return now - process.started_at > self._file.steady_s
 
     def _failed(self, now: float, note: str, steady: bool = False) -> None:
         """Note a failure, and pause before the next start: longer with each failure in a row."""
         self.failures = 1 if steady else self.failures + 1
-        file = self.fleet.file
+        file = self._file
         doublings = min(self.failures - 1, MAX_BACKOFF_DOUBLINGS)
         pause = min(file.backoff_most_s, file.backoff_first_s * 2.0**doublings)
         self.pause_until = now + max(pause, MIN_PAUSE_S)
@@ -197,7 +196,7 @@
     def _kill_overdue(self, now: float) -> float:
         """Kill processes that have not drained in time; return when the next is due."""
         due = math.inf
-        drain_within_s = self.fleet.file.rules.drain_within_s
+        drain_within_s = self._file.rules.drain_within_s
         for process in self.draining:
             deadline = process.draining_since + drain_within_s
             if now >= deadline:
@@ -237,7 +236,7 @@
             return math.inf
         starting = current if current is not None and current.runs(want) else self.successor
         if starting is not None:
-            return starting.started_at + self.fleet.file.rules.ready_within_s
+            return starting.started_at + self._file.rules.ready_within_s
         return self._start(now, want)
 
     def _awaits_adopted(self, now: float) -> bool:
@@ -258,7 +257,7 @@
             self._drain(self.successor, now)
             self.successor = None
             return False
-        if not (self.fleet.file.overlap and self.current.reported_ready):
+        if not (self._file.overlap and self.current.reported_ready):
             self._drain(self.current, now)
             self._promote_successor()
             return self.current is not None
@@ -272,7 +271,7 @@
 
     def _give_up_late_starts(self, now: float) -> None:
         """Kill what was started here and did not become ready in time."""
-        ready_within_s = self.fleet.file.rules.ready_within_s
+        ready_within_s = self._file.rules.ready_within_s
         for process in (self.current, self.successor):
             if process is None or process.reported_ready or process.adopted:
                 continue
@@ -285,7 +284,7 @@
         """Start a process unless a pause holds it up; return when to look again."""
         if now < self.pause_until:
             return self.pause_until
-        if self.current is None and self.draining and not self.fleet.file.overlap:
+        if self.current is None and self.draining and not self._file.overlap:
             return now + MIN_PAUSE_S  # its address is not free yet
         process = self._launch(now, want)
         if process is None:
@@ -294,46 +293,28 @@
             self.current = process
         else:
             self.successor = process
-        return now + self.fleet.file.rules.ready_within_s
+        return now + self._file.rules.ready_within_s
 
     # Processes.
 
-    def _pid_file(self, token: str) -> Path:
-        return self.folder / f"{self.instance.name}.{token}.pid"
-
     def _launch(self, now: float, want: Want) -> InstanceProcess | None:
         """Start a process; None where that failed, with the pause set until the next attempt."""
-        name = self.instance.name
-        token = secrets.token_hex(8)
-        intent = Process(name, token, 0, 0, want.build, want.generation)
         try:
-            plan = plan_launch(self.fleet, self.instance, want.build, self.notify)
-            # Stored before the process exists: an agent killed now finds it by its pid file.
-            self.store.apply(StoreChange(processes=[intent]))
-            log_file, pid_file = self.folder / f"{name}.log", self._pid_file(token)
-            started = processes.launch(plan.command, plan.folder, plan.environment, log_file, pid_file, token)
-        except UnknownBuildError as error:
+            process = self.launcher.launch(self.instance, want)
+        except LaunchError as error:
             self._failed(now, str(error))
             return None
         except StoreError as error:
             self.note = str(error)
             self.pause_until = now + STORE_RETRY_S
             return None
-        except OSError as error:
-            self._forget(token)
-            self._failed(now, f"cannot be started: {error}")
-            return None
-        process = InstanceProcess(
-            started.pid, processes.start_ticks(started.pid), token, want.build, want.generation
-        )
         process.started_at = process.last_report_at = now
-        self._note_start(process, intent)
+        self._note_start(process)
         return process
 
-    def _note_start(self, process: InstanceProcess, intent: Process) -> None:
+    def _note_start(self, process: InstanceProcess) -> None:
         try:
-            stored = msgspec.structs.replace(intent, pid=process.pid, born=process.start_ticks)
-            self.store.apply(StoreChange(processes=[stored]))
+            self.launcher.store_identity(self.instance.name, process)
         except StoreError as error:
             self.note = str(error)
         self.starts += 1
@@ -343,11 +324,10 @@
             self._nursery.start_soon(self._watch, process)
 
     def _forget(self, token: str) -> None:
-        self._pid_file(token).unlink(missing_ok=True)
         try:
-            self.store.apply(StoreChange(ended_tokens=[token]))
+            self.launcher.forget(self.instance.name, token)
         except StoreError as error:
-            self.note = str(error)  # a row too many does no harm: no process has its token
+            self.note = str(error)
 
     # Reports.
 
@@ -388,4 +368,4 @@
                 requests=process.served,
                 failed=process.failed,
             )
-        self.report(seen)
+        self.records.report(self.instance.name, seen)
--- a/wickspring/agent/store.py
+++ b/wickspring/agent/store.py
@@ -65,6 +65,12 @@
     ended_tokens: Sequence[str] = ()  # of processes that are forgotten
     events: Sequence[tuple[float, str]] = ()  # Unix seconds and text
 
+    @property
+    def is_empty(self) -> bool:
+        """Tell whether there is nothing to store."""
+        parts = (self.records, self.removed_records, self.slots, self.operations)
+        return not any((*parts, self.processes, self.ended_tokens, self.events))
+
 
 class Store:
     """One agent's database."""
