--- a/wickspring/lab/simulation/replication/group.py
+++ b/wickspring/lab/simulation/replication/group.py
@@ -23,6 +23,7 @@
 from wickspring.controlplane.replication import messages as chain_messages
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.lease import MAX_CLOCK_DRIFT, Lease, granted_epoch
+from wickspring.controlplane.replication.packing import PackedState
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import FaultTolerance, Member, PeerObservation, View
 from wickspring.lab.simulation.replication.invariant_checker import InvariantChecker
@@ -340,7 +341,7 @@
     )
 
 
-def _as_read_back(durable: Mapping[str, object]) -> dict[str, object]:
+def _as_read_back(durable: PackedState) -> PackedState:
     """Return a durable state as it is read back from a file."""
-    read: dict[str, object] = msgpack.unpackb(msgpack.packb(durable), strict_map_key=False)
+    read: PackedState = msgpack.unpackb(msgpack.packb(durable), strict_map_key=False)
     return read
--- a/wickspring/lab/simulation/replication/node.py
+++ b/wickspring/lab/simulation/replication/node.py
@@ -7,6 +7,7 @@
 
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.lease import Lease
+from wickspring.controlplane.replication.packing import PackedState
 from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
 from wickspring.controlplane.replication.view import Member, PeerObservation
 
@@ -16,7 +17,7 @@
     """What a node's disk stores beside the replica."""
 
     disk_id: str
-    durable: dict[str, object]  # as `ReplicationChain.restore` takes it
+    durable: PackedState  # as `ReplicationChain.restore` takes it
 
 
 @dataclass(slots=True)
