--- a/tests/connections/test_pools.py
+++ b/tests/connections/test_pools.py
@@ -7,26 +7,25 @@
 import msgspec
 import pytest
 
+from wickspring.connections.dial_limits import DialWindow, TokenBucket
 from wickspring.connections.limits import (
-    Bucket,
     ConnectionLimits,
-    Window,
-    most_connections,
-    within_grace,
+    limit_wait_to_grace,
+    max_server_connections,
 )
-from wickspring.connections.pools import (
+from wickspring.connections.model import (
     Action,
-    Assign,
-    Close,
-    Conn,
-    Dial,
-    End,
-    Pools,
-    Refuse,
-    Standing,
-    State,
-    Want,
+    AssignConnection,
+    CloseConnection,
+    ClosedBy,
+    ConnectionRequest,
+    ConnectionState,
+    OpenConnection,
+    PooledConnection,
+    RejectRequest,
+    ServerStatus,
 )
+from wickspring.connections.pools import ConnectionPools
 
 A, B = b"a", b"b"
 PLACE = ("127.0.0.1", 1)
@@ -37,59 +36,61 @@
 
     def __init__(self, idle_close: float = 30_000.0, **changes: Any) -> None:
         base = ConnectionLimits(jitter=0.0, ahead_most=0)
-        self.standing: dict[bytes, Standing] = {}
+        self.standing: dict[bytes, ServerStatus] = {}
         limits = msgspec.structs.replace(base, **changes)
-        self.pools = Pools(limits, idle_close, lambda server, _: self.standing.get(server, Standing(True)), 1)
+        self.pools = ConnectionPools(
+            limits, idle_close, lambda server, _: self.standing.get(server, ServerStatus(True)), 1
+        )
         self.now = 1_000_000.0
-        self.assigned: list[Assign] = []
-        self.dials: list[Conn] = []
-        self.closes: list[Conn] = []
-        self.refused: list[Want] = []
+        self.assigned: list[AssignConnection] = []
+        self.dials: list[PooledConnection] = []
+        self.closes: list[PooledConnection] = []
+        self.refused: list[ConnectionRequest] = []
 
     def take(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Assign):
+            if isinstance(action, AssignConnection):
                 self.assigned.append(action)
-            elif isinstance(action, Dial):
-                self.dials.append(action.conn)
-            elif isinstance(action, Close):
-                self.closes.append(action.conn)
+            elif isinstance(action, OpenConnection):
+                self.dials.append(action.connection)
+            elif isinstance(action, CloseConnection):
+                self.closes.append(action.connection)
             else:
-                assert isinstance(action, Refuse)
-                self.refused.append(action.want)
+                assert isinstance(action, RejectRequest)
+                self.refused.append(action.request)
 
-    def want(self, server: bytes = A, once: bool = False, **more: Any) -> Want:
-        want = Want(server, PLACE, once, self.now + 2000.0, **more)
-        self.take(self.pools.want(self.now, want))
+    def want(self, server: bytes = A, once: bool = False, **more: Any) -> ConnectionRequest:
+        want = ConnectionRequest(server, PLACE, once, self.now + 2000.0, **more)
+        self.take(self.pools.request_connection(self.now, want))
         return want
 
-    def up(self, conn: Conn | None = None) -> Conn:
+    def up(self, conn: PooledConnection | None = None) -> PooledConnection:
         conn = self.dials.pop(0) if conn is None else conn
-        self.take(self.pools.up(self.now, conn, 1))
+        self.take(self.pools.dial_succeeded(self.now, conn, 1))
         return conn
 
     def fail(self) -> None:
         self.take(self.pools.dial_failed(self.now, self.dials.pop(0)))
 
-    def done(self, want: Want) -> None:
-        self.take(self.pools.done(self.now, want, answered=True))
+    def done(self, want: ConnectionRequest) -> None:
+        self.take(self.pools.request_finished(self.now, want, answered=True))
 
     def pass_time(self, ms: float, step: float = 10.0) -> None:
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + step)
-            self.take(self.pools.due(self.now))
+            self.take(self.pools.retry_queues(self.now))
 
     def sweep(self, ms: float = 0.0) -> None:
         self.now += ms
-        self.take(self.pools.sweep(self.now))
+        self.take(self.pools.maintain(self.now))
 
-    def served(self, once: bool = False, wait: float = 0.0) -> Conn:
+    def served(self, once: bool = False, wait: float = 0.0) -> PooledConnection:
         """Have one request carried, and return its connection, now idle for `wait`."""
         want = self.want(once=once)
-        if want.conn is None:
+        if want.connection is None:
             self.up()
-        conn = want.conn
+        conn = want.connection
         assert conn is not None
         self.done(want)
         self.now += wait
@@ -102,8 +103,8 @@
     one, two = rig.up(), rig.up()
     rig.done(first)
     rig.done(second)
-    assert rig.want().conn is two
-    assert rig.want().conn is one
+    assert rig.want().connection is two
+    assert rig.want().connection is one
     assert not rig.dials
 
 
@@ -112,12 +113,12 @@
     busy = rig.want()
     conn = rig.up()
     waiting = rig.want()
-    assert waiting.conn is None
+    assert waiting.connection is None
     assert len(rig.dials) == 1
     rig.done(busy)
-    assert waiting.conn is conn
+    assert waiting.connection is conn
     spare = rig.up()  # the dial's connection is kept for the next
-    assert rig.want().conn is spare
+    assert rig.want().connection is spare
 
 
 def test_a_failed_dial_tells_one_and_all_where_nothing_else_can_come() -> None:
@@ -146,14 +147,14 @@
     rig.now += 2000.0
     rig.want()
     rig.up()
-    assert rig.pools.pools[A].fails == 0
+    assert rig.pools.pools[A].failed_dials == 0
 
 
 def test_waits_end_in_time_and_never_past_the_requests_own() -> None:
     rig = Rig(wait_ms=200.0, dials_at_once_per_server=1)
     rig.want()
-    late = Want(A, PLACE, False, rig.now + 50.0)
-    rig.take(rig.pools.want(rig.now, late))
+    late = ConnectionRequest(A, PLACE, False, rig.now + 50.0)
+    rig.take(rig.pools.request_connection(rig.now, late))
     other = rig.want()
     rig.pass_time(60.0)
     assert late in rig.refused
@@ -186,11 +187,11 @@
             rig.up()
     for want in out:
         rig.done(want)
-    conns = [conn for pool in rig.pools.pools.values() for conn in pool.conns]
+    conns = [conn for pool in rig.pools.pools.values() for conn in pool.connections]
     assert len(conns) == 4 * servers
     for conn in conns:
-        rig.take(rig.pools.closed(rig.now, conn, End.PEER))
-    before, served = rig.pools.tally["dials"], 0
+        rig.take(rig.pools.connection_closed(rig.now, conn, ClosedBy.PEER))
+    before, served = rig.pools.counters["dials"], 0
     for step in range(200):  # 2 s at 200 requests a second, each out for 20 ms
         for _ in range(2):
             rig.want(names[(7 * step) % servers])
@@ -198,32 +199,32 @@
         while rig.dials:
             rig.up()
         for assign in rig.assigned:
-            if assign.want.conn is not None and rig.now - assign.want.began > 20.0:
-                rig.done(assign.want)
+            if assign.request.connection is not None and rig.now - assign.request.assigned_at > 20.0:
+                rig.done(assign.request)
                 served += 1
-    assert rig.pools.tally["dials"] - before <= 100.0 * 2.0 + 10.0 + 1.0
+    assert rig.pools.counters["dials"] - before <= 100.0 * 2.0 + 10.0 + 1.0
     assert served >= 180
 
 
 def test_a_full_ingress_closes_what_idles_elsewhere_for_a_dial() -> None:
     rig = Rig()
-    rig.pools.most = 2
+    rig.pools.settings.max_connections = 2
     idle = rig.served()
     rig.want(B)
     assert len(rig.dials) == 1
     rig.want(B)
     assert rig.closes == [idle]
     rig.want(B)
-    assert rig.pools.total == 2
+    assert rig.pools.connection_count == 2
     assert len(rig.dials) == 2
 
 
 def test_the_bound_leaves_clients_their_descriptors() -> None:
     limits = ConnectionLimits()
-    assert most_connections(limits, 256, 0) == 232
-    assert most_connections(limits, 256, 179) == 53
-    assert most_connections(limits, 256, 250) == 42
-    assert most_connections(msgspec.structs.replace(limits, most=20), 256, 0) == 20
+    assert max_server_connections(limits, 256, 0) == 232
+    assert max_server_connections(limits, 256, 179) == 53
+    assert max_server_connections(limits, 256, 250) == 42
+    assert max_server_connections(msgspec.structs.replace(limits, most=20), 256, 0) == 20
 
 
 def race(rig: Rig, closes: int, idle: float) -> None:
@@ -232,12 +233,12 @@
         for lost in (True, False, False, False):
             rig.served(wait=idle)
             want = rig.want()
-            conn = want.conn
+            conn = want.connection
             if conn is None:
                 conn = rig.up()
             if lost:
-                rig.pools.lost(rig.now, want, heard=False)
-                rig.take(rig.pools.closed(rig.now, conn, End.PEER))
+                rig.pools.request_lost(rig.now, want, received_bytes=False)
+                rig.take(rig.pools.connection_closed(rig.now, conn, ClosedBy.PEER))
             else:
                 rig.done(want)
             rig.now += 5.0
@@ -247,16 +248,16 @@
     rig = Rig()
     race(rig, closes=10, idle=5.0)
     safe = rig.served(wait=300.0)
-    assert rig.want(once=True).conn is safe  # idle for long enough: survivors are safe
+    assert rig.want(once=True).connection is safe  # idle for long enough: survivors are safe
     fresh = rig.served(wait=5.0)
-    for conn in list(rig.pools.pools[A].conns):
+    for conn in list(rig.pools.pools[A].connections):
         if conn is not fresh:
-            rig.take(rig.pools.closed(rig.now, conn, End.HERE))
+            rig.take(rig.pools.connection_closed(rig.now, conn, ClosedBy.LOCAL))
     want = rig.want(once=True)
-    assert want.conn is None  # just answered: one in four of these is lost
+    assert want.connection is None  # just answered: one in four of these is lost
     assert len(rig.dials) == 1
     dialled = rig.up()
-    assert want.conn is dialled
+    assert want.connection is dialled
 
 
 def test_what_was_learnt_fades() -> None:
@@ -265,7 +266,7 @@
     for _ in range(800):
         rig.sweep(250.0)
     conn = rig.served(wait=5.0)
-    assert rig.want(once=True).conn is conn
+    assert rig.want(once=True).connection is conn
 
 
 def test_spoilt_answers_are_no_sign_of_dead_connections() -> None:
@@ -273,32 +274,32 @@
     for _ in range(40):
         conn = rig.served(wait=5.0)
         want = rig.want()
-        assert want.conn is conn
-        rig.pools.lost(rig.now, want, heard=True)
-        rig.take(rig.pools.closed(rig.now, conn, End.PEER))
+        assert want.connection is conn
+        rig.pools.request_lost(rig.now, want, received_bytes=True)
+        rig.take(rig.pools.connection_closed(rig.now, conn, ClosedBy.PEER))
     conn = rig.served(wait=5.0)
-    assert rig.want(once=True).conn is conn
-    assert rig.pools.tally["sent_on_dead"] == 0
+    assert rig.want(once=True).connection is conn
+    assert rig.pools.counters["sent_on_dead"] == 0
 
 
 def test_servers_that_lose_fresh_requests_as_well_are_not_dialled_for_each() -> None:
     rig = Rig(dials_per_s=1e4, dials_per_s_per_server=1e4)
     for number in range(60):
         want = rig.want()
-        if want.conn is None:
+        if want.connection is None:
             rig.up()
-        conn = want.conn
+        conn = want.connection
         assert conn is not None
-        if number % 3 == 0 and want.idle <= 10.0:
-            rig.pools.lost(rig.now, want, heard=False)
-            rig.take(rig.pools.closed(rig.now, conn, End.PEER))
+        if number % 3 == 0 and want.idle_ms <= 10.0:
+            rig.pools.request_lost(rig.now, want, received_bytes=False)
+            rig.take(rig.pools.connection_closed(rig.now, conn, ClosedBy.PEER))
         else:
             rig.done(want)
             rig.now += 5.0
             if number % 2:
-                rig.take(rig.pools.closed(rig.now, conn, End.HERE))
+                rig.take(rig.pools.connection_closed(rig.now, conn, ClosedBy.LOCAL))
     rig.served(wait=5.0)
-    assert rig.want().conn is not None
+    assert rig.want().connection is not None
 
 
 def test_clean_closes_do_not_make_every_connection_doubtful() -> None:
@@ -307,9 +308,9 @@
     for number in range(300):
         conn = rig.served(wait=60.0)
         if number % 6 == 0:
-            rig.take(rig.pools.closed(rig.now, conn, End.PEER))
+            rig.take(rig.pools.connection_closed(rig.now, conn, ClosedBy.PEER))
     conn = rig.served(wait=60.0)
-    assert rig.want(once=True).conn is conn
+    assert rig.want(once=True).connection is conn
 
 
 def test_an_age_at_which_a_server_ends_connections_is_learnt() -> None:
@@ -320,17 +321,17 @@
         while rig.now < start + 6000.0:
             rig.now += 100.0
             want = rig.want()
-            if want.conn is not conn:
+            if want.connection is not conn:
                 break
             rig.done(want)
-        if conn.state is State.UP:
+        if conn.state is ConnectionState.UP:
             rig.now += 50.0
-            rig.take(rig.pools.closed(rig.now, conn, End.PEER))
-        for other in list(rig.pools.pools[A].conns):
-            rig.take(rig.pools.closed(rig.now, other, End.HERE))
+            rig.take(rig.pools.connection_closed(rig.now, conn, ClosedBy.PEER))
+        for other in list(rig.pools.pools[A].connections):
+            rig.take(rig.pools.connection_closed(rig.now, other, ClosedBy.LOCAL))
         rig.dials.clear()
     hazards = rig.pools.hazards
-    assert hazards.foretold(A, 50.0, 6000.0, False) > 1.3 * hazards.foretold(A, 50.0, 1000.0, False)
+    assert hazards.closing_risk(A, 50.0, 6000.0, False) > 1.3 * hazards.closing_risk(A, 50.0, 1000.0, False)
 
 
 def test_a_silent_loss_counts_only_where_the_server_answered_later_work() -> None:
@@ -338,23 +339,23 @@
     for _ in range(10):
         old = rig.served(wait=500.0)
         want = rig.want()
-        assert want.conn is old or want.conn is None
-        if want.conn is None:
+        assert want.connection is old or want.connection is None
+        if want.connection is None:
             break
         rig.now += 1.0
         later = rig.want()
         rig.up()
         rig.now += 20.0
         rig.done(later)
-        rig.pools.silent(want)
-        rig.take(rig.pools.closed(rig.now, old, End.HERE))
-        for conn in list(rig.pools.pools[A].conns):
-            rig.take(rig.pools.closed(rig.now, conn, End.HERE))
-    assert rig.pools.tally["sent_on_silent"] >= 1
+        rig.pools.request_unanswered(want)
+        rig.take(rig.pools.connection_closed(rig.now, old, ClosedBy.LOCAL))
+        for conn in list(rig.pools.pools[A].connections):
+            rig.take(rig.pools.connection_closed(rig.now, conn, ClosedBy.LOCAL))
+    assert rig.pools.counters["sent_on_silent"] >= 1
     assert rig.pools.hazards.risk(A, 500.0, 500.0, False) > 0.1
     alone = Rig()
     alone.served(wait=500.0)
-    alone.pools.silent(alone.want())  # nothing else was answered: it may be slow, or gone
+    alone.pools.request_unanswered(alone.want())  # nothing else was answered: it may be slow, or gone
     assert alone.pools.hazards.risk(A, 500.0, 500.0, False) < 0.01
 
 
@@ -377,7 +378,7 @@
     rig = Rig(age_most_s=100.0, jitter=0.5, dials_per_s_per_server=1000.0)
     for _ in range(12):
         rig.want()
-    ends = sorted(rig.up().ends_at - rig.now for _ in range(12))
+    ends = sorted(rig.up().retire_at - rig.now for _ in range(12))
     assert 50_000.0 <= ends[0] < ends[-1] <= 100_000.0
     assert ends[-1] - ends[0] > 10_000.0
 
@@ -385,12 +386,12 @@
 def test_a_drain_ends_idle_connections_and_waits_of_new_work_alone() -> None:
     rig = Rig()
     idle = rig.served()
-    rig.standing[A] = Standing(False)
+    rig.standing[A] = ServerStatus(False)
     rig.sweep()
     assert rig.closes == [idle]
     work = rig.want()
     assert work in rig.refused
-    rig.want(work=False)  # a probe may go there
+    rig.want(new_work=False)  # a probe may go there
     assert len(rig.dials) == 1
 
 
@@ -399,9 +400,9 @@
     race(rig, closes=5, idle=5.0)
     assert A in rig.pools.hazards.servers
     old = rig.served()
-    rig.standing[A] = Standing(True, 0.2, started=5.0)
+    rig.standing[A] = ServerStatus(True, 0.2, started_at=5.0)
     want = rig.want()
-    assert want.conn is None
+    assert want.connection is None
     assert old in rig.closes
     assert A not in rig.pools.hazards.servers
 
@@ -409,12 +410,12 @@
 def test_what_is_known_of_a_server_goes_with_it() -> None:
     rig = Rig()
     race(rig, closes=5, idle=5.0)
-    rig.standing[A] = Standing(False)
+    rig.standing[A] = ServerStatus(False)
     for _ in range(3):
         rig.sweep(250.0)
     assert not rig.pools.pools
     assert not rig.pools.hazards.servers
-    assert rig.pools.total == rig.pools.dialing == 0
+    assert rig.pools.connection_count == rig.pools.dials_in_progress == 0
 
 
 @pytest.mark.parametrize("warmth", [0.2, 0.5])
@@ -427,21 +428,21 @@
         for want in wants:
             rig.done(want)
     cold = b"cold"
-    rig.standing[cold] = Standing(True, warmth, started=rig.now)
+    rig.standing[cold] = ServerStatus(True, warmth, started_at=rig.now)
     wants = [rig.want(cold) for _ in range(30)]
     assert len(rig.dials) <= 10 * warmth
     while rig.dials:
         rig.up()
     for want in wants:
-        if want.conn is not None:
+        if want.connection is not None:
             rig.done(want)
-    while rig.pools.pools[cold].line:
+    while rig.pools.pools[cold].queue:
         rig.pass_time(10.0)
-    for conn in list(rig.pools.pools[cold].conns):
-        rig.take(rig.pools.closed(rig.now, conn, End.PEER))
+    for conn in list(rig.pools.pools[cold].connections):
+        rig.take(rig.pools.connection_closed(rig.now, conn, ClosedBy.PEER))
     for _ in range(4):
         rig.sweep(1.0)
-    ahead = [conn for conn in rig.dials if conn.server == cold and conn.ahead]
+    ahead = [conn for conn in rig.dials if conn.server == cold and conn.preconnected]
     assert len(ahead) <= max(0.0, 6 * warmth)
 
 
@@ -449,10 +450,10 @@
     rig = Rig(ahead_most=2)
     for _ in range(20):
         want = rig.want()
-        conn = rig.up() if rig.dials else want.conn
+        conn = rig.up() if rig.dials else want.connection
         assert conn is not None
         rig.done(want)
-        rig.take(rig.pools.closed(rig.now, conn, End.PEER))
+        rig.take(rig.pools.connection_closed(rig.now, conn, ClosedBy.PEER))
         rig.now += 20.0
     rig.sweep()
     assert 1 <= len(rig.dials) <= 2
@@ -469,57 +470,57 @@
     rig = Rig()
     wants = [rig.want() for _ in range(2)]
     conn = rig.dials.pop(0)
-    rig.take(rig.pools.up(rig.now, conn, 8))
-    assert all(want.conn is conn for want in wants)
+    rig.take(rig.pools.dial_succeeded(rig.now, conn, 8))
+    assert all(want.connection is conn for want in wants)
     while rig.dials:
-        rig.take(rig.pools.up(rig.now, rig.dials.pop(), 8))
+        rig.take(rig.pools.dial_succeeded(rig.now, rig.dials.pop(), 8))
     for _ in range(6):
         rig.want()
-    rig.take(rig.pools.room(rig.now, conn, 0))  # GOAWAY
+    rig.take(rig.pools.capacity_changed(rig.now, conn, 0))  # GOAWAY
     rig.done(wants[0])
     late = rig.want()
-    assert late.conn is not conn
+    assert late.connection is not conn
     rig.done(wants[1])
-    assert conn in rig.closes or conn.load > 0
+    assert conn in rig.closes or conn.in_flight > 0
 
 
 def test_a_connection_found_dead_passes_its_request_on_unsent() -> None:
     rig = Rig()
     rig.served(wait=50.0)
     want = rig.want(once=True)
-    assert want.conn is not None
-    rig.take(rig.pools.stale(rig.now, want))
+    assert want.connection is not None
+    rig.take(rig.pools.connection_stale(rig.now, want))
     assert len(rig.dials) == 1
     fresh = rig.up()
-    assert want.conn is fresh
+    assert want.connection is fresh
 
 
 def test_giving_up_leaves_the_line() -> None:
     rig = Rig()
     want = rig.want()
-    rig.pools.gave_up(want)
+    rig.pools.request_cancelled(want)
     conn = rig.up()
-    assert conn.load == 0
-    assert want.conn is None
+    assert conn.in_flight == 0
+    assert want.connection is None
 
 
 def test_bucket_and_window() -> None:
-    bucket = Bucket(100.0)
+    bucket = TokenBucket(100.0)
     taken = 0
     for step in range(1000):
-        if bucket.has(float(step)):
+        if bucket.has_token(float(step)):
             bucket.take(float(step))
             taken += 1
     assert 100 <= taken <= 111
-    window = Window(64)
+    window = DialWindow(64)
     for step in range(50):
-        window.failed(float(step * 100), b"one", 8)  # a single server that is down cuts nothing
+        window.dial_failed(float(step * 100), b"one", 8)  # a single server that is down cuts nothing
     assert window.size == 64.0
     for step in range(50):
-        window.failed(10_000.0 + step * 10.0, b"s%d" % (step % 6), 8)
+        window.dial_failed(10_000.0 + step * 10.0, b"s%d" % (step % 6), 8)
     assert window.size < 32.0
     for _ in range(4000):
-        window.succeeded()
+        window.dial_succeeded()
     assert window.size == 64.0
 
 
@@ -542,17 +543,19 @@
     rig = Rig()
     want = rig.want()
     conn = rig.up()
-    rig.standing[A] = Standing(True, 0.2, started=5.0)  # told late: the connection is to the new process
+    rig.standing[A] = ServerStatus(
+        True, 0.2, started_at=5.0
+    )  # told late: the connection is to the new process
     other = rig.want()
     fresh = rig.up()
-    assert other.conn is fresh
+    assert other.connection is fresh
     rig.done(want)
     assert conn in rig.closes
     rig.done(other)
-    assert rig.want().conn is fresh
-    assert rig.pools.total == 1
+    assert rig.want().connection is fresh
+    assert rig.pools.connection_count == 1
 
 
 @pytest.mark.parametrize(("grace", "wait"), [(1000.0, 200.0), (250.0, 200.0), (100.0, 80.0), (0.0, 200.0)])
 def test_no_request_waits_for_a_connection_past_the_grace_of_a_drain(grace: float, wait: float) -> None:
-    assert within_grace(ConnectionLimits(wait_ms=200.0), grace).wait_ms == wait
+    assert limit_wait_to_grace(ConnectionLimits(wait_ms=200.0), grace).wait_ms == wait
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -156,7 +156,7 @@
         self.patience = client_timeouts(routing_table.client_limits)
         self.limits = connection_limits(routing_table, self.data_plane_count())
         self.upstream.limits = self.limits
-        self.upstream.pools.limits = self.limits
+        self.upstream.pools.settings.limits = self.limits
 
     def on_new_endpoints(self, endpoints: list[EndpointRecord]) -> None:
         """Pass endpoints on to other data planes that are new or have changed."""
@@ -178,7 +178,7 @@
 
     def _has_idle_connection(self, endpoint_id: str) -> bool:
         pool = self.upstream.pools.pools.get(endpoint_id.encode())
-        return pool is not None and any(conn.free > 0 for conn in pool.conns)
+        return pool is not None and any(connection.free_slots > 0 for connection in pool.connections)
 
     # Life cycle.
 
--- a/wickspring/dataplane/request/forwarding.py
+++ b/wickspring/dataplane/request/forwarding.py
@@ -107,8 +107,9 @@
         _, found, parameter = headers.get("keep-alive", "").partition("timeout=")
         seconds = parameter.split(",")[0].strip() if found else ""
         if seconds.isdecimal() and int(seconds) > 0:
-            pools = self._context.upstream.pools
-            pools.idle_close = min(pools.idle_close, 1000.0 * KEEP_ALIVE_SHARE * int(seconds))
+            settings = self._context.upstream.pools.settings
+            idle_timeout_ms = 1000.0 * KEEP_ALIVE_SHARE * int(seconds)
+            settings.server_idle_timeout_ms = min(settings.server_idle_timeout_ms, idle_timeout_ms)
 
     def _on_attempt_end(
         self, request: Request, candidate: KnownEndpoint, number: int, load_owner: str, reply: Reply
--- a/wickspring/lab/simulation/ingress_site.py
+++ b/wickspring/lab/simulation/ingress_site.py
@@ -19,8 +19,9 @@
 
 from wickspring import interface as api
 from wickspring.config import build_settings, flatten
-from wickspring.connections import pools as pooling
-from wickspring.connections.limits import ConnectionLimits, most_connections
+from wickspring.connections import model as pooling
+from wickspring.connections.limits import ConnectionLimits, max_server_connections
+from wickspring.connections.pools import ConnectionPools
 from wickspring.core import effects as core
 from wickspring.core.reducer import Reducer
 from wickspring.lab.emulation.site import Progress
@@ -39,7 +40,7 @@
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class Wish(pooling.Want):
+class Wish(pooling.ConnectionRequest):
     """An attempt that wants a connection, or has one."""
 
     request: int
@@ -89,9 +90,11 @@
     ) -> None:
         self.site, self.settings, self.number = site, settings, number
         self.reducer = Reducer(settings)
-        self.pools = pooling.Pools(limits, settings.idle_close, self._look, settings.seed)
-        self.pools.most = most_connections(limits, site.scenario.ingresses.sockets, 0)
-        self.conns: dict[pooling.Conn, list[Wish]] = {}
+        self.pools = ConnectionPools(limits, settings.idle_close, self._look, settings.seed)
+        self.pools.settings.max_connections = max_server_connections(
+            limits, site.scenario.ingresses.sockets, 0
+        )
+        self.conns: dict[pooling.PooledConnection, list[Wish]] = {}
         self.asked: dict[int, ClientRequest] = {}
         self.wishes: dict[tuple[int, int], Wish] = {}
         self._wakes = math.inf
@@ -99,16 +102,16 @@
         self._busy = False
         jitter = site.random.random()
         site.timeline.every(SWEEP_MS, jitter, lambda: self.dispatch(core.SweepDue()))
-        site.timeline.every(POOL_SWEEP_MS, jitter, lambda: self._perform(self.pools.sweep(self.now)))
+        site.timeline.every(POOL_SWEEP_MS, jitter, lambda: self._perform(self.pools.maintain(self.now)))
 
     @property
     def now(self) -> float:
         """Return the gateway's own time, ms."""
         return EPOCH + self.site.timeline.now
 
-    def _look(self, server: api.ServerId, _: float) -> pooling.Standing:
+    def _look(self, server: api.ServerId, _: float) -> pooling.ServerStatus:
         entry = self.reducer.entries.get(server)
-        return pooling.Standing(entry is not None and entry.readiness is api.Readiness.READY)
+        return pooling.ServerStatus(entry is not None and entry.readiness is api.Readiness.READY)
 
     def dispatch(self, event: core.Event) -> None:
         """Reduce an event and carry out what follows."""
@@ -159,7 +162,7 @@
             )
             self.wishes[effect.request, effect.attempt] = wish
             timeline.at(effect.until - EPOCH, partial(self._stop, wish, api.Status.TIMEOUT))
-            self._perform(self.pools.want(self.now, wish))
+            self._perform(self.pools.request_connection(self.now, wish))
         elif isinstance(effect, core.StopAttempt):
             stopped = self.wishes.get((effect.request, effect.attempt))
             if stopped is not None:
@@ -182,45 +185,45 @@
     def _perform(self, actions: list[pooling.Action]) -> None:
         site, timeline = self.site, self.site.timeline
         for action in actions:
-            if isinstance(action, pooling.Assign):
-                wish = action.want
+            if isinstance(action, pooling.AssignConnection):
+                wish = action.request
                 assert isinstance(wish, Wish)
                 if wish.over:
-                    self._perform(self.pools.done(self.now, wish, answered=False))
+                    self._perform(self.pools.request_finished(self.now, wish, answered=False))
                 else:
-                    self._begin(wish, action.conn)
-            elif isinstance(action, pooling.Dial):
-                conn = action.conn
+                    self._begin(wish, action.connection)
+            elif isinstance(action, pooling.OpenConnection):
+                conn = action.connection
                 self.conns[conn] = []
                 site.record.counters["dials_begun"] += 1
                 timeline.at(timeline.now + self.settings.dial_timeout, partial(self._not_up, conn))
                 server = site.servers[conn.server]
                 server.work(site.scenario.servers.open_ms, partial(self._up, conn, server))
-            elif isinstance(action, pooling.Close):
-                if self.conns.pop(action.conn, None) is not None:
-                    site.record.ends.append(ServerEvent(timeline.now, action.conn.server.decode()))
-            elif isinstance(action.want, Wish):
-                self._end(action.want, api.Status.CONNECT_FAILED)
-        due = self.pools.next_due(self.now)
+            elif isinstance(action, pooling.CloseConnection):
+                if self.conns.pop(action.connection, None) is not None:
+                    site.record.ends.append(ServerEvent(timeline.now, action.connection.server.decode()))
+            elif isinstance(action.request, Wish):
+                self._end(action.request, api.Status.CONNECT_FAILED)
+        due = self.pools.next_retry(self.now)
         if due < self._wakes:
             self._wakes = due
             timeline.at(due - EPOCH, self._due)
 
     def _due(self) -> None:
         self._wakes = math.inf
-        self._perform(self.pools.due(self.now))
+        self._perform(self.pools.retry_queues(self.now))
 
-    def _up(self, conn: pooling.Conn, server: VirtualServer) -> None:
-        if conn.state is pooling.State.DIALING:
+    def _up(self, conn: pooling.PooledConnection, server: VirtualServer) -> None:
+        if conn.state is pooling.ConnectionState.DIALING:
             self.site.record.dials.append(ServerEvent(self.site.timeline.now, server.name))
-            self._perform(self.pools.up(self.now, conn, 1))
+            self._perform(self.pools.dial_succeeded(self.now, conn, 1))
 
-    def _not_up(self, conn: pooling.Conn) -> None:
-        if conn.state is pooling.State.DIALING:
+    def _not_up(self, conn: pooling.PooledConnection) -> None:
+        if conn.state is pooling.ConnectionState.DIALING:
             self.conns.pop(conn, None)
             self._perform(self.pools.dial_failed(self.now, conn))
 
-    def _begin(self, wish: Wish, conn: pooling.Conn) -> None:
+    def _begin(self, wish: Wish, conn: pooling.PooledConnection) -> None:
         site, timeline = self.site, self.site.timeline
         self.conns[conn].append(wish)
         server = site.servers[wish.server]
@@ -230,20 +233,22 @@
             wish.one.call_id,
             timeline.now,
             timeline.now,
-            conn.uses > 1,
+            conn.requests_assigned > 1,
             started=True,
         )
         site.record.arrivals.append(arrival)
         server.work(wish.one.work_ms, partial(self._answered, wish, conn, arrival, server))
 
-    def _answered(self, wish: Wish, conn: pooling.Conn, arrival: Arrival, server: VirtualServer) -> None:
+    def _answered(
+        self, wish: Wish, conn: pooling.PooledConnection, arrival: Arrival, server: VirtualServer
+    ) -> None:
         if wish.over or wish not in self.conns.get(conn, ()):
             return
         self.conns[conn].remove(wish)
         arrival.answered = True
         body = f"{server.name} {wish.one.call_id}".encode()
         self.site.record.served_bodies.setdefault(wish.one.call_id, set()).add(body)
-        self._perform(self.pools.done(self.now, wish, answered=True))
+        self._perform(self.pools.request_finished(self.now, wish, answered=True))
         self._end(wish, api.Status.OK, body)
 
     def _end(self, wish: Wish, status: api.Status, body: bytes = b"") -> None:
@@ -255,19 +260,19 @@
     def _stop(self, wish: Wish, status: api.Status | None) -> None:
         if wish.over:
             return
-        conn = wish.conn
+        conn = wish.connection
         if conn is None:
-            self.pools.gave_up(wish)
+            self.pools.request_cancelled(wish)
         else:
-            self.pools.silent(wish)
+            self.pools.request_unanswered(wish)
         if status is not None:
             self._end(wish, status)
         wish.over = True
         self.wishes.pop((wish.request, wish.attempt), None)
         if conn is not None:
-            self._break(conn, pooling.End.HERE)
+            self._break(conn, pooling.ClosedBy.LOCAL)
 
-    def _break(self, conn: pooling.Conn, end: pooling.End) -> None:
+    def _break(self, conn: pooling.PooledConnection, end: pooling.ClosedBy) -> None:
         """End a connection; what was on it may have run."""
         wishes = self.conns.pop(conn, None)
         if wishes is None:
@@ -275,8 +280,8 @@
         self.site.record.ends.append(ServerEvent(self.site.timeline.now, conn.server.decode()))
         for wish in wishes:
             if not wish.over:
-                self.pools.lost(self.now, wish, heard=False)
-        self._perform(self.pools.closed(self.now, conn, end))
+                self.pools.request_lost(self.now, wish, received_bytes=False)
+        self._perform(self.pools.connection_closed(self.now, conn, end))
         for wish in wishes:
             self._end(wish, api.Status.RESET)
 
@@ -284,9 +289,9 @@
         """Have every connection that is up break within some time."""
         timeline, random = self.site.timeline, self.site.random
         for conn in self.conns:
-            if conn.state is pooling.State.UP:
+            if conn.state is pooling.ConnectionState.UP:
                 when = timeline.now + over_ms * random.random()
-                timeline.at(when, partial(self._break, conn, pooling.End.PEER))
+                timeline.at(when, partial(self._break, conn, pooling.ClosedBy.PEER))
 
 
 class VirtualSite:
@@ -373,7 +378,7 @@
     result = evaluate(scenario, seed, script, tries, record)
     tally: Counter[str] = Counter()
     for gateway in site.gateways:
-        tally.update(gateway.pools.tally)
+        tally.update(gateway.pools.counters)
         tally.update(gateway.reducer.counters)
     result.gateway = {name: float(value) for name, value in tally.items()}
     result.gateway["server_line_most"] = float(max(one.most_waiting for one in site.servers.values()))
--- a/wickspring/net/peer_links.py
+++ b/wickspring/net/peer_links.py
@@ -8,7 +8,7 @@
 import msgspec
 import trio
 
-from wickspring.connections.limits import Bucket
+from wickspring.connections.dial_limits import TokenBucket
 from wickspring.logs import kv
 from wickspring.net.clock import Clock
 from wickspring.peer_state.messages import MAX_LINE_BYTES, NUMBERS, Message, Reply
@@ -38,20 +38,20 @@
         self.bytes_out = 0
         self.bytes_in = 0
         self._clock = clock
-        self._bucket = Bucket(bytes_per_s)
+        self._bucket = TokenBucket(bytes_per_s)
         self._bucket.burst = BURST_S * bytes_per_s
         self._bucket.level = self._bucket.burst
 
     def has_bytes_left(self) -> bool:
         """Tell whether a message may be sent now."""
-        return self._bucket.has(self._clock.now())
+        return self._bucket.has_token(self._clock.now())
 
     def record(self, lines: Lines, out_before: int = 0, in_before: int = 0) -> None:
         """Add what a link has transferred since its counters had the given values."""
         sent = lines.given - out_before
         self.bytes_out += sent
         self.bytes_in += lines.taken - in_before
-        self._bucket.has(self._clock.now())  # refills it up to now
+        self._bucket.has_token(self._clock.now())  # refills it up to now
         self._bucket.level = max(-self._bucket.burst, self._bucket.level - sent)
 
 
--- a/wickspring/net/runtime.py
+++ b/wickspring/net/runtime.py
@@ -12,8 +12,8 @@
 
 from wickspring import interface as api
 from wickspring.config import Instance
-from wickspring.connections.limits import within_grace
-from wickspring.connections.pools import Conn
+from wickspring.connections.limits import limit_wait_to_grace
+from wickspring.connections.model import PooledConnection
 from wickspring.core import effects as core
 from wickspring.core.invariants import broken
 from wickspring.core.reducer import Reducer
@@ -76,7 +76,7 @@
         )
         self.upstream = Upstream(
             settings,
-            within_grace(instance.connections, settings.drain_grace),
+            limit_wait_to_grace(instance.connections, settings.drain_grace),
             lambda: self.max_descriptors,
             lambda: len(self.connections),
             self.clock,
@@ -125,7 +125,7 @@
         speakers = self.instance.http2.servers if self.instance.http2.enabled else ()
         return "*" in speakers or server.decode() in speakers
 
-    def _make_carrier(self, upstream: Upstream, conn: Conn) -> Carrier:
+    def _make_carrier(self, upstream: Upstream, conn: PooledConnection) -> Carrier:
         if not self._speaks2(conn.server):
             return Http1Link(upstream, conn)
         from wickspring.net.upstream.http2 import Http2Link  # a megabyte, paid for only where it is spoken
@@ -313,7 +313,7 @@
         return self.reducer.owns(start.request, start.attempt)
 
     def _uploaded(self, job: Job, start: core.StartAttempt, budget: float) -> None:
-        deadline = job.until = self.clock.now() + budget - TRANSIT_MS - SWEEP_MS  # the sweep sees to it
+        deadline = job.deadline = self.clock.now() + budget - TRANSIT_MS - SWEEP_MS  # the sweep sees to it
         self.dispatch(core.RequestBodySent(start.request, deadline))
 
     def _begins(self, start: core.StartAttempt, length: int | None) -> Client | None:
@@ -356,7 +356,7 @@
             address,
             False,
             until,
-            work=False,
+            new_work=False,
             method="GET",
             target=path,
             headers=[],
--- a/wickspring/net/upstream/carrier.py
+++ b/wickspring/net/upstream/carrier.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from wickspring.connections.pools import Want
+from wickspring.connections.model import ConnectionRequest
 from wickspring.interface import Status
 from wickspring.net.body_stream import BodyStream
 from wickspring.net.timers import Timer
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class Job(Want):
+class Job(ConnectionRequest):
     """One exchange: what to send, until when to wait, and whom to tell."""
 
     method: str
--- a/wickspring/net/upstream/http1.py
+++ b/wickspring/net/upstream/http1.py
@@ -7,7 +7,7 @@
 import h11
 import trio
 
-from wickspring.connections.pools import Conn, End
+from wickspring.connections.model import ClosedBy, PooledConnection
 from wickspring.interface import Status
 from wickspring.net.body_stream import BodyStream
 from wickspring.net.calls import MOST_LONG
@@ -143,7 +143,7 @@
 class Http1Link:
     """A connection in the pool."""
 
-    def __init__(self, upstream: Upstream, conn: Conn) -> None:
+    def __init__(self, upstream: Upstream, conn: PooledConnection) -> None:
         self.upstream, self.conn = upstream, conn
         self.job: Job | None = None
         self.link: Link | None = None
@@ -167,14 +167,14 @@
         self.job, self._heard = job, False
         if self.link is None:
             self.close()
-        elif job.work and not self.upstream.may_send(self.conn.server):
+        elif job.new_work and not self.upstream.may_send(self.conn.server):
             # Told of its drain while the connection was on its way: nothing new may go there.
             self._end(Reply(Status.CONNECT_FAILED))
         else:
             self.sent, self._whole = True, job.body_stream is None
             self.link.send(self.reader.request(job))
             if self.link.broken:
-                self.close(End.PEER)
+                self.close(ClosedBy.PEER)
             elif job.body_stream is not None:
                 self.upstream.nursery.start_soon(self._upload, job, job.body_stream, self.link)
 
@@ -184,7 +184,7 @@
             with trio.move_on_after(STALL_S) as stalled:
                 await link.room()
             if stalled.cancelled_caught and self.job is job:
-                self.close(End.PEER)
+                self.close(ClosedBy.PEER)
             more = not link.broken and await body_stream.wait_readable()
             if self.job is not job or link.broken or body_stream.closed:
                 return  # answered, given up or broken meanwhile; whoever did so has seen to the rest
@@ -222,7 +222,7 @@
                 self._answered(answer)
             elif not data:
                 break
-        self.close(End.PEER)
+        self.close(ClosedBy.PEER)
 
     async def _pass_on(self, job: Job) -> bool:
         """Pass on what has come of a long answer; False where nobody wants it any more."""
@@ -270,7 +270,7 @@
         """Tell whether the present job may have run: its last byte was written."""
         return self.sent and self._whole and self.link is not None and self.link.flushed
 
-    def close(self, end: End = End.HERE) -> None:
+    def close(self, closed_by: ClosedBy = ClosedBy.LOCAL) -> None:
         """Close; what was written decides what may have run."""
         written = self.written()
         self.closed, self.sent = True, False
@@ -278,4 +278,4 @@
             self.link.close()
         job, self.job = self.job, None
         reply = Reply(Status.RESET if written else Status.CONNECT_FAILED)
-        self.upstream.closed(self.conn, end, [(job, reply, self._heard)] if job is not None else [])
+        self.upstream.closed(self.conn, closed_by, [(job, reply, self._heard)] if job is not None else [])
--- a/wickspring/net/upstream/http2.py
+++ b/wickspring/net/upstream/http2.py
@@ -10,7 +10,7 @@
 from h2.errors import ErrorCodes
 from h2.exceptions import H2Error
 
-from wickspring.connections.pools import Conn, End
+from wickspring.connections.model import ClosedBy, PooledConnection
 from wickspring.interface import Status
 from wickspring.net.http2_wire import Frames, GoAway, pump, settings
 from wickspring.net.link import Link
@@ -44,7 +44,7 @@
 class Http2Link:
     """A connection in the pool."""
 
-    def __init__(self, upstream: Upstream, conn: Conn) -> None:
+    def __init__(self, upstream: Upstream, conn: PooledConnection) -> None:
         self.upstream, self.conn = upstream, conn
         config = h2.config.H2Configuration(client_side=True, header_encoding="utf-8")
         self.http = h2.connection.H2Connection(config)
@@ -72,12 +72,12 @@
 
     def heard(self, job: Job) -> bool:
         """Tell whether anything has come since the job began."""
-        return self.heard_at >= job.began
+        return self.heard_at >= job.assigned_at
 
     def begin(self, job: Job) -> None:
         """Open a stream for a job."""
         going = self.closed or self.last_stream is not None
-        if going or (job.work and not self.upstream.may_send(self.conn.server)):
+        if going or (job.new_work and not self.upstream.may_send(self.conn.server)):
             # The connection has begun to go, or the server was told to drain, while the job was on its way.
             self.upstream.finish(job, Reply(Status.CONNECT_FAILED))
             return
@@ -100,7 +100,7 @@
         self._flush()
         self.upstream.room(self.conn, self.room())
         if self.link is not None and self.link.broken:
-            self.close(End.PEER)
+            self.close(ClosedBy.PEER)
 
     def _pump(self, stream: int, exchange: Exchange) -> None:
         if not exchange.written and pump(self.http, stream, exchange.outgoing):
@@ -145,7 +145,7 @@
                 break
             self._flush()
             self._end_if_done()
-        self.close(End.PEER)
+        self.close(ClosedBy.PEER)
 
     def _not_up(self) -> None:
         if not self.up:
@@ -228,7 +228,7 @@
         if self.up and not self.room() and not self.streams:
             self.close()
 
-    def close(self, end: End = End.HERE) -> None:
+    def close(self, closed_by: ClosedBy = ClosedBy.LOCAL) -> None:
         """Close; each job ends by whether its last byte was written."""
         first, self.closed = not self.closed, True
         taken = self.link.taken if self.link is not None else 0
@@ -238,4 +238,4 @@
         if first and not self.up:
             self.upstream.dial_failed(self.conn)  # it was accepted and never said its settings
         lost = [(one.job, one.lost(taken), self.heard_at >= one.began) for one in streams]
-        self.upstream.closed(self.conn, end, lost)
+        self.upstream.closed(self.conn, closed_by, lost)
--- a/wickspring/net/upstream/manager.py
+++ b/wickspring/net/upstream/manager.py
@@ -11,8 +11,18 @@
 import trio
 
 from wickspring import interface as api
-from wickspring.connections.limits import ConnectionLimits, most_connections
-from wickspring.connections.pools import Action, Assign, Close, Conn, Dial, End, Pools, Standing, State
+from wickspring.connections.limits import ConnectionLimits, max_server_connections
+from wickspring.connections.model import (
+    Action,
+    AssignConnection,
+    CloseConnection,
+    ClosedBy,
+    ConnectionState,
+    OpenConnection,
+    PooledConnection,
+    ServerStatus,
+)
+from wickspring.connections.pools import ConnectionPools
 from wickspring.interface import Readiness, Status
 from wickspring.logs import kv
 from wickspring.net.clock import Clock
@@ -23,7 +33,7 @@
 log = logging.getLogger(__name__)
 
 SWEEP_MS = 250.0
-GONE = Standing(False)
+GONE = ServerStatus(False)
 
 
 class Dialled(Protocol):
@@ -71,7 +81,7 @@
         timers: Timers,
         nursery: trio.Nursery,
         entry: Callable[[api.ServerId], api.ServerEntry | None],
-        make: Callable[[Upstream, Conn], Carrier],
+        make: Callable[[Upstream, PooledConnection], Carrier],
         expect: Callable[[api.ServerId], int] = lambda _: 1,
         shared: api.PeerState | None = None,
     ) -> None:
@@ -79,13 +89,13 @@
         self.clock, self.timers, self.nursery = clock, timers, nursery
         self._sockets, self._clients, self._entry = sockets, clients, entry
         self._make, self._expect = make, expect
-        self.pools = Pools(limits, settings.idle_close, self._look, settings.seed, shared)
-        self._carriers: dict[Conn, Carrier] = {}
-        self._standings: dict[api.ServerId, tuple[api.ServerEntry, Standing]] = {}  # of warm servers
+        self.pools = ConnectionPools(limits, settings.idle_close, self._look, settings.seed, shared)
+        self._carriers: dict[PooledConnection, Carrier] = {}
+        self._standings: dict[api.ServerId, tuple[api.ServerEntry, ServerStatus]] = {}  # of warm servers
         self._wakes = math.inf
         self.timers.at(self.clock.now() + SWEEP_MS, self._sweep)
 
-    def _look(self, server: api.ServerId, now: float) -> Standing:
+    def _look(self, server: api.ServerId, now: float) -> ServerStatus:
         entry = self._entry(server)
         if entry is None:
             return GONE
@@ -97,13 +107,13 @@
             self._standings[server] = entry, standing
         return standing
 
-    def _standing(self, entry: api.ServerEntry, now: float) -> Standing:
+    def _standing(self, entry: api.ServerEntry, now: float) -> ServerStatus:
         takes = entry.readiness is Readiness.READY
         if entry.started_at <= 0.0:
-            return Standing(takes)
+            return ServerStatus(takes)
         cold = self.settings.cold_capacity
         share = max(0.0, now - entry.started_at) / max(1.0, self.settings.cold_time)
-        return Standing(takes, min(1.0, cold + (1.0 - cold) * share), entry.started_at)
+        return ServerStatus(takes, min(1.0, cold + (1.0 - cold) * share), entry.started_at)
 
     def may_send(self, server: api.ServerId) -> bool:
         """Tell whether new work may go to a server; asked again just before the first byte."""
@@ -112,9 +122,9 @@
 
     def start(self, job: Job) -> None:
         """Carry a job on a connection that has room, or on a new one."""
-        job.timer = self.timers.at(job.until, partial(self.stop, job, Reply(Status.TIMEOUT)))
+        job.timer = self.timers.at(job.deadline, partial(self.stop, job, Reply(Status.TIMEOUT)))
         self._bound()
-        self._perform(self.pools.want(self.clock.now(), job, self._expect(job.server)))
+        self._perform(self.pools.request_connection(self.clock.now(), job, self._expect(job.server)))
 
     def stop(self, job: Job, reply: Reply | None = None) -> None:
         """Stop waiting for a job; with a reply its end is told, without one it is not."""
@@ -122,9 +132,9 @@
             return
         carrier = job.carrier
         if carrier is None:
-            self.pools.gave_up(job)
+            self.pools.request_cancelled(job)
         elif not carrier.heard(job):
-            self.pools.silent(job)
+            self.pools.request_unanswered(job)
         if reply is None:
             job.retire()
         else:
@@ -134,10 +144,10 @@
 
     # From the connections.
 
-    async def connect(self, conn: Conn) -> Link | None:
-        """Dial; None where it failed, which has been told then, or was closed from here meanwhile."""
+    async def connect(self, conn: PooledConnection) -> Link | None:
+        """Dial; None where it failed, which the pools know then, or was closed by this side meanwhile."""
         sock = await connect(conn.address, self.settings.dial_timeout)
-        if conn.state is State.CLOSED:
+        if conn.state is ConnectionState.CLOSED:
             if sock is not None:
                 sock.close()
             return None
@@ -146,79 +156,83 @@
             return None
         return Link(sock, self.nursery)
 
-    def up(self, conn: Conn, room: int) -> None:
+    def up(self, conn: PooledConnection, room: int) -> None:
         """Take in a dial that has succeeded; its connection takes so many jobs at once."""
-        self._perform(self.pools.up(self.clock.now(), conn, room))
+        self._perform(self.pools.dial_succeeded(self.clock.now(), conn, room))
 
-    def dial_failed(self, conn: Conn) -> None:
+    def dial_failed(self, conn: PooledConnection) -> None:
         """Take in a dial that has failed."""
         self._carriers.pop(conn, None)
         self._perform(self.pools.dial_failed(self.clock.now(), conn))
 
-    def room(self, conn: Conn, room: int) -> None:
+    def room(self, conn: PooledConnection, room: int) -> None:
         """Change how many jobs a connection takes at once."""
-        if conn.room != room:
-            self._perform(self.pools.room(self.clock.now(), conn, room))
+        if conn.capacity != room:
+            self._perform(self.pools.capacity_changed(self.clock.now(), conn, room))
 
     def finish(self, job: Job, reply: Reply) -> None:
         """Free the place of a job on a connection that goes on: it was answered, or never written."""
         answered = reply.status is not Status.CONNECT_FAILED
-        self._perform(self.pools.done(self.clock.now(), job, answered))
+        self._perform(self.pools.request_finished(self.clock.now(), job, answered))
         job.end(reply)
 
     def left(self, job: Job) -> None:
         """Free the place of a job that was given up, on a connection that goes on."""
-        self._perform(self.pools.done(self.clock.now(), job, answered=False))
+        self._perform(self.pools.request_finished(self.clock.now(), job, answered=False))
 
-    def closed(self, conn: Conn, end: End, lost: list[tuple[Job, Reply, bool]]) -> None:
+    def closed(self, conn: PooledConnection, end: ClosedBy, lost: list[tuple[Job, Reply, bool]]) -> None:
         """Remove a connection that has ended with these jobs, of which bytes may have been received."""
         self._carriers.pop(conn, None)
         for job, reply, heard in lost:
             if reply.status is Status.RESET:
-                self.pools.lost(self.clock.now(), job, heard)
-        self._perform(self.pools.closed(self.clock.now(), conn, end))
+                self.pools.request_lost(self.clock.now(), job, heard)
+        self._perform(self.pools.connection_closed(self.clock.now(), conn, end))
         for job, reply, _ in lost:
             job.end(reply)
 
     def leave(self) -> None:
-        """End what is idle, now and from now on: another process of this ingress opens its own."""
-        self.pools.leaving = True
-        self._perform(self.pools.sweep(self.clock.now()))
+        """ClosedBy what is idle, now and from now on: another process of this ingress opens its own."""
+        self.pools.settings.shutting_down = True
+        self._perform(self.pools.maintain(self.clock.now()))
 
     def report(self) -> dict[str, object]:
         """Return the figures of all pools."""
         pools = self.pools
-        return {"server_connections": pools.total, "dialing": pools.dialing, **pools.tally}
+        return {
+            "server_connections": pools.connection_count,
+            "dialing": pools.dials_in_progress,
+            **pools.counters,
+        }
 
     # Carrying out.
 
     def _perform(self, actions: list[Action]) -> None:
-        if not actions and not self.pools.hungry:
+        if not actions and not self.pools.has_waiting_requests:
             return  # as after nearly every answer
         for action in actions:
-            if isinstance(action, Assign):
+            if isinstance(action, AssignConnection):
                 self._assign(action)
-            elif isinstance(action, Dial):
-                carrier = self._carriers[action.conn] = self._make(self, action.conn)
+            elif isinstance(action, OpenConnection):
+                carrier = self._carriers[action.connection] = self._make(self, action.connection)
                 self.nursery.start_soon(self._run, carrier)
-            elif isinstance(action, Close):
-                ended = self._carriers.pop(action.conn, None)
+            elif isinstance(action, CloseConnection):
+                ended = self._carriers.pop(action.connection, None)
                 if ended is not None:
                     ended.close()
-            elif isinstance(action.want, Job):
-                action.want.end(Reply(Status.CONNECT_FAILED))
+            elif isinstance(action.request, Job):
+                action.request.end(Reply(Status.CONNECT_FAILED))
         self._wake()
 
-    def _assign(self, assign: Assign) -> None:
-        job, carrier, now = assign.want, self._carriers.get(assign.conn), self.clock.now()
+    def _assign(self, assign: AssignConnection) -> None:
+        job, carrier, now = assign.request, self._carriers.get(assign.connection), self.clock.now()
         if not isinstance(job, Job):
             return
         if job.ended or carrier is None:
-            self._perform(self.pools.done(now, job, answered=False))
-        elif job.idle >= 0.0 and carrier.stale():
+            self._perform(self.pools.request_finished(now, job, answered=False))
+        elif job.idle_ms >= 0.0 and carrier.stale():
             # A server closes what is idle; its close may have come and not been read yet, and work
             # written after it would count as possibly run.
-            follows = self.pools.stale(now, job)
+            follows = self.pools.connection_stale(now, job)
             carrier.close()
             self._perform(follows)
         else:
@@ -236,12 +250,14 @@
     # Upkeep.
 
     def _bound(self) -> None:
-        self.pools.most = most_connections(self.limits, self._sockets(), self._clients())
+        self.pools.settings.max_connections = max_server_connections(
+            self.limits, self._sockets(), self._clients()
+        )
 
     def _wake(self) -> None:
         """See to it that lines are looked at again when time alone may have made room."""
         now = self.clock.now()
-        due = self.pools.next_due(now)
+        due = self.pools.next_retry(now)
         if due < self._wakes:
             self._wakes = due
             self.timers.at(due, self._due)
@@ -249,11 +265,11 @@
     def _due(self) -> None:
         self._wakes = math.inf
         self._bound()
-        self._perform(self.pools.due(self.clock.now()))
+        self._perform(self.pools.retry_queues(self.clock.now()))
 
     def _sweep(self) -> None:
         self.timers.at(self.clock.now() + SWEEP_MS, self._sweep)
         self._bound()
-        self._perform(self.pools.sweep(self.clock.now()))
+        self._perform(self.pools.maintain(self.clock.now()))
         for server in [server for server in self._standings if self._entry(server) is None]:
             del self._standings[server]
