--- a/wickspring/common/endpoints.py
+++ b/wickspring/common/endpoints.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import Any
+from typing import TypeAlias
 
 import msgspec
 
@@ -26,6 +26,8 @@
 DRAINING = EndpointState.DRAINING
 GONE = EndpointState.GONE
 
+EndpointFields: TypeAlias = list[str | int | float]  # of an endpoint in a file
+
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
@@ -41,57 +43,71 @@
     warming_until_ms: float = 0.0  # by this process's clock
     generation: str = ""  # its build
 
-    def pack(self, now: float) -> list[Any]:
-        """Return the fields for a message or a file.
-
-        Args:
-            now: the time, in milliseconds. Clocks of machines differ, so what remains of the warm-up is
-                written in place of its end.
-        """
-        remaining_ms = max(0.0, self.warming_until_ms - now)
-        return [
-            self.id,
-            self.service,
-            self.address,
-            self.zone,
-            self.slots,
-            self.state,
-            self.sequence,
-            round(remaining_ms),
-            self.generation,
-        ]
+    def pack(self, now: float) -> EndpointFields:
+        """Return the fields for a file, in the order of `EndpointRecord`; `now` in milliseconds."""
+        return list(msgspec.structs.astuple(self.to_record(now)))
 
     @staticmethod
-    def unpack(fields: Any, now: float) -> Endpoint:
-        """Read the fields that `pack` has written.
+    def unpack(fields: EndpointFields, now: float) -> Endpoint:
+        """Read the fields that `pack` has written; `now` in milliseconds.
 
         Raises:
             GatewayError: the address is not one that a request could be sent to.
             ValueError, TypeError: the fields are not those of an endpoint.
         """
-        endpoint_id, service, address, zone, slots, state, sequence, remaining_ms, generation = fields
-        parse_address(str(address))
-        warming_until_ms = now + float(remaining_ms) if remaining_ms else 0.0
-        return Endpoint(
-            str(endpoint_id),
-            str(service),
-            str(address),
-            str(zone),
-            int(slots),
-            int(state),
-            int(sequence),
-            warming_until_ms,
-            str(generation),
+        endpoint_id, service, address, zone, slots, state, sequence, warmup_remaining_ms, generation = fields
+        record = EndpointRecord(
+            endpoint_id=str(endpoint_id),
+            service=str(service),
+            address=str(address),
+            zone=str(zone),
+            slots=int(slots),
+            state=int(state),
+            sequence=int(sequence),
+            warmup_remaining_ms=float(warmup_remaining_ms or 0.0),
+            generation=str(generation),
         )
+        return Endpoint.from_record(record, now)
 
     def to_record(self, now: float) -> EndpointRecord:
-        """Return the payload for a typed message; `now` in milliseconds."""
-        return EndpointRecord(*self.pack(now))
+        """Return the payload for a message.
+
+        Args:
+            now: the time, in milliseconds. Clocks of machines differ, so what remains of the warm-up is
+                written in place of its end.
+        """
+        return EndpointRecord(
+            endpoint_id=self.id,
+            service=self.service,
+            address=self.address,
+            zone=self.zone,
+            slots=self.slots,
+            state=self.state,
+            sequence=self.sequence,
+            warmup_remaining_ms=round(max(0.0, self.warming_until_ms - now)),
+            generation=self.generation,
+        )
 
     @staticmethod
     def from_record(record: EndpointRecord, now: float) -> Endpoint:
-        """Read the payload of a typed message; raises as `unpack`."""
-        return Endpoint.unpack(msgspec.structs.astuple(record), now)
+        """Read the payload of a message; `now` in milliseconds.
+
+        Raises:
+            GatewayError: the address is not one that a request could be sent to.
+        """
+        parse_address(record.address)
+        remaining_ms = record.warmup_remaining_ms
+        return Endpoint(
+            id=record.endpoint_id,
+            service=record.service,
+            address=record.address,
+            zone=record.zone,
+            slots=record.slots,
+            state=record.state,
+            sequence=record.sequence,
+            warming_until_ms=now + remaining_ms if remaining_ms else 0.0,
+            generation=record.generation,
+        )
 
 
 def endpoints_digest(endpoints: Iterable[Endpoint]) -> int:
--- a/wickspring/common/logs.py
+++ b/wickspring/common/logs.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import sys
-from typing import Any
+from collections.abc import Mapping
 
 import eliot
 
@@ -13,9 +13,10 @@
 _node_name = "-"
 
 
-def _write(message: dict[str, Any]) -> None:
+def _write(message: Mapping[str, object]) -> None:
+    written_at = message.get("timestamp")
     pairs: list[tuple[str, object]] = [
-        ("at", round(message.get("timestamp", 0.0), 3)),  # seconds since 1970
+        ("at", round(written_at, 3) if isinstance(written_at, float) else 0.0),  # seconds since 1970
         ("node", _node_name),
         ("event", message.get("message_type", "-")),
     ]
--- a/wickspring/common/messages/base.py
+++ b/wickspring/common/messages/base.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from typing import Annotated, Any, Generic, TypeVar
+from collections.abc import Iterable, Sequence
+from typing import Annotated, Generic, TypeAlias, TypeVar
 
 import msgspec
 
-WireMessage = list[Any]  # a message as msgpack unpacks it: its name, then its fields
+WireMessage: TypeAlias = Sequence[object]  # a message as msgpack unpacks it: its name, then its fields
 
 _OCTET = "(?:25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])"
 
@@ -36,18 +36,18 @@
 class MessageDecoder(Generic[MessageT]):
     """Turns unpacked arrays into the messages of one direction."""
 
-    def __init__(self, kinds: Iterable[type[MessageT]]) -> None:
-        self._types_by_name: dict[str, type[MessageT]] = {}
-        for kind in kinds:
-            name = str(kind.__struct_config__.tag)
+    def __init__(self, message_types: Iterable[type[MessageT]]) -> None:
+        self._types_by_name: dict[object, type[MessageT]] = {}
+        for message_type in message_types:
+            name = str(message_type.__struct_config__.tag)
             if name in self._types_by_name:
-                raise ValueError(f"two kinds of messages named {name!r} in one direction")
-            self._types_by_name[name] = kind
+                raise ValueError(f"two types of messages named {name!r} in one direction")
+            self._types_by_name[name] = message_type
 
     @property
     def message_types(self) -> dict[str, type[MessageT]]:
         """Return the classes of this direction by their names on the wire."""
-        return dict(self._types_by_name)
+        return {str(name): message_type for name, message_type in self._types_by_name.items()}
 
     def decode(self, wire_message: WireMessage) -> MessageT | None:
         """Return the message, or None where its name is not known in this direction.
@@ -57,5 +57,5 @@
             IndexError: the array is empty.
             TypeError: the name cannot be one.
         """
-        kind = self._types_by_name.get(wire_message[0])
-        return None if kind is None else msgspec.convert(wire_message, kind)
+        message_type = self._types_by_name.get(wire_message[0])
+        return None if message_type is None else msgspec.convert(wire_message, message_type)
--- a/wickspring/common/messages/between_nodes.py
+++ b/wickspring/common/messages/between_nodes.py
@@ -51,7 +51,7 @@
     logged there, and does not end the connection.
     """
 
-    payload: Any
+    payload: Any  # of any form: checked by the decoder of the protocol
 
 
 class SubmitUpdate(Message, tag="enter", frozen=True):
@@ -67,7 +67,7 @@
 
     ticket: int  # of the update's sender
     outcome: int  # `replica.CommitOutcome`
-    state: Any  # `Replica.pack`, or None where it was not asked for or not committed
+    state: object  # `Replica.pack`, or None where it was not asked for or not committed
 
 
 class ReplicatedCounts(Message, tag="shadow", frozen=True):
--- a/wickspring/common/routing_table.py
+++ b/wickspring/common/routing_table.py
@@ -7,12 +7,16 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, TypeAlias
 
 import msgspec
 
 _IDEMPOTENT = "pure"  # the value of `route_kind`, whose words are those of the document
 
+# A part of the document. The control plane's validation is lenient (numbers may be texts, fields unknown), so
+# values are converted where they are read.
+JsonObject: TypeAlias = Mapping[str, Any]
+
 
 @dataclass(slots=True, frozen=True)
 class Route:
@@ -102,7 +106,7 @@
         ValueError, KeyError, TypeError: it has not been validated. `msgspec.DecodeError`, where it is not
             JSON, is a ValueError.
     """
-    tree = msgspec.json.decode(document)
+    tree: JsonObject = msgspec.json.decode(document)
     table = RoutingTable(version=parse_version(tree["generation"]))
     for host in tree["sockets"]:
         routes = [_route(rule) for rule in host["policy"]]
@@ -121,7 +125,7 @@
     return table
 
 
-def _route(rule: Mapping[str, Any]) -> Route:
+def _route(rule: JsonObject) -> Route:
     effect = rule["effect"]
     return Route(
         name=rule["name"],
@@ -136,13 +140,13 @@
     )
 
 
-def _weighted_services(effect: Mapping[str, Any]) -> tuple[tuple[str, float], ...]:
+def _weighted_services(effect: JsonObject) -> tuple[tuple[str, float], ...]:
     if "weighted" not in effect:
         return ((effect["service"], 1.0),)
     return tuple((entry["service"], float(entry["weight"])) for entry in effect["weighted"])
 
 
-def _tenant(entry: Mapping[str, Any]) -> Tenant:
+def _tenant(entry: JsonObject) -> Tenant:
     return Tenant(
         name=entry["name"],
         priority=int(entry.get("priority", 0)),
@@ -151,7 +155,7 @@
     )
 
 
-def _service(entry: Mapping[str, Any]) -> Service:
+def _service(entry: JsonObject) -> Service:
     return Service(
         name=entry["name"],
         health_path=entry.get("health_path", "/health"),
@@ -159,7 +163,7 @@
     )
 
 
-def _client_limits(limits: Mapping[str, Any]) -> ClientLimits:
+def _client_limits(limits: JsonObject) -> ClientLimits:
     default = ClientLimits()
     return ClientLimits(
         max_head_bytes=int(limits.get("max_header_bytes", default.max_head_bytes)),
--- a/wickspring/common/settings.py
+++ b/wickspring/common/settings.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TypeAlias, Union
 
 import msgspec
 
@@ -17,6 +17,7 @@
 from wickspring.common.settings_file import parse_address as parse_address
 
 _LIST_FIELDS = frozenset({"serves", "seed_addrs", "in_force"})
+SettingsTree: TypeAlias = dict[str, Union[str, list[str], "SettingsTree"]]  # values by the parts of names
 CONFIG_MODE = "highest"  # the highest version is in force: the only rule that the control plane knows
 
 
@@ -110,9 +111,9 @@
     return settings
 
 
-def _tree(lines: dict[str, str]) -> dict[str, Any]:
+def _tree(lines: dict[str, str]) -> SettingsTree:
     """Return nested dictionaries for the dotted names, and lists for the fields that have them."""
-    tree: dict[str, Any] = {}
+    tree: SettingsTree = {}
     for name, value in lines.items():
         *path, field = name.split(".")
         branch = tree
--- a/wickspring/dataplane/control_client/client.py
+++ b/wickspring/dataplane/control_client/client.py
@@ -90,10 +90,10 @@
 
     def on_connect(self, connection: PeerConnection) -> None:
         """Introduce this data plane on a new connection."""
-        version, digest = self.config.identity
-        attributes = HelloAttributes(version, digest, self._settings.zone)
+        identity = self.config.identity
+        attributes = HelloAttributes(identity.version, identity.digest, self._settings.zone)
         connection.send(Hello(ROLE_DATA_PLANE, self._settings.ip, attributes))
-        status_of(connection).sent_config = self.config.identity
+        status_of(connection).sent_config = identity
         self.quota.send_usage(connection)
 
     def on_disconnect(self, client: ReconnectingClient) -> None:
@@ -178,8 +178,7 @@
         """Show that this data plane is alive, with its configuration only where that has changed."""
         identity = self.config.identity
         connection = client.connection
-        changed = connection is not None and status_of(connection).sent_config != identity
-        if connection is not None and changed and client.send(DataPlaneHeartbeat(*identity)):
-            status_of(connection).sent_config = identity
-        else:
+        if connection is None or status_of(connection).sent_config == identity:
             client.send(DataPlaneHeartbeat())
+        elif client.send(DataPlaneHeartbeat(identity.version, identity.digest)):
+            status_of(connection).sent_config = identity
--- a/wickspring/dataplane/control_client/config_sync.py
+++ b/wickspring/dataplane/control_client/config_sync.py
@@ -33,7 +33,7 @@
     @property
     def identity(self) -> ConfigIdentity:
         """The version and digest of the adopted configuration."""
-        return self.routing_table.version, self.adoption.digest
+        return ConfigIdentity(self.routing_table.version, self.adoption.digest)
 
     def offer(self, offer: ConfigOffer, by_control_plane: bool) -> None:
         """Adopt a copy that is offered, if the rules allow it."""
--- a/wickspring/dataplane/control_client/connections.py
+++ b/wickspring/dataplane/control_client/connections.py
@@ -11,6 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 from random import Random
+from typing import NamedTuple
 from weakref import WeakKeyDictionary
 
 import trio
@@ -24,7 +25,12 @@
 
 FORGET_NODE_MS = 60_000.0  # out of reach, after which a node is forgotten that is neither seed nor member
 
-ConfigIdentity = tuple[int, bytes]  # version of a configuration, digest of its document
+
+class ConfigIdentity(NamedTuple):
+    """What tells two configurations apart."""
+
+    version: int
+    digest: bytes  # of the document, uncompressed
 
 
 @dataclass(slots=True)
--- a/wickspring/dataplane/control_client/load_client.py
+++ b/wickspring/dataplane/control_client/load_client.py
@@ -7,8 +7,7 @@
 from wickspring.common.messages import EndpointAdvice, RequestEndpointAdvice, RequestFinished, RequestStarted
 from wickspring.dataplane.control_client.connections import ControlPlaneConnections
 
-# Endpoint ids with their costs, and how many endpoints of the service the control plane knows.
-AdviceHandler = Callable[[list[tuple[str, float]], int], None]
+AdviceHandler = Callable[[EndpointAdvice], None]
 
 
 class LoadClient:
@@ -41,7 +40,7 @@
         """Hand advice over to whoever asked for it."""
         on_advice = self._pending.pop(advice.request_number, None)
         if on_advice is not None:
-            on_advice(advice.offers, advice.known_endpoints)
+            on_advice(advice)
 
     def request_started(self, service: str, endpoint_id: str) -> str:
         """Report an attempt as in flight; return the owner's IP for `request_finished`, "" if not sent."""
--- a/wickspring/dataplane/control_client/quota_client.py
+++ b/wickspring/dataplane/control_client/quota_client.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from dataclasses import dataclass
+from typing import Protocol
 
 from wickspring.common.connection import PeerConnection, ReconnectingClient
 from wickspring.common.messages import AddQuota, QuotaRefund, QuotaSpent, QuotaTotal, UsageReport
@@ -11,10 +12,17 @@
 from wickspring.dataplane.control_client.listener import ControlListener
 
 ADD_TIMEOUT_MS = 90.0  # for an add to be answered, beyond which the data plane decides alone
-NOT_OWNER_LIMIT = -1  # reported as the limit where the node asked does not own the count
+NOT_OWNER_LIMIT = -1  # limit by which nodes of earlier versions say that they do not own the count
 
-# Total with the unit added, limit (below 0: the node asked is not the owner), ms to the end of the window.
-QuotaReplyHandler = Callable[[int, int, float], None]
+
+class QuotaReplyHandler(Protocol):
+    """Handles the reply to one add."""
+
+    def on_total(self, reply: QuotaTotal, /) -> None:
+        """Handle that the owner has added the unit."""
+
+    def on_owner_moved(self) -> None:
+        """Handle that the node asked does not own the count, and has not added the unit."""
 
 
 @dataclass(slots=True)
@@ -22,7 +30,7 @@
     """An add that has not been answered yet."""
 
     client: ReconnectingClient
-    on_reply: QuotaReplyHandler
+    handler: QuotaReplyHandler
 
 
 class QuotaClient:
@@ -36,7 +44,7 @@
         self._listener = listener
         self._pending: dict[int, _PendingAdd] = {}
 
-    def add(self, tenant: str, is_retry: bool, on_reply: QuotaReplyHandler) -> int:
+    def add(self, tenant: str, is_retry: bool, handler: QuotaReplyHandler) -> int:
         """Add a unit to a tenant's count.
 
         Return a number to `abandon` the add by, or 0 where the owner is not in reach.
@@ -45,27 +53,30 @@
         if client is None:
             return 0
         number = next(self._numbers)
-        self._pending[number] = _PendingAdd(client, on_reply)
+        self._pending[number] = _PendingAdd(client, handler)
         client.send(AddQuota(number, tenant, is_retry, self._connections.epoch))
         return number
 
-    def abandon(self, number: int, on_late_reply: QuotaReplyHandler) -> None:
-        """Wait no longer for an add; a late reply goes to `on_late_reply`, if one comes."""
+    def abandon(self, number: int, late_handler: QuotaReplyHandler) -> None:
+        """Wait no longer for an add; a late reply goes to `late_handler`, if one comes."""
         pending = self._pending.get(number)
         if pending is not None:
-            pending.on_reply = on_late_reply
+            pending.handler = late_handler
 
     def on_total(self, reply: QuotaTotal) -> None:
         """Hand over the reply to an add."""
+        if reply.limit == NOT_OWNER_LIMIT:
+            self.on_owner_moved(reply.request_number)
+            return
         pending = self._pending.pop(reply.request_number, None)
         if pending is not None:
-            pending.on_reply(reply.total, reply.limit, reply.window_remaining_ms)
+            pending.handler.on_total(reply)
 
     def on_owner_moved(self, number: int) -> None:
         """Hand over that an add went to a node that does not own the count."""
         pending = self._pending.pop(number, None)
         if pending is not None:
-            pending.on_reply(0, NOT_OWNER_LIMIT, 0.0)
+            pending.handler.on_owner_moved()
 
     def on_disconnect(self, client: ReconnectingClient) -> None:
         """Forget adds on a connection that has ended: the next one begins with a usage report."""
--- a/wickspring/dataplane/request/admission.py
+++ b/wickspring/dataplane/request/admission.py
@@ -8,6 +8,7 @@
 from functools import partial
 
 from wickspring.common.errors import ErrorKind
+from wickspring.common.messages import EndpointAdvice
 from wickspring.common.routing_table import Route, RoutingTable, Tenant
 from wickspring.dataplane.policy.attempts import FINAL_RESPONSE_MARGIN_MS, Attempts
 from wickspring.dataplane.request.forwarding import Forwarder
@@ -150,11 +151,12 @@
         timeout = partial(self._on_advice_timeout, request, number)
         request.cancel_advice_timeout = context.timers.at(due, timeout).cancel
 
-    def _on_advice(self, request: Request, advice: list[tuple[str, float]], known: int) -> None:
+    def _on_advice(self, request: Request, advice: EndpointAdvice) -> None:
         """Take advice in, unless the control plane knows too few of the endpoints known here."""
         request.cancel_advice_timeout()
         accepting = self._context.endpoints.services.get(request.attempts.service, ())
-        request.advice = advice if known >= MIN_ADVISED_SHARE * len(accepting) else []
+        is_complete = advice.known_endpoints >= MIN_ADVISED_SHARE * len(accepting)
+        request.advice = advice.offers if is_complete else []
         self._forwarder.send_if_ready(request)
 
     def _on_advice_timeout(self, request: Request, number: int) -> None:
--- a/wickspring/dataplane/request/quota_check.py
+++ b/wickspring/dataplane/request/quota_check.py
@@ -6,11 +6,10 @@
 
 from __future__ import annotations
 
-from functools import partial
-
 from wickspring.common.errors import ErrorKind
+from wickspring.common.messages import QuotaTotal
 from wickspring.common.routing_table import Tenant
-from wickspring.dataplane.control_client.quota_client import ADD_TIMEOUT_MS, NOT_OWNER_LIMIT
+from wickspring.dataplane.control_client.quota_client import ADD_TIMEOUT_MS, QuotaClient
 from wickspring.dataplane.policy.quota import QuotaDecision
 from wickspring.dataplane.policy.retry_budget import DEFAULT_DATA_PLANE_COUNT
 from wickspring.dataplane.request.forwarding import Forwarder
@@ -70,36 +69,63 @@
         """Ask the owner; decide alone where none is in reach or none answers in time."""
         context = self._context
         request = self._request
-        self._number = context.quota_client.add(self._tenant.name, request.is_retry, self._on_reply)
+        self._number = context.quota_client.add(self._tenant.name, request.is_retry, self)
         if not self._number:
-            self._decide_locally()
+            self._checker.decide(self._request, self._decide_locally())
             return
         due = context.clock.now() + ADD_TIMEOUT_MS
-        self._cancel_timeout = context.timers.at(due, self._decide_locally).cancel
+        self._cancel_timeout = context.timers.at(due, self._on_timeout).cancel
 
-    def _on_reply(self, total: int, limit: int, window_end_ms: float) -> None:
+    def on_total(self, reply: QuotaTotal) -> None:
+        """Decide by the total that the owner has counted."""
         self._cancel_timeout()
-        if limit == NOT_OWNER_LIMIT:
-            self._decide_locally(answered=True)
-            return
         now = self._context.clock.now()
-        decision = self._context.quota.decide(now, self._tenant.name, total, limit, window_end_ms)
+        decision = self._context.quota.decide(
+            now, self._tenant.name, reply.total, reply.limit, reply.window_remaining_ms
+        )
+        self._checker.decide(self._request, decision)
+
+    def on_owner_moved(self) -> None:
+        """Decide alone, and report to the owner what it has not counted."""
+        self._cancel_timeout()
+        decision = self._decide_locally()
+        if decision.allowed:
+            self._context.quota_client.report_spent(self._tenant.name)
+        self._checker.decide(self._request, decision)
+
+    def _on_timeout(self) -> None:
+        """Decide alone; a late reply is put right."""
+        decision = self._decide_locally()
+        quota_client = self._context.quota_client
+        quota_client.abandon(self._number, _LateReply(quota_client, self._tenant.name, decision.allowed))
         self._checker.decide(self._request, decision)
 
-    def _decide_locally(self, answered: bool = False) -> None:
+    def _decide_locally(self) -> QuotaDecision:
         context = self._context
         context.event_counts["quota_decided_locally"] += 1
         data_planes = context.data_plane_count() or DEFAULT_DATA_PLANE_COUNT
-        decision = context.quota.decide_alone(context.clock.now(), self._tenant, data_planes)
-        context.quota_client.abandon(self._number, partial(self._on_late_reply, decision.allowed))
-        if decision.allowed and answered:
-            context.quota_client.report_spent(self._tenant.name)
-        self._checker.decide(self._request, decision)
+        return context.quota.decide_alone(context.clock.now(), self._tenant, data_planes)
 
-    def _on_late_reply(self, granted: bool, total: int, limit: int, window_end_ms: float) -> None:
-        """Put right what a late reply shows the owner to have counted otherwise than was decided here."""
-        counted = 0 <= total <= limit
-        if granted and not counted:
-            self._context.quota_client.report_spent(self._tenant.name)
-        elif counted and not granted:
-            self._context.quota_client.refund(self._tenant.name)
+
+class _LateReply:
+    """Handles a reply that comes after the data plane has decided alone."""
+
+    __slots__ = ("_quota_client", "_tenant_name", "_was_allowed")
+
+    def __init__(self, quota_client: QuotaClient, tenant_name: str, was_allowed: bool) -> None:
+        self._quota_client = quota_client
+        self._tenant_name = tenant_name
+        self._was_allowed = was_allowed
+
+    def on_total(self, reply: QuotaTotal) -> None:
+        """Put right what the owner has counted otherwise than was decided here."""
+        is_counted = 0 <= reply.total <= reply.limit
+        if self._was_allowed and not is_counted:
+            self._quota_client.report_spent(self._tenant_name)
+        elif is_counted and not self._was_allowed:
+            self._quota_client.refund(self._tenant_name)
+
+    def on_owner_moved(self) -> None:
+        """Report the unit, which nobody has counted, where the request was allowed."""
+        if self._was_allowed:
+            self._quota_client.report_spent(self._tenant_name)
