--- a/wickspring/common/endpoints.py
+++ b/wickspring/common/endpoints.py
@@ -48,13 +48,15 @@
         return list(msgspec.structs.astuple(self.to_record(now)))
 
     @staticmethod
-    def unpack(fields: EndpointFields, now: float) -> Endpoint:
+    def unpack(fields: object, now: float) -> Endpoint:
         """Read the fields that `pack` has written; `now` in milliseconds.
 
         Raises:
             GatewayError: the address is not one that a request could be sent to.
             ValueError, TypeError: the fields are not those of an endpoint.
         """
+        if not isinstance(fields, list | tuple):
+            raise TypeError("an endpoint's fields are not a list")
         endpoint_id, service, address, zone, slots, state, sequence, warmup_remaining_ms, generation = fields
         record = EndpointRecord(
             endpoint_id=str(endpoint_id),
