--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -24,7 +24,9 @@
 from wickspring.lab.experiments.run import run
 from wickspring.lab.reports.result import Result
 from wickspring.membership.anti_entropy import AntiEntropyTable
-from wickspring.membership.swim import MemberInfo, Membership, MemberState, Suspicion
+from wickspring.membership.members import MemberInfo, MemberState
+from wickspring.membership.suspicions import Suspicion
+from wickspring.membership.swim import Membership
 from wickspring.peer_state.counts import (
     MAX_INCARNATIONS,
     MAX_WINDOWS,
--- a/wickspring/common/messages/datagrams.py
+++ b/wickspring/common/messages/datagrams.py
@@ -41,7 +41,7 @@
 
 
 class MemberSuspicion(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """A member that somebody could not reach (`membership.swim.Suspicion`)."""
+    """A member that somebody could not reach (`membership.suspicions.Suspicion`)."""
 
     name: str
     incarnation: float
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -36,7 +36,9 @@
 )
 from wickspring.dataplane.state_exchange import StateExchange
 from wickspring.membership.anti_entropy import Digest, Entry, EntryVersion
-from wickspring.membership.swim import MemberInfo, Membership, Suspicion
+from wickspring.membership.members import MemberInfo
+from wickspring.membership.suspicions import Suspicion
+from wickspring.membership.swim import Membership
 from wickspring.net.clock import Clock
 from wickspring.net.datagrams import Datagrams
 
--- a/wickspring/membership/swim.py
+++ b/wickspring/membership/swim.py
@@ -16,89 +16,24 @@
 
 import math
 from collections.abc import Iterable
-from dataclasses import dataclass, field
-from enum import Enum
 from random import Random
 from typing import TypeVar
 
-import msgspec
-
 from wickspring.membership.anti_entropy import AntiEntropyTable, Entry
+from wickspring.membership.members import MemberInfo, MemberRecord, MemberState
+from wickspring.membership.suspicions import PendingSuspicions, Suspicion, timeout_rounds
 
 INDIRECT_PROBE_HELPERS = 3
-MIN_SUSPICION_ROUNDS = 3.0
-SUSPICION_ROUNDS_PER_LOG10 = 3.0  # more by log10 of the members
 MAX_LOCAL_HEALTH_SCORE = 4  # steps by which a member in poor health gives the others more time
 LATE_TICK_ROUNDS = 3.0  # between two ticks from which this member itself was stopped or starved
 DEAD_PROBE_PROBABILITY = 0.25  # of a round, in which a dead member is probed
 FORGET_S = 600.0  # after which a dead member is removed
 TRUSTED_CONTACT_ROUNDS = 2.0  # since a contact, in which others' suspicions of a member are ignored
-MAX_PENDING_SUSPICIONS = 64
-
-
-class MemberState(Enum):
-    """The state of a member as far as is known here.
-
-    The values are shown to operators and compared by their scripts, so older words stay in them.
-    """
-
-    ALIVE = "alive"
-    SUSPECTED = "doubted"
-    DEAD = "gone"
-    LEFT = "left"  # stopped on purpose
-
-
-ACTIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECTED)
-
-
-class MemberInfo(msgspec.Struct, frozen=True, array_like=True):
-    """What each member says of itself at least; the order of the fields is fixed by the wire."""
-
-    address: str = ""
-    left: bool = False
-
-
-class Suspicion(msgspec.Struct, frozen=True, array_like=True):
-    """A report that a member could not be reached; a newer entry of the member refutes it.
-
-    The order of the fields is fixed by the wire.
-    """
-
-    name: str
-    incarnation: float
-    heartbeat: int
-    suspected_by: str
 
 
 Info = TypeVar("Info", bound=MemberInfo)
 
 
-@dataclass(slots=True)
-class _MemberRecord:
-    """What is known of one other member."""
-
-    state: MemberState
-    since: float
-    suspected_by: set[str] = field(default_factory=set)
-    last_contact_at: float = -math.inf
-
-    def change_state(self, state: MemberState, now: float) -> None:
-        self.state = state
-        self.since = now
-
-    @property
-    def active(self) -> bool:
-        return self.state in ACTIVE_STATES
-
-
-@dataclass(slots=True)
-class _PendingSuspicion:
-    """A suspicion to be piggybacked so many more times."""
-
-    suspicion: Suspicion
-    sends_left: int
-
-
 class Membership(AntiEntropyTable[Info]):
     """One member's view of all members."""
 
@@ -109,9 +44,9 @@
         self.random = Random(seed)
         self.now = now
         self.local_health_score = 0  # Lifeguard's: 0 is healthy
-        self._records: dict[str, _MemberRecord] = {}
+        self._records: dict[str, MemberRecord] = {}
         self._probe_order: list[str] = []
-        self._pending_suspicions: dict[str, _PendingSuspicion] = {}
+        self._pending_suspicions = PendingSuspicions()
         self._last_tick_at = now
         super().__init__(owner, incarnation, info)
 
@@ -126,7 +61,7 @@
 
     def active_members(self) -> list[str]:
         """Return the other members that are alive or suspected, by name."""
-        return sorted(name for name, record in self._records.items() if record.active)
+        return sorted(name for name, record in self._records.items() if record.is_active)
 
     def seconds_since_contact(self, name: str) -> float:
         """Return seconds since the last exchange between this member and another."""
@@ -155,14 +90,17 @@
         dead = []
         for name, record in list(self._records.items()):
             if record.state is MemberState.SUSPECTED:
-                if now >= record.since + self._suspicion_timeout_s(len(record.suspected_by)):
+                if self._is_suspicion_over(record):
                     record.change_state(MemberState.DEAD, now)
                     dead.append(name)
-            elif not record.active and now >= record.since + FORGET_S:
+            elif not record.is_active and now >= record.since + FORGET_S:
                 del self._records[name]
                 self.remove(name)
         return dead
 
+    def _is_suspicion_over(self, record: MemberRecord) -> bool:
+        return self.now >= record.since + self._suspicion_timeout_s(len(record.suspected_by))
+
     def _restart_suspicions(self) -> None:
         """Give suspects their full time again: this member was stopped, so its silence proves nothing."""
         self._worsen_local_health()
@@ -174,23 +112,30 @@
         self.local_health_score = min(MAX_LOCAL_HEALTH_SCORE, self.local_health_score + 1)
 
     def _suspicion_timeout_s(self, confirmations: int) -> float:
-        rounds = max(MIN_SUSPICION_ROUNDS, SUSPICION_ROUNDS_PER_LOG10 * math.log10(self.size + 1))
-        return self.period_s * rounds * (1.0 + 1.0 / max(1, confirmations)) * (1 + self.local_health_score)
+        return self.period_s * timeout_rounds(self.size, confirmations, self.local_health_score)
 
     def next_probe_target(self) -> str | None:
         """Choose whom to probe in this round; None where nobody is known."""
         dead = [name for name, record in self._records.items() if record.state is MemberState.DEAD]
         if dead and self.random.random() < DEAD_PROBE_PROBABILITY:
             return self.random.choice(dead)
-        while True:
-            while self._probe_order:
-                record = self._records.get(name := self._probe_order.pop())
-                if record is not None and record.active:
-                    return name
+        target = self._next_in_probe_order()
+        if target is None:
             self._probe_order = self.active_members()
             self.random.shuffle(self._probe_order)
-            if not self._probe_order:
-                return self.random.choice(dead) if dead else None
+            target = self._next_in_probe_order()
+        if target is None and dead:
+            return self.random.choice(dead)
+        return target
+
+    def _next_in_probe_order(self) -> str | None:
+        """Take the next active member off the probe order; None where there is none left."""
+        while self._probe_order:
+            name = self._probe_order.pop()
+            record = self._records.get(name)
+            if record is not None and record.is_active:
+                return name
+        return None
 
     def select_helpers(self, name: str) -> list[str]:
         """Choose whom to ask for an indirect probe of a member."""
@@ -220,7 +165,7 @@
         if record.state is not MemberState.ALIVE:
             record.change_state(MemberState.ALIVE, self.now)
         record.suspected_by.clear()
-        self._pending_suspicions.pop(name, None)
+        self._pending_suspicions.discard(name)
 
     # Suspicions.
 
@@ -238,17 +183,14 @@
 
     def _add_suspicion(self, suspicion: Suspicion) -> None:
         record = self._records[suspicion.name]
-        if not record.active:
+        if not record.is_active:
             return
         if record.state is MemberState.ALIVE:
             record.change_state(MemberState.SUSPECTED, self.now)
         if suspicion.suspected_by in record.suspected_by:
             return
         record.suspected_by.add(suspicion.suspected_by)
-        sends = math.ceil(math.log2(len(self.entries) + 2))
-        self._pending_suspicions[suspicion.name] = _PendingSuspicion(suspicion, sends)
-        while len(self._pending_suspicions) > MAX_PENDING_SUSPICIONS:
-            del self._pending_suspicions[next(iter(self._pending_suspicions))]
+        self._pending_suspicions.add(suspicion, len(self.entries))
 
     def merge_suspicions(self, suspicions: Iterable[Suspicion]) -> None:
         """Take in what others suspect; a suspicion of this member is refuted."""
@@ -267,12 +209,7 @@
 
     def take_suspicions(self, receiver: str, limit: int) -> tuple[Suspicion, ...]:
         """Return suspicions to piggyback, and always one of the receiver itself, so that it can refute it."""
-        taken = []
-        for name, pending in list(self._pending_suspicions.items())[:limit]:
-            taken.append(pending.suspicion)
-            pending.sends_left -= 1
-            if pending.sends_left <= 0:
-                del self._pending_suspicions[name]
+        taken = self._pending_suspicions.take(limit)
         record = self._records.get(receiver)
         entry = self.entries.get(receiver)
         if record is not None and entry is not None and record.state is not MemberState.ALIVE:
@@ -287,7 +224,7 @@
                 self.refute(entry.incarnation, entry.heartbeat)  # an earlier life, by a clock that was ahead
         newer = [entry for _, entry in self.merge(received)]
         for entry in newer:
-            record = self._records.setdefault(entry.owner, _MemberRecord(MemberState.ALIVE, self.now))
+            record = self._records.setdefault(entry.owner, MemberRecord(MemberState.ALIVE, self.now))
             if entry.content is not None and entry.content.left:
                 record.change_state(MemberState.LEFT, self.now)
             elif record.state is not MemberState.ALIVE:
--- a/wickspring/peer_state/directory.py
+++ b/wickspring/peer_state/directory.py
@@ -8,7 +8,8 @@
 from collections.abc import Iterable
 
 from wickspring.membership.anti_entropy import Entry
-from wickspring.membership.swim import ACTIVE_STATES, Membership, MemberState
+from wickspring.membership.members import ACTIVE_STATES, MemberState
+from wickspring.membership.swim import Membership
 from wickspring.peer_state.judgements import Witness
 from wickspring.peer_state.messages import PeerInfo
 
--- a/wickspring/peer_state/messages.py
+++ b/wickspring/peer_state/messages.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from wickspring.membership.anti_entropy import Digest, Entry
-from wickspring.membership.swim import MemberInfo, Suspicion
+from wickspring.membership.members import MemberInfo
+from wickspring.membership.suspicions import Suspicion
 from wickspring.peer_state.judgements import FailureReport
 from wickspring.peer_state.shares import ShareMessages
 from wickspring.wire import Numbers
