--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -138,7 +138,7 @@
         found = book.load()
         assert found is not None and not book.quarantined
         durable, replica = found
-        told = {"durable": durable, "replica": replica.pack(), "servers": book.load_servers()}
+        told = {"durable": durable, "replica": replica.pack(), "servers": book.load_endpoints()}
         assert plain(told) == recorded(f"core_schema_{schema}.json")
         book.close()
 
--- a/tests/controlplane/test_chain_defects.py
+++ b/tests/controlplane/test_chain_defects.py
@@ -73,7 +73,7 @@
     def start(self, now: float) -> None:
         super().start(now)
         if self.replica.config.version:
-            self.mark_committed(self.replica)
+            self.record_committed(self.replica)
 
 
 class StopsAtOnce(ReplicationChain):
--- a/tests/controlplane/test_storage.py
+++ b/tests/controlplane/test_storage.py
@@ -34,10 +34,10 @@
     durable = {**DURABLE, "view": [3, MEMBERS, MEMBERS]}
     stored = Replica(Config(3, 9, b"doc", digest_of(b"doc")), dict(departures))
     store = ReplicaStore(str(tmp_path))
-    assert store.load() == (durable, stored) and store.load_servers() == ["s1"]
+    assert store.load() == (durable, stored) and store.load_endpoints() == ["s1"]
     store = reopened(store)
     found = store.load()
-    assert found == (durable, stored) and store.load_servers() == ["s1"] and not store.quarantined
+    assert found == (durable, stored) and store.load_endpoints() == ["s1"] and not store.quarantined
     assert found is not None and list(found[1].departures) == list(departures)  # the oldest first
     store.close()
 
@@ -191,15 +191,15 @@
 
 def test_the_known_servers_are_no_part_of_the_copy(tmp_path: Path) -> None:
     store = ReplicaStore(str(tmp_path))
-    store.save_servers([["s1", 1]])
+    store.save_endpoints([["s1", 1]])
     store = reopened(store)
-    assert store.load() is None and store.load_servers() == [["s1", 1]]
+    assert store.load() is None and store.load_endpoints() == [["s1", 1]]
     store.save(DURABLE, replica(2))
-    store.save_servers([["s1", 2]])
+    store.save_endpoints([["s1", 2]])
     store.db.execute("update part set data = x'00' where name = 'servers'")
     store = reopened(store)
     assert store.load() == (DURABLE, replica(2))
-    assert store.load_servers() == []  # heartbeats report them again
+    assert store.load_endpoints() == []  # heartbeats report them again
     store.close()
 
 
--- a/tests/controlplane/test_view.py
+++ b/tests/controlplane/test_view.py
@@ -106,21 +106,21 @@
     )
 
 
-def test_what_a_core_cannot_bear_is_said() -> None:
+def test_faults_that_a_view_does_not_tolerate_are_reported() -> None:
     members = tuple(member for member, _ in nodes("aab"))
     view, zones = View(1, members, members), {"m0": "a", "m1": "a", "m2": "b"}
     assert tolerance_shortfalls(view, FaultTolerance(1), zones, {}) == []
     assert tolerance_shortfalls(view, FaultTolerance(2), zones, {}) == [
-        "tolerates.machines=2: 3 voters bear 1"
+        "tolerates.machines=2: 3 voters tolerate the loss of 1"
     ]
     assert tolerance_shortfalls(view, FaultTolerance(1, 1), zones, {}) == [
-        "tolerates.zones=1: 2 of 3 voters may go at once"
+        "tolerates.zones=1: 2 of 3 voters may be lost at once"
     ]
     region = {"a": "r", "b": "r"}
     assert tolerance_shortfalls(view, FaultTolerance(1, 0, 1), zones, region) == [
-        "tolerates.regions=1: 3 of 3 voters may go at once"
+        "tolerates.regions=1: 3 of 3 voters may be lost at once"
     ]
     single_member = View(2, members, members[:1])
     assert tolerance_shortfalls(single_member, FaultTolerance(1), zones, {}) == [
-        "tolerates.machines=1: copies are 1"
+        "tolerates.machines=1: the number of replicas is 1"
     ]
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -58,10 +58,10 @@
     def save(self, durable: dict[str, Any], replica: Replica) -> None:
         self.saved = durable, replica.copy()
 
-    def load_servers(self) -> list[Any]:
+    def load_endpoints(self) -> list[Any]:
         return self.servers
 
-    def save_servers(self, servers: list[Any]) -> None:
+    def save_endpoints(self, servers: list[Any]) -> None:
         self.servers = servers
 
 
--- a/wickspring/controlplane/api/calls.py
+++ b/wickspring/controlplane/api/calls.py
@@ -55,7 +55,7 @@
 
     @property
     def out_of_contact(self) -> bool:
-        """Return whether a quorum has been out of reach for so long that callers are better off elsewhere."""
+        """Return whether a quorum has been out of reach for so long that callers should try another node."""
 
     @property
     def epoch(self) -> int:
--- a/wickspring/controlplane/endpoint_registry.py
+++ b/wickspring/controlplane/endpoint_registry.py
@@ -88,11 +88,11 @@
         lost = []
         timeout_ms = MISSED_HEARTBEATS * self.heartbeat_ms
         for endpoint_id, heartbeat_at in list(self.last_heartbeat_at.items()):
-            silence_ms = now - heartbeat_at
-            if silence_ms > timeout_ms and endpoint_id not in self.lost:
+            heartbeat_age_ms = now - heartbeat_at
+            if heartbeat_age_ms > timeout_ms and endpoint_id not in self.lost:
                 self.lost.add(endpoint_id)
                 lost.append(endpoint_id)
-            elif silence_ms > FORGET_AFTER_MS:
+            elif heartbeat_age_ms > FORGET_AFTER_MS:
                 self._forget(endpoint_id)
         return lost
 
--- a/wickspring/controlplane/endpoint_service.py
+++ b/wickspring/controlplane/endpoint_service.py
@@ -47,7 +47,7 @@
         """
         now = self._clock.now()
         self._registry.apply_departures(self._replication.chain.replica.departures)
-        for packed in self._replication.store.load_servers():
+        for packed in self._replication.store.load_endpoints():
             endpoint = Endpoint.unpack(packed, now)
             self._registry.record_heartbeat(now, endpoint)
             self._saved_ids.add(endpoint.id)
@@ -181,4 +181,4 @@
         now = self._clock.now()
         ready = self._registry.ready()
         self._saved_ids = {endpoint.id for endpoint in ready}
-        await self._replication.save_servers([endpoint.pack(now) for endpoint in ready])
+        await self._replication.save_endpoints([endpoint.pack(now) for endpoint in ready])
--- a/wickspring/controlplane/quorum_contact.py
+++ b/wickspring/controlplane/quorum_contact.py
@@ -1,8 +1,8 @@
 """Whether this control-plane node is in contact with a quorum, and since when. Times are ms.
 
-Contact is lost for moments at every start and change of view, so callers are sent elsewhere only after
+Contact is lost for moments at every start and change of view, so callers are sent to another node only after
 `CONTACT_TIMEOUT_MS` without it. What is known of endpoints counts as complete once contact has lasted for
-`settle_ms`: by then every endpoint that lives has sent a heartbeat, and this node has learned of it.
+`stable_contact_ms`: by then every endpoint that lives has sent a heartbeat, and this node has learned of it.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from wickspring.common.config_status import QuorumContact
 from wickspring.net.clock import Clock
 
-CONTACT_TIMEOUT_MS = 1000.0  # without contact, after which callers are sent elsewhere at once
-ISOLATION_MS = (
-    1500.0  # without contact, after which data planes that have nothing may have what the disk holds
-)
-SETTLE_HEARTBEATS = 1.5  # heartbeat intervals: one until the next heartbeat, the rest for its replication
+CONTACT_TIMEOUT_MS = 1000.0  # without contact, after which callers are sent to another node at once
+# Without contact, after which data planes without a configuration are sent the one on disk.
+ISOLATION_MS = 1500.0
+# Heartbeat intervals of contact: one until each endpoint's next heartbeat, the rest for its replication.
+STABLE_CONTACT_HEARTBEATS = 1.5
 
 
 class QuorumContactMonitor:
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, now: float, heartbeat_ms: float) -> None:
-        self.settle_ms = SETTLE_HEARTBEATS * heartbeat_ms
+        self.stable_contact_ms = STABLE_CONTACT_HEARTBEATS * heartbeat_ms
         self.last_contact_at = now
         self.contact_since: float | None = None  # short gaps do not interrupt it
         self.level = QuorumContact.NONE
@@ -41,12 +41,12 @@
         if self.contact_since is None:
             self.contact_since = now
         self.last_contact_at = now
-        settled = now - self.contact_since >= self.settle_ms
-        self.level = QuorumContact.STABLE if settled else QuorumContact.RECENT
+        is_stable = now - self.contact_since >= self.stable_contact_ms
+        self.level = QuorumContact.STABLE if is_stable else QuorumContact.RECENT
         return self.level
 
     def timed_out(self, now: float) -> bool:
-        """Return whether contact has been lost for so long that callers are better off elsewhere."""
+        """Return whether contact has been lost for so long that callers should try another node."""
         return self._lost_for(now) > CONTACT_TIMEOUT_MS
 
     def isolated(self, now: float) -> bool:
@@ -80,7 +80,7 @@
 
     @property
     def timed_out(self) -> bool:
-        """Return whether contact has been lost for so long that callers are better off elsewhere."""
+        """Return whether contact has been lost for so long that callers should try another node."""
         self.observe()
         return self._monitor.timed_out(self._clock.now())
 
--- a/wickspring/controlplane/replication/catch_up.py
+++ b/wickspring/controlplane/replication/catch_up.py
@@ -90,7 +90,7 @@
         if state is None:
             return  # it is sent again, in full, once this node has reported what it stores
         chain.dirty |= chain.replica.merge(state)
-        chain.mark_committed(state)
+        chain.record_committed(state)
 
     def on_install_view(self, now: float, sender: str, message: InstallView) -> None:
         """Install a newer view, or take over the state of the present one."""
--- a/wickspring/controlplane/replication/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -223,7 +223,7 @@
 
     # The state.
 
-    def mark_committed(self, state: Replica) -> None:
+    def record_committed(self, state: Replica) -> None:
         """Record that a state is committed."""
         committed = self.committed.config
         if state.config.rank > committed.rank:
--- a/wickspring/controlplane/replication/next_view.py
+++ b/wickspring/controlplane/replication/next_view.py
@@ -153,9 +153,9 @@
     setting = f"tolerates.machines={tolerance.machines}"
     may_be_lost = _max_lost_voters(view)
     if tolerance.machines > may_be_lost:
-        shortfalls.append(f"{setting}: {len(view.voters)} voters bear {may_be_lost}")
+        shortfalls.append(f"{setting}: {len(view.voters)} voters tolerate the loss of {may_be_lost}")
     if tolerance.replicas > len(view.chain):
-        shortfalls.append(f"{setting}: copies are {len(view.chain)}")
+        shortfalls.append(f"{setting}: the number of replicas is {len(view.chain)}")
     return shortfalls
 
 
@@ -167,8 +167,8 @@
     shares = Counter(area_of[member.address] for member in view.voters).most_common(tolerated)
     lost = sum(count for _, count in shares)
     if lost > _max_lost_voters(view):
-        return [f"tolerates.{name}={tolerated}: {lost} of {len(view.voters)} voters may go at once"]
+        return [f"tolerates.{name}={tolerated}: {lost} of {len(view.voters)} voters may be lost at once"]
     largest = {area for area, _ in shares}
     if tolerated and {area_of[member.address] for member in view.chain} <= largest:
-        return [f"tolerates.{name}={tolerated}: all copies may go at once"]
+        return [f"tolerates.{name}={tolerated}: all replicas may be lost at once"]
     return []
--- a/wickspring/controlplane/replication/node.py
+++ b/wickspring/controlplane/replication/node.py
@@ -219,9 +219,9 @@
             await trio.sleep(SAVE_RETRY_S)
         self._saving_since = None
 
-    async def save_servers(self, servers: PackedFields) -> None:
+    async def save_endpoints(self, endpoints: PackedFields) -> None:
         """Save the known endpoints, packed; where the disk refuses, the next change tries again."""
-        await self._try_to_save(lambda: self.store.save_servers(servers))
+        await self._try_to_save(lambda: self.store.save_endpoints(endpoints))
 
     async def _try_to_save(self, save: Callable[[], None]) -> bool:
         try:
--- a/wickspring/controlplane/replication/update_passing.py
+++ b/wickspring/controlplane/replication/update_passing.py
@@ -132,7 +132,7 @@
         The confirmation goes to the predecessor; at the head, to the senders of the updates.
         """
         chain = self._chain
-        chain.mark_committed(state)
+        chain.record_committed(state)
         self.passing = None
         predecessor = chain.view.predecessor(chain.me)
         if predecessor is not None:
--- a/wickspring/controlplane/status.py
+++ b/wickspring/controlplane/status.py
@@ -70,8 +70,8 @@
     reachable: list[str]
 
 
-class EndpointStatus(msgspec.Struct, frozen=True):
-    """One endpoint; `silent_s` is the time since its last heartbeat."""
+class EndpointStatus(msgspec.Struct, frozen=True, rename={"heartbeat_age_s": "silent_s"}):
+    """One endpoint; `heartbeat_age_s` is the time since its last heartbeat."""
 
     id: str
     service: str
@@ -79,7 +79,7 @@
     zone: str
     state: str
     slots: int
-    silent_s: float
+    heartbeat_age_s: float
 
 
 class QuotaCountStatus(msgspec.Struct, frozen=True, rename={"remaining": "left"}):
@@ -172,7 +172,7 @@
     ]
 
 
-def _endpoint_status(endpoint: Endpoint, silent_ms: float) -> EndpointStatus:
+def _endpoint_status(endpoint: Endpoint, heartbeat_age_ms: float) -> EndpointStatus:
     return EndpointStatus(
         id=endpoint.id,
         service=endpoint.service,
@@ -180,7 +180,7 @@
         zone=endpoint.zone,
         state=_ENDPOINT_STATES[endpoint.state],
         slots=endpoint.slots,
-        silent_s=round(silent_ms / 1000.0, _DIGITS),
+        heartbeat_age_s=round(heartbeat_age_ms / 1000.0, _DIGITS),
     )
 
 
--- a/wickspring/controlplane/storage.py
+++ b/wickspring/controlplane/storage.py
@@ -21,7 +21,7 @@
 from wickspring.controlplane.replication.packing import PackedFields, PackedState
 from wickspring.controlplane.replication.replica import Replica
 from wickspring.controlplane.storage_file import FILE, StoreFile, is_refusal
-from wickspring.controlplane.storage_records import ENDPOINTS, UNREADABLE_ERRORS, Records
+from wickspring.controlplane.storage_records import ENDPOINTS_PART, UNREADABLE_ERRORS, Records
 
 ResultT = TypeVar("ResultT")
 
@@ -102,12 +102,12 @@
         self._saved = records
         return state
 
-    def load_servers(self) -> PackedFields:
+    def load_endpoints(self) -> PackedFields:
         """Return the endpoints that were saved last, packed; they may be gone by now."""
-        if ENDPOINTS not in self._saved.parts:
+        if ENDPOINTS_PART not in self._saved.parts:
             return []
         try:
-            return list(msgpack.unpackb(self._saved.parts[ENDPOINTS]))
+            return list(msgpack.unpackb(self._saved.parts[ENDPOINTS_PART]))
         except (ValueError, TypeError, msgpack.UnpackException):
             return []
 
@@ -120,9 +120,9 @@
         """
         self._write(storage_records.encode(durable, replica, self._saved))
 
-    def save_servers(self, servers: PackedFields) -> None:
+    def save_endpoints(self, endpoints: PackedFields) -> None:
         """Save the known endpoints, packed, so that all may start again without waiting for heartbeats."""
-        parts = {ENDPOINTS: msgpack.packb(servers)}
+        parts = {ENDPOINTS_PART: msgpack.packb(endpoints)}
         self._write(Records(parts, self._saved.history, self._saved.departures))
 
     def _write(self, records: Records) -> None:
--- a/wickspring/controlplane/storage_legacy.py
+++ b/wickspring/controlplane/storage_legacy.py
@@ -2,9 +2,9 @@
 
 Both had one list of members, which were voters and chain alike, and a configuration without epoch, digest or
 history. A stored version is taken to be of the epoch of the view that was stored with it. An accepted view
-may have been decided, so it is kept; the state that it starts with is the stored replica: whoever accepted a
-view had merged its proposer's replica into its own before it saved either, so all that was acknowledged is in
-it. One of an epoch that this node has reached, or passed, is over: nobody is told of it again.
+may have been decided, so it is kept. The state that it starts with is the stored replica: an acceptor merged
+the proposer's replica into its own before it saved either, so the replica has all that was acknowledged. An
+accepted view whose epoch this node has already reached is dropped: its decision is known.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class CorruptStoreError(ValueError):
-    """What a file contains does not add up."""
+    """A store file is damaged, incomplete, or inconsistent."""
 
 
 def _checksum(data: bytes) -> bytes:
@@ -79,7 +79,7 @@
     rows = db.execute("select name, sum, data from part").fetchall()
     parts = {str(name): bytes(data) for name, expected, data in rows if _checksum(bytes(data)) == expected}
     if len(parts) < len(rows):
-        raise CorruptStoreError("a sum does not fit")
+        raise CorruptStoreError("wrong checksum of a part")
     return parts
 
 
--- a/wickspring/controlplane/storage_records.py
+++ b/wickspring/controlplane/storage_records.py
@@ -1,10 +1,17 @@
-"""How a replica and a voter's state are laid out in tables, with checksums over all of it (schema 3).
+"""The tables of schema 3: encoding and decoding of a replica and a voter's state, with checksums.
 
-Table `part` has the view and the votes (`chain`), the accepted view with its state (`accepted`), what the
-replica's configuration is (`config`: epoch, version, digest, checksums of the tables), its text (`document`),
-the checksums of these four (`seal`), and the endpoints that are known (`servers`). Table `history` has the
-digest of each version before, table `leaving` a row for each departure. All but `servers` is checked as one:
-a file that mixes two saves is no replica. Names of tables and columns are fixed by stored files.
+Table `part` has one row each for:
+
+* `chain`: the view, and what this node has promised;
+* `accepted`: the view that it has accepted, with the state that this view starts with;
+* `config`: epoch, version and digest of the configuration, and row counts and checksums of the other tables;
+* `document`: the text of the configuration;
+* `seal`: the checksums of these four;
+* `servers`: the known endpoints.
+
+Table `history` has the digest of each earlier version, table `leaving` a row for each departure. All parts
+but `servers` are checked together, so a file that mixes two saves is refused. The names of tables, columns
+and parts are fixed by stored files.
 """
 
 from __future__ import annotations
@@ -24,9 +31,9 @@
 from wickspring.core.invariants import check_invariant
 
 CHECKSUM_SIZE = 16  # bytes
-SEALED_PARTS = ("chain", "accepted", "config", "document")
-SEAL = "seal"
-ENDPOINTS = "servers"
+CHECKSUMMED_PARTS = ("chain", "accepted", "config", "document")
+CHECKSUMS_PART = "seal"  # the checksums of `CHECKSUMMED_PARTS`, in their order
+ENDPOINTS_PART = "servers"  # the known endpoints, packed
 UNREADABLE_ERRORS = (
     sqlite3.DatabaseError,
     ValueError,
@@ -83,7 +90,7 @@
         "config": msgpack.packb([config.epoch, config.version, config.digest, *tables]),
         "document": config.document,
     }
-    parts[SEAL] = b"".join(_part_checksum(name, parts[name], saved) for name in SEALED_PARTS)
+    parts[CHECKSUMS_PART] = b"".join(_part_checksum(name, parts[name], saved) for name in CHECKSUMMED_PARTS)
     return Records(parts, history, replica.departures)
 
 
@@ -95,9 +102,9 @@
 
 def _part_checksum(name: str, data: bytes, saved: Records) -> bytes:
     """Return a part's checksum, computed only where the part is another than on disk."""
-    if SEAL in saved.parts and saved.parts[name] == data:
-        start = SEALED_PARTS.index(name) * CHECKSUM_SIZE
-        return saved.parts[SEAL][start : start + CHECKSUM_SIZE]
+    if CHECKSUMS_PART in saved.parts and saved.parts[name] == data:
+        start = CHECKSUMMED_PARTS.index(name) * CHECKSUM_SIZE
+        return saved.parts[CHECKSUMS_PART][start : start + CHECKSUM_SIZE]
     return checksum(data)
 
 
@@ -108,14 +115,14 @@
     """Read the tables, and check each part and row; raises one of `UNREADABLE_ERRORS`."""
     rows = db.execute("select name, sum, data from part").fetchall()
     parts = {str(name): bytes(data) for name, expected, data in rows if checksum(bytes(data)) == expected}
-    damaged = {str(name) for name, _, _ in rows} - parts.keys() - {ENDPOINTS}
+    damaged = {str(name) for name, _, _ in rows} - parts.keys() - {ENDPOINTS_PART}
     if damaged:
-        raise CorruptStoreError(f"sums do not fit: {damaged}")
+        raise CorruptStoreError(f"wrong checksums of {damaged}")
     entries = db.execute("select version, digest from history")
     history = {int(version): bytes(digest) for version, digest in entries}
     departures = _read_departures(db)
-    if SEAL not in parts and (parts.keys() & set(SEALED_PARTS) or history or departures):
-        raise CorruptStoreError("no seal")
+    if CHECKSUMS_PART not in parts and (parts.keys() & set(CHECKSUMMED_PARTS) or history or departures):
+        raise CorruptStoreError("the checksums are missing")
     return Records(parts, history, departures)
 
 
@@ -123,17 +130,17 @@
     rows = db.execute("select id, state, sum from leaving order by rowid").fetchall()
     for endpoint_id, state, expected in rows:
         if _departure_checksum(endpoint_id, state) != expected:
-            raise CorruptStoreError("a leaving server's sum does not fit")
+            raise CorruptStoreError(f"wrong checksum of the departure of {endpoint_id}")
     return {str(endpoint_id): int(state) for endpoint_id, state, _ in rows}
 
 
 def decode(records: Records) -> tuple[PackedState, Replica] | None:
     """Return the state of records, None where there is none; raises one of `UNREADABLE_ERRORS`."""
     parts = records.parts
-    if SEAL not in parts:
+    if CHECKSUMS_PART not in parts:
         return None
-    if parts[SEAL] != b"".join(checksum(parts[name]) for name in SEALED_PARTS):
-        raise CorruptStoreError("parts of two saves")
+    if parts[CHECKSUMS_PART] != b"".join(checksum(parts[name]) for name in CHECKSUMMED_PARTS):
+        raise CorruptStoreError("the parts were not saved together")
     replica = _decode_replica(records)
     accepted = msgpack.unpackb(parts["accepted"])
     durable: PackedState = {**msgpack.unpackb(parts["chain"]), "accepted": accepted}
@@ -143,13 +150,13 @@
 
 
 def _decode_replica(records: Records) -> Replica:
-    epoch, version, digest, history_seal, departures_seal = msgpack.unpackb(records.parts["config"])
-    if [len(records.history), _history_checksum(records.history)] != history_seal:
+    epoch, version, digest, expected_history, expected_departures = msgpack.unpackb(records.parts["config"])
+    if [len(records.history), _history_checksum(records.history)] != expected_history:
         raise CorruptStoreError("the history is incomplete")
     history = sorted(records.history.items())
     config = Config.unpack([epoch, version, records.parts["document"], digest, history, b""])
     replica = Replica(config, dict(records.departures))
-    departures_are_complete = [len(replica.departures), replica.departures_checksum] == departures_seal
+    departures_are_complete = [len(replica.departures), replica.departures_checksum] == expected_departures
     if not config.complete or not departures_are_complete:
         raise CorruptStoreError("the replica is incomplete")
     return replica
@@ -190,7 +197,7 @@
 
 
 def changes(saved: Records, records: Records) -> Changes:
-    """Return what differs from the records on disk; parts that `records` has not got stay."""
+    """Return what differs from the records on disk; parts that `records` does not have stay there."""
     parts = {name: data for name, data in records.parts.items() if saved.parts.get(name) != data}
     history = {
         version: digest for version, digest in records.history.items() if saved.history.get(version) != digest
@@ -228,7 +235,7 @@
     """Bring a file of an older schema, or a new one (0), to this schema.
 
     Raises:
-        CorruptStoreError: the older file does not add up.
+        CorruptStoreError: the older file is damaged or incomplete.
         sqlite3.OperationalError: the disk refuses.
     """
     state = _read_older(db, schema) if schema else None
@@ -242,7 +249,7 @@
         return
     records = encode(state.durable, state.replica, Records())
     if state.endpoints is not None:
-        records.parts[ENDPOINTS] = state.endpoints
+        records.parts[ENDPOINTS_PART] = state.endpoints
     put_parts(db, records.parts)
     put_departures(db, records.departures)
 
--- a/wickspring/controlplane/update_service.py
+++ b/wickspring/controlplane/update_service.py
@@ -24,7 +24,7 @@
 
     @property
     def out_of_contact(self) -> bool:
-        """Return whether a quorum has been out of reach for so long that callers are better off elsewhere."""
+        """Return whether a quorum has been out of reach for so long that callers should try another node."""
         return self._contact.timed_out
 
     @property
