--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -12,7 +12,7 @@
 from wickspring.config import ListedServer, Listing
 from wickspring.core import effects as core
 from wickspring.core import invariants
-from wickspring.core.reducer import OVERDUE, Reducer
+from wickspring.core.reducer import OVERDUE_MS, Reducer
 from wickspring.interface import Effect, Group, Status
 from wickspring.net.discovery import Directory
 
@@ -183,7 +183,7 @@
     front = Core()
     front.request()
     assert front.feed(core.SweepDue()) == []
-    front.now = 4000.0 - OVERDUE + 1
+    front.now = 4000.0 - OVERDUE_MS + 1
     assert front.feed(core.SweepDue()) == [core.SendResponse(1, core.ResponseKind.FAILED)]
     assert front.feed(core.SweepDue()) == []
     assert invariants.broken["answered before the deadline"] == 1
--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -366,7 +366,7 @@
 def test_only_one_of_two_answers_is_passed_on() -> None:
     one, start = flowing(api.Effect.SAFE)
     pending = one.pending[1]
-    pending.out[7] = pending.out[start.attempt]
+    pending.in_flight[7] = pending.in_flight[start.attempt]
     first = one.reduce(2.0, core.ResponseStreamReady(1, 7))
     assert core.StartStreamedResponse(1, 7) in first and core.StopAttempt(1, start.attempt) in first
     assert not one.reduce(3.0, core.ResponseStreamReady(1, start.attempt))
--- a/tests/net/test_malformed_peers.py
+++ b/tests/net/test_malformed_peers.py
@@ -224,7 +224,7 @@
             assert sum(here.counter.totals.values()) == 1
             assert here.tally_adds_up()
             assert (await other.ask(request()))[0] == 200
-            assert not here.runtime.reducer._open
+            assert not here.runtime.reducer.call_ids.open
 
     trio.run(main)
 
--- a/wickspring/core/reducer.py
+++ b/wickspring/core/reducer.py
@@ -1,16 +1,19 @@
 """The one reducer: every change of state of the ingress happens in `Reducer.reduce`.
 
-It owns the decision module, hands it events, and turns its actions into effects. It keeps the few facts
-that the rules hang on (which attempts are out, which may have run) and holds the module's actions to them.
+It owns the decision module, hands it events, and turns its actions into effects. It keeps the few facts that
+the rules depend on (which attempts are in flight, which may have run) and holds the module's actions to
+them. No I/O, no clock.
 """
 
 from __future__ import annotations
 
 import math
 from collections import Counter, deque
-from dataclasses import dataclass, field
+from collections.abc import Callable
+from typing import Any
 
 from wickspring import interface as api
+from wickspring.core.call_ids import CallIds
 from wickspring.core.effects import (
     AttemptEnded,
     Effect,
@@ -28,76 +31,55 @@
     SweepDue,
 )
 from wickspring.core.invariants import check_invariant
+from wickspring.core.pending_request import Attempt, PendingRequest
 from wickspring.policy import Policy
 
-OVERDUE = 10.0  # ms before the deadline at which a request still open is failed by the sweep
-
-
-@dataclass(slots=True)
-class Attempt:
-    """An attempt that is out."""
-
-    entry: api.ServerEntry
-    sent_at: float
-
-
-@dataclass(slots=True)
-class Pending:
-    """A request that still waits for its final answer, or whose attempts are still out."""
-
-    request: api.Request
-    kind: api.ClassSettings
-    call_id: str = ""
-    sent: int = 0
-    out: dict[int, Attempt] = field(default_factory=dict)
-    ran: list[Attempt] = field(default_factory=list)  # ended, and may have run
-    over: bool = False
-    until: float = 0.0  # by when it is to be answered; no time while bytes of it flow
-    flows: bool = False  # what is not held of its body has been taken: no further attempt
-    whole_at: float = 0.0  # when the last byte of a long body was written
-    passes: int | None = None  # the attempt whose answer is being passed on,
-    passes_from: float = 0.0  # since when
-
-    def first_exposed(self) -> Attempt | None:
-        """Return the earliest attempt that may have run or may yet."""
-        return min([*self.ran, *self.out.values()], key=lambda attempt: attempt.sent_at, default=None)
-
-    def may_refuse(self) -> bool:
-        """Tell whether a refusal, which says that asking again is harmless, would be true."""
-        if self.kind.effect is api.Effect.SAFE or not (self.ran or self.out):
-            return True
-        return self.kind.effect is api.Effect.KEYED and self.kind.group is api.Group.ALL
+OVERDUE_MS = 10.0  # before the deadline, at which a request still open is failed by the sweep
 
 
 class Reducer:
     """State of one ingress; feed it events, carry out what it returns, in order."""
 
-    def __init__(self, settings: api.Settings, shared: api.PeerState | None = None) -> None:
+    def __init__(self, settings: api.Settings, peer_state: api.PeerState | None = None) -> None:
         self.settings = settings
-        self.policy = Policy(settings, shared)
-        self.pending: dict[int, Pending] = {}
+        self.policy = Policy(settings, peer_state)
+        self.pending: dict[int, PendingRequest] = {}  # by the request's number
         self.entries: dict[api.ServerId, api.ServerEntry] = {}
         self.counters: Counter[str] = Counter()
-        self._open: dict[str, int] = {}  # call ids of pending requests
-        self._unsafe: dict[str, float] = {}  # call ids that may have run and must not again, until when
-        self._elsewhere: dict[str, float] = {}  # call ids under way at the process before this, until when
+        self.call_ids = CallIds()
         self._effects: list[Effect] = []
-        self._queue: deque[api.Event] = deque()
+        self._queue: deque[api.Event] = deque()  # for the decision module
+        # Each returns the event for the decision module, if it is to be told one.
+        self._event_handlers: dict[type, Callable[[float, Any], api.Event | None]] = {
+            AttemptEnded: self._on_attempt_ended,
+            RequestArrived: self._on_request_arrived,
+            RequestBodyCommitted: self._on_body_committed,
+            RequestBodySent: self._on_body_sent,
+            ResponseStreamReady: self._on_response_stream_ready,
+            SweepDue: self._on_sweep_due,
+            api.Request: self._on_request,
+            api.ServerList: self._on_server_list,
+            api.Withdrawn: self._on_withdrawn,
+        }
+        self._action_handlers: dict[type, Callable[[float, Any], None]] = {
+            api.Send: self._send,
+            api.Refuse: self._refuse,
+            api.Fail: self._fail,
+            api.Cancel: self._cancel,
+        }
 
     def reduce(self, now: float, event: Event) -> list[Effect]:
         """Take one event in and return the effects that it asks for."""
         effects: list[Effect] = []
         self._effects = effects
-        if isinstance(event, SweepDue):
-            self._sweep(now)
-        else:
-            noted = self._note(now, event)
-            if noted is not None:
-                self._queue.append(noted)
+        handler = self._event_handlers.get(type(event), _pass_through)
+        policy_event = handler(now, event)
+        if policy_event is not None:
+            self._queue.append(policy_event)
         while self._queue:
             # What an action ends at once (a cancelled or moot attempt) is told to the module afterwards.
             for action in self.policy.handle(now, self._queue.popleft()):
-                self._act(now, action)
+                self._perform(now, action)
         return effects
 
     def may_send(self, server: api.ServerId) -> bool:
@@ -105,183 +87,151 @@
         entry = self.entries.get(server)
         return entry is not None and entry.readiness is api.Readiness.READY
 
-    @property
-    def waiting(self) -> int:
-        """How many requests are owed a final answer."""
-        return sum(not pending.over for pending in self.pending.values())
-
-    # Between two processes of one ingress.
+    def owns(self, request: int, attempt: int) -> bool:
+        """Tell whether a request that is streamed belongs to this attempt."""
+        pending = self.pending.get(request)
+        return pending is not None and not pending.answered and attempt in pending.in_flight
 
     def open_ids(self) -> dict[str, float]:
-        """Return the call ids under way, each with the time by which it is answered."""
-        return {name: self.pending[number].until for name, number in self._open.items()}
-
-    def spent_ids(self) -> dict[str, float]:
-        """Return the call ids that may have run and must not again, and until when."""
-        return self._unsafe
-
-    def adopt_ids(self, under_way: dict[str, float], spent: dict[str, float]) -> None:
-        """Take note of the ids of the process before this one, which answers those under way itself."""
-        self._elsewhere.update(under_way)
-        for name, until in spent.items():
-            self._unsafe[name] = max(until, self._unsafe.get(name, 0.0))
-
-    # Events: note what the rules hang on, then let the module decide.
-
-    def _note(
-        self,
-        now: float,
-        event: api.Event
-        | RequestArrived
-        | RequestBodyCommitted
-        | RequestBodySent
-        | ResponseStreamReady
-        | AttemptEnded,
-    ) -> api.Event | None:
-        if isinstance(event, AttemptEnded):
-            return self._ended(now, event)
-        if isinstance(event, RequestBodyCommitted | ResponseStreamReady):
-            return self._streams(now, event)
-        if isinstance(event, RequestBodySent):
-            held = self.pending.get(event.request)
-            if held is not None:
-                held.until = math.inf if held.passes is not None else event.deadline
-                held.whole_at = now
-            return None
-        if isinstance(event, RequestArrived):
-            return self._arrived(now, event.request, event.call_id)
-        if isinstance(event, api.Request):
-            return self._arrived(now, event, "")
-        if isinstance(event, api.Withdrawn):
-            pending = self.pending.get(event.request)
-            if pending is None or pending.over:
-                return None
-            if pending.flows or pending.passes is not None:  # the module leaves what streams to the core
-                for number in list(pending.out):
-                    self._stop(now, api.Cancel(event.request, number))
-            self._close(pending, "withdrawn")
-        elif isinstance(event, api.ServerList):
-            self._list(event)
-        return event
+        """Return the call ids under way, each with the time by which it is answered, ms."""
+        return {call_id: self.pending[number].deadline for call_id, number in self.call_ids.open.items()}
 
-    def _streams(
-        self, now: float, event: RequestBodyCommitted | ResponseStreamReady
-    ) -> api.StreamStarted | None:
-        """Give a request over to one attempt: the others stop, and the module leaves it alone."""
-        pending = self.pending.get(event.request)
-        if pending is None or pending.over or event.attempt not in pending.out or pending.passes is not None:
-            return None
-        first = not pending.flows
-        for number in [number for number in pending.out if number != event.attempt]:
-            self._stop(now, api.Cancel(event.request, number))
-        pending.until = math.inf
-        if isinstance(event, RequestBodyCommitted):
-            pending.flows = True
-        else:
-            pending.passes, pending.passes_from = event.attempt, now
-            self._effects.append(StartStreamedResponse(event.request, event.attempt))
-        server = pending.out[event.attempt].entry.server
-        return api.StreamStarted(event.request, event.attempt, server) if first else None
+    # Events of a request.
 
-    def owns(self, request: int, attempt: int) -> bool:
-        """Tell whether a request that streams belongs to this attempt."""
-        pending = self.pending.get(request)
-        return pending is not None and not pending.over and attempt in pending.out
+    def _on_request(self, now: float, request: api.Request) -> api.Request | None:
+        return self._accept(now, request, "")
+
+    def _on_request_arrived(self, now: float, event: RequestArrived) -> api.Request | None:
+        return self._accept(now, event.request, event.call_id)
 
-    def _arrived(self, now: float, request: api.Request, call_id: str) -> api.Request | None:
+    def _accept(self, now: float, request: api.Request, call_id: str) -> api.Request | None:
         if not check_invariant(request.request not in self.pending, "request number used once"):
             return None
-        kind = self.settings.classes[request.class_index]
-        pending = Pending(request, kind, call_id, until=request.deadline)
+        request_class = self.settings.classes[request.class_index]
+        pending = PendingRequest(request, request_class, call_id, deadline=request.deadline)
         self.pending[request.request] = pending
         self.counters["taken"] += 1
-        if call_id in self._open or self._elsewhere.get(call_id, 0.0) > now:
-            # Whoever says another's id: what was asked first goes on unharmed, and ticket servers, which know
-            # requests by their ids, never see two under one.
-            self._answer(pending, ResponseKind.REJECTED)
+        if self.call_ids.is_open(call_id, now):
+            # Whoever gives another's id: the first request goes on unharmed, and servers, which know requests
+            # by their ids, never see two under one.
+            self._respond(pending, ResponseKind.REJECTED)
             return None
-        if call_id:
-            self._open[call_id] = request.request
-        if call_id in self._unsafe:
+        self.call_ids.add(call_id, request.request)
+        if call_id in self.call_ids.unrepeatable:
             # Every try of a client has an id of its own, so this is one request sent again on its way here,
             # as HTTP/2 libraries do after a reset. The first may have run, though nobody waits for it now.
             self.counters["sent_again"] += 1
-            self._answer(pending, ResponseKind.FAILED)
+            self._respond(pending, ResponseKind.FAILED)
             return None
         return request
 
-    def _list(self, event: api.ServerList) -> None:
-        if event.kind in (api.ListKind.CACHED, api.ListKind.COMPLETE):
-            self.entries.clear()
-        for entry in event.entries:
-            self.entries[entry.server] = entry
-            if entry.readiness is api.Readiness.GONE:  # ids come and go all day: what is gone is not kept
-                del self.entries[entry.server]
+    def _on_withdrawn(self, now: float, event: api.Withdrawn) -> api.Withdrawn | None:
+        pending = self.pending.get(event.request)
+        if pending is None or pending.answered:
+            return None
+        if pending.body_committed or pending.streaming_attempt is not None:
+            self._cancel_all(now, pending)  # the module leaves what is streamed to the reducer
+        self._close(pending, "withdrawn")
+        return event
+
+    def _on_body_sent(self, now: float, event: RequestBodySent) -> None:
+        pending = self.pending.get(event.request)
+        if pending is not None:
+            pending.deadline = math.inf if pending.streaming_attempt is not None else event.deadline
+            pending.body_sent_at = now
+
+    def _on_body_committed(self, now: float, event: RequestBodyCommitted) -> api.StreamStarted | None:
+        pending = self._streamable(event)
+        if pending is None:
+            return None
+        self._cancel_all(now, pending, but=event.attempt)
+        is_first = pending.start_streaming()
+        pending.body_committed = True
+        return self._stream_started(pending, event.attempt) if is_first else None
+
+    def _on_response_stream_ready(self, now: float, event: ResponseStreamReady) -> api.StreamStarted | None:
+        pending = self._streamable(event)
+        if pending is None:
+            return None
+        self._cancel_all(now, pending, but=event.attempt)
+        is_first = pending.start_streaming()
+        pending.streaming_attempt, pending.streaming_since = event.attempt, now
+        self._effects.append(StartStreamedResponse(event.request, event.attempt))
+        return self._stream_started(pending, event.attempt) if is_first else None
+
+    def _streamable(self, event: RequestBodyCommitted | ResponseStreamReady) -> PendingRequest | None:
+        """Return the request that an attempt may take over alone; None where that is too late."""
+        pending = self.pending.get(event.request)
+        if pending is None or pending.answered or pending.streaming_attempt is not None:
+            return None
+        return pending if event.attempt in pending.in_flight else None
+
+    def _stream_started(self, pending: PendingRequest, attempt: int) -> api.StreamStarted:
+        """Return the event by which the module leaves a request to one attempt."""
+        return api.StreamStarted(pending.number, attempt, pending.in_flight[attempt].entry.server)
 
-    def _ended(self, now: float, event: AttemptEnded) -> api.Outcome | None:
+    def _on_attempt_ended(self, now: float, event: AttemptEnded) -> api.Outcome | None:
         pending = self.pending.get(event.request)
-        attempt = pending.out.pop(event.attempt, None) if pending is not None else None
+        attempt = pending.in_flight.pop(event.attempt, None) if pending is not None else None
         if pending is None or attempt is None:
             return None  # stopped a moment ago; its end has been told
         if not event.status.never_ran:
-            pending.ran.append(attempt)
-        elapsed = (pending.passes_from or now) - max(attempt.sent_at, pending.whole_at)
-        if pending.passes == event.attempt and not pending.over:
-            whole = event.status is api.Status.OK
-            self._close(pending, "served" if whole else "failed")
-            self._effects.append(EndStreamedResponse(event.request, whole))
-        elif event.status is api.Status.OK and not pending.over:
-            self._answer(pending, ResponseKind.SERVED, body=event.body)
-        over = pending.over
+            pending.may_have_run.append(attempt)
+        latency = pending.latency(attempt, now)
+        if pending.streaming_attempt == event.attempt and not pending.answered:
+            complete = event.status is api.Status.OK
+            self._close(pending, "served" if complete else "failed")
+            self._effects.append(EndStreamedResponse(event.request, complete))
+        elif event.status is api.Status.OK and not pending.answered:
+            self._respond(pending, ResponseKind.SERVED, body=event.body)
+        answered = pending.answered
         self._forget(pending)
         return api.Outcome(
             event.request,
             event.attempt,
             attempt.entry.server,
             event.status,
-            over,
-            max(0.0, elapsed),
+            answered,
+            latency,
             event.load,
             event.settled_units,
             event.fleet_use,
         )
 
-    def _sweep(self, now: float) -> None:
-        """Fail what the module has let run past its time: the client must never be left without."""
-        while self._unsafe and next(iter(self._unsafe.values())) < now:  # about in order of time
-            del self._unsafe[next(iter(self._unsafe))]
-        if self._elsewhere and max(self._elsewhere.values()) < now:
-            self._elsewhere.clear()
+    # Other events.
+
+    def _on_server_list(self, now: float, event: api.ServerList) -> api.ServerList:
+        if event.kind in (api.ListKind.CACHED, api.ListKind.COMPLETE):
+            self.entries.clear()
+        for entry in event.entries:
+            self.entries[entry.server] = entry
+            if entry.readiness is api.Readiness.GONE:  # ids come and go all day: what is gone is not kept
+                del self.entries[entry.server]
+        return event
+
+    def _on_sweep_due(self, now: float, event: SweepDue) -> None:
+        """Fail what the module has let run past its time: no client may be left without an answer."""
+        self.call_ids.expire(now)
         for pending in list(self.pending.values()):
-            if not pending.over and now > pending.until - OVERDUE:
-                if pending.flows:  # the module does not look after it any more
-                    for number in list(pending.out):
-                        self._stop(now, api.Cancel(pending.request.request, number))
-                else:
-                    check_invariant(False, "answered before the deadline")
-                self._answer(pending, ResponseKind.FAILED)
-                self._queue.append(api.Withdrawn(pending.request.request))
+            if not pending.answered and now > pending.deadline - OVERDUE_MS:
+                self._fail_overdue(now, pending)
+
+    def _fail_overdue(self, now: float, pending: PendingRequest) -> None:
+        if pending.body_committed:  # the module does not look after it any more
+            self._cancel_all(now, pending)
+        else:
+            check_invariant(False, "answered before the deadline")
+        self._respond(pending, ResponseKind.FAILED)
+        self._queue.append(api.Withdrawn(pending.number))
 
     # Actions of the module.
 
-    def _act(self, now: float, action: api.Action) -> None:
-        if isinstance(action, api.Send):
-            self._send(now, action)
-        elif isinstance(action, api.Refuse | api.Fail):
-            pending = self.pending.get(action.request)
-            if pending is None or pending.over:
-                return
-            if isinstance(action, api.Refuse) and check_invariant(
-                pending.may_refuse(), "refusal of what never ran"
-            ):
-                self._answer(pending, ResponseKind.REFUSED, action.retry_after)
-            else:
-                self._answer(pending, ResponseKind.FAILED)
-            self._forget(pending)
-        elif isinstance(action, api.Cancel):
-            self._stop(now, action)
-        else:
-            self._effects.append(action)
+    def _perform(self, now: float, action: api.Action) -> None:
+        handler = self._action_handlers.get(type(action), self._pass_on)
+        handler(now, action)
+
+    def _pass_on(self, now: float, action: api.SetTimer | api.Probe | api.Count | api.FollowList) -> None:
+        self._effects.append(action)
 
     def _send(self, now: float, send: api.Send) -> None:
         pending = self.pending.get(send.request)
@@ -289,71 +239,90 @@
             return
         number, entry = pending.sent, self.entries.get(send.server)
         pending.sent += 1
-        # The module never asks for any of these; should it err, the attempt is not made.
-        if (
-            entry is None
-            or pending.over
-            or number >= self.settings.most_attempts
-            or pending.flows
-            or not check_invariant(self._may_repeat(now, pending, entry), "no forbidden copy")
-            or not check_invariant(entry.readiness is api.Readiness.READY, "nothing new to a draining server")
-        ):
-            moot, over = api.Status.MOOT, pending.over
-            self._queue.append(api.Outcome(send.request, number, send.server, moot, over, 0.0, (), 0.0, 0))
+        if entry is None or not self._attempt_allowed(now, pending, number, entry):
+            self._report_unsent(pending, number, send.server)
             return
-        pending.out[number] = Attempt(entry, now)
+        pending.in_flight[number] = Attempt(entry, now)
         self.counters["attempts"] += 1
-        if pending.kind.effect is api.Effect.UNSAFE and pending.call_id:
-            self._unsafe[pending.call_id] = max(pending.request.deadline, now + pending.kind.deadline)
-        until = pending.request.deadline
-        until = min(until, now + send.timeout) if send.timeout else until
-        self._effects.append(StartAttempt(send.request, number, send.server, until))
-
-    def _may_repeat(self, now: float, pending: Pending, entry: api.ServerEntry) -> bool:
-        first, kind = pending.first_exposed(), pending.kind
-        if first is None:
-            return True
-        if pending.out and not self.settings.parallel_attempts:
+        if pending.request_class.effect is api.Effect.UNSAFE:
+            until = max(pending.request.deadline, now + pending.request_class.deadline)
+            self.call_ids.forbid_repeat(pending.call_id, until)
+        deadline = pending.request.deadline
+        if send.timeout:
+            deadline = min(deadline, now + send.timeout)
+        self._effects.append(StartAttempt(send.request, number, send.server, deadline))
+
+    def _attempt_allowed(
+        self, now: float, pending: PendingRequest, number: int, entry: api.ServerEntry
+    ) -> bool:
+        """Hold an attempt to the rules: the module never asks for any other; should it err, none is made."""
+        if pending.answered or number >= self.settings.most_attempts or pending.body_committed:
             return False
-        if kind.effect is not api.Effect.KEYED:
-            return kind.effect is api.Effect.SAFE
-        if now > first.sent_at + kind.repeat_window:
+        may_repeat = pending.may_repeat_on(entry, now, self.settings.parallel_attempts)
+        if not check_invariant(may_repeat, "no forbidden copy"):
             return False
-        if kind.group is api.Group.ZONE:
-            return entry.zone == first.entry.zone
-        return kind.group is api.Group.ALL or entry.cell == first.entry.cell
+        return check_invariant(entry.readiness is api.Readiness.READY, "nothing new to a draining server")
+
+    def _report_unsent(self, pending: PendingRequest, attempt: int, server: api.ServerId) -> None:
+        moot, answered = api.Status.MOOT, pending.answered
+        self._queue.append(api.Outcome(pending.number, attempt, server, moot, answered, 0.0, (), 0.0, 0))
+
+    def _refuse(self, now: float, action: api.Refuse) -> None:
+        pending = self.pending.get(action.request)
+        if pending is None or pending.answered:
+            return
+        if check_invariant(pending.may_refuse(), "refusal of what never ran"):
+            self._respond(pending, ResponseKind.REFUSED, action.retry_after)
+        else:
+            self._respond(pending, ResponseKind.FAILED)
+        self._forget(pending)
+
+    def _fail(self, now: float, action: api.Fail) -> None:
+        pending = self.pending.get(action.request)
+        if pending is not None and not pending.answered:
+            self._respond(pending, ResponseKind.FAILED)
+            self._forget(pending)
 
-    def _stop(self, now: float, cancel: api.Cancel) -> None:
+    def _cancel(self, now: float, cancel: api.Cancel) -> None:
         pending = self.pending.get(cancel.request)
-        attempt = pending.out.pop(cancel.attempt, None) if pending is not None else None
+        attempt = pending.in_flight.pop(cancel.attempt, None) if pending is not None else None
         if pending is None or attempt is None:
             return
-        pending.ran.append(attempt)
+        pending.may_have_run.append(attempt)
         self._effects.append(StopAttempt(cancel.request, cancel.attempt))
-        server, spent = attempt.entry.server, now - attempt.sent_at
+        server, elapsed, cancelled = attempt.entry.server, now - attempt.sent_at, api.Status.CANCELLED
         self._queue.append(
             api.Outcome(
-                cancel.request, cancel.attempt, server, api.Status.CANCELLED, pending.over, spent, (), 0.0, 0
+                cancel.request, cancel.attempt, server, cancelled, pending.answered, elapsed, (), 0.0, 0
             )
         )
         self._forget(pending)
 
+    def _cancel_all(self, now: float, pending: PendingRequest, but: int | None = None) -> None:
+        """Cancel the attempts in flight, all `but` one."""
+        for number in [number for number in pending.in_flight if number != but]:
+            self._cancel(now, api.Cancel(pending.number, number))
+
     # Ends.
 
-    def _answer(
-        self, pending: Pending, kind: ResponseKind, retry_after: float = 0.0, body: bytes = b""
+    def _respond(
+        self, pending: PendingRequest, kind: ResponseKind, retry_after: float = 0.0, body: bytes = b""
     ) -> None:
-        if check_invariant(not pending.over, "one final answer"):
+        if check_invariant(not pending.answered, "one final answer"):
             self._close(pending, kind.value)
-            self._effects.append(SendResponse(pending.request.request, kind, retry_after, body))
+            self._effects.append(SendResponse(pending.number, kind, retry_after, body))
 
-    def _close(self, pending: Pending, word: str) -> None:
-        pending.over = True
-        self.counters[word] += 1
+    def _close(self, pending: PendingRequest, counter: str) -> None:
+        pending.answered = True
+        self.counters[counter] += 1
         self._forget(pending)
 
-    def _forget(self, pending: Pending) -> None:
-        if pending.over and not pending.out:
-            self.pending.pop(pending.request.request, None)
-            if self._open.get(pending.call_id) == pending.request.request:
-                del self._open[pending.call_id]
+    def _forget(self, pending: PendingRequest) -> None:
+        """Drop a request that is answered and has no attempt in flight."""
+        if pending.answered and not pending.in_flight:
+            self.pending.pop(pending.number, None)
+            self.call_ids.remove(pending.call_id, pending.number)
+
+
+def _pass_through(now: float, event: api.Event) -> api.Event:
+    return event
--- a/wickspring/core/succession.py
+++ b/wickspring/core/succession.py
@@ -232,7 +232,7 @@
     plan_indexes = {id(plan): index for index, plan in enumerate(policy.settings.plans)}
     quotas = [_quota_state(quota, plan_indexes[id(quota.plan)]) for quota in policy.quotas.values()]
     servers = [_server_state(name, server) for name, server in policy.server_table.servers.items()]
-    open_ids, unsafe = list(reducer.open_ids().items()), list(reducer.spent_ids().items())
+    open_ids, unsafe = list(reducer.open_ids().items()), list(reducer.call_ids.unrepeatable.items())
     for at in range(0, max(len(quotas), len(servers), len(open_ids), len(unsafe)), BATCH):
         part = slice(at, at + BATCH)
         yield State(quotas[part], servers[part], open=dict(open_ids[part]), unsafe=dict(unsafe[part]))
@@ -251,4 +251,4 @@
             _restore_server(server, server_state)  # else it is gone, or started anew since
     if state.general is not None:
         _restore_general(policy, state.general)
-    reducer.adopt_ids(state.open, state.unsafe)
+    reducer.call_ids.take_over(state.open, state.unsafe)
