--- a/wickspring/simwire.py
+++ b/wickspring/simwire.py
@@ -1,52 +1,30 @@
-"""Codec between the frames of the wire and the types of `interface.py`; it decides nothing.
+"""Codec between the frames of an outside simulator and the types of `interface.py`; it decides nothing.
 
-Each record has one layout: its code and a `struct` format that begins with that code. Events are padded
-to 56 bytes and actions to 32; text and lists stand in the frame's tail.
+The simulator fixes the wire: the codes, the order and the formats of the fields. Each record has one layout:
+its code, the number of its instance, and a `struct` format of its fields. Events are padded to 56 bytes and
+actions to 32; text and lists stand in the frame's tail, after the records.
 """
 
 from __future__ import annotations
 
 import struct
-from collections.abc import Iterable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 from wickspring import config
 from wickspring import interface as api
 
-EVENT_SIZE = 56
-ACTION_SIZE = 32
-BATCH_HEADER = struct.Struct(">dII")
-REPLY_HEADER = struct.Struct(">II")
-PREFIX = struct.Struct(">HH")
-ENTRY = struct.Struct(">6sBHHBfd")
-LOAD = "B4f"
-
-EVENT_LAYOUT: Mapping[str, tuple[int, struct.Struct]] = {
-    "start": (1, struct.Struct(">HHQII")),
-    "list": (2, struct.Struct(">HHBIII")),
-    "request": (3, struct.Struct(">HHQBIQdfffB")),
-    "stream": (4, struct.Struct(">HHQdB6s")),
-    "outcome": (5, struct.Struct(">HHQ6sHBHHdB" + LOAD)),
-    "withdrawn": (6, struct.Struct(">HHQ")),
-    "timer": (7, struct.Struct(">HHQ")),
-    "probe": (8, struct.Struct(">HH6sHd" + LOAD)),
-    "peer": (9, struct.Struct(">HHHII")),
-    "stop": (10, struct.Struct(">HH")),
-    "count": (11, struct.Struct(">HHQHfd")),
-}
-ACTION_LAYOUT: Mapping[str, tuple[int, struct.Struct]] = {
-    "send": (1, struct.Struct(">HHQ6sd")),
-    "refuse": (2, struct.Struct(">HHQd")),
-    "fail": (3, struct.Struct(">HHQ")),
-    "cancel": (4, struct.Struct(">HHQB")),
-    "timer": (5, struct.Struct(">HHQd")),
-    "probe": (6, struct.Struct(">HH6s")),
-    "log": (9, struct.Struct(">HHII")),
-    "fault": (10, struct.Struct(">HHII")),
-    "follow": (11, struct.Struct(">HHB")),
-    "count": (13, struct.Struct(">HHfQd")),
-}
-EVENT_NAME = {code: name for name, (code, _) in EVENT_LAYOUT.items()}
+EVENT_SIZE = 56  # bytes
+ACTION_SIZE = 32  # bytes
+BATCH_HEADER = struct.Struct(">dII")  # time in ms, bytes of the frame, events
+REPLY_HEADER = struct.Struct(">II")  # bytes of the frame, actions
+PREFIX = ">HH"  # of each record: code and instance
+PREFIX_STRUCT = struct.Struct(PREFIX)
+SERVER_ENTRY = struct.Struct(">6sBHHBfd")
+LOAD_REPORT = "B4f"  # how many of the four figures are given
+REPEAT_MARK = 2  # bit of a request that its client marks as a repeat
+FOLLOW_LIST = 1  # the one kind of list that can be asked for
 STATUS = {
     100: api.Status.OK,
     301: api.Status.ERROR,
@@ -120,60 +98,135 @@
     return tail[offset : offset + length]
 
 
-def _entries(tail: bytes, offset: int, count: int) -> tuple[api.ServerEntry, ...]:
-    entries = []
-    for server, zone, _kind, cell, readiness, weight, since in ENTRY.iter_unpack(
-        _tail(tail, offset, count * ENTRY.size)
-    ):
-        if readiness not in READINESS:
-            raise WireError(f"unknown readiness {readiness}")
-        entries.append(api.ServerEntry(server, zone, cell, READINESS[readiness], weight, since))
-    return tuple(entries)
+def _server_entry(fields: tuple[Any, ...]) -> api.ServerEntry:
+    server, zone, _kind, cell, readiness, weight, started_at = fields
+    if readiness not in READINESS:
+        raise WireError(f"unknown readiness {readiness}")
+    return api.ServerEntry(server, zone, cell, READINESS[readiness], weight, started_at)
+
+
+# Events: each function takes the fields of a record, and the tail of its frame.
+
+
+def _decode_start(fields: tuple[Any, ...], tail: bytes) -> Start:
+    seed, offset, length = fields
+    return Start(parse_settings(_tail(tail, offset, length).decode(), seed))
+
+
+def _decode_list(fields: tuple[Any, ...], tail: bytes) -> api.ServerList:
+    kind, _, offset, count = fields
+    if kind not in LIST_KIND:
+        raise WireError(f"unknown list kind {kind}")
+    entries = SERVER_ENTRY.iter_unpack(_tail(tail, offset, count * SERVER_ENTRY.size))
+    return api.ServerList(LIST_KIND[kind], tuple(map(_server_entry, entries)))
+
+
+def _decode_request(fields: tuple[Any, ...], tail: bytes) -> api.Request:
+    request, class_index, plan_index, customer, deadline, units, spread, first_gateway, marks = fields
+    return api.Request(
+        request,
+        class_index,
+        plan_index,
+        customer,
+        deadline,
+        units,
+        int(spread),
+        int(first_gateway),
+        bool(marks & REPEAT_MARK),
+    )
+
+
+def _decode_stream(fields: tuple[Any, ...], tail: bytes) -> api.StreamStarted:
+    request, _, attempt, server = fields
+    return api.StreamStarted(request, attempt, server)
+
+
+def _decode_outcome(fields: tuple[Any, ...], tail: bytes) -> api.Outcome:
+    request, server, fleet_use, over, settled_units, status, elapsed, attempt, count, *load = fields
+    return api.Outcome(
+        request,
+        attempt,
+        server,
+        _status(status),
+        bool(over),
+        elapsed,
+        tuple(load[:count]),
+        settled_units,
+        fleet_use,
+    )
+
+
+def _decode_withdrawn(fields: tuple[Any, ...], tail: bytes) -> api.Withdrawn:
+    (request,) = fields
+    return api.Withdrawn(request)
+
+
+def _decode_timer(fields: tuple[Any, ...], tail: bytes) -> api.TimerFired:
+    (token,) = fields
+    return api.TimerFired(token)
+
+
+def _decode_probe(fields: tuple[Any, ...], tail: bytes) -> api.ProbeResult:
+    server, status, elapsed, count, *load = fields
+    return api.ProbeResult(server, _status(status), elapsed, tuple(load[:count]))
+
+
+def _decode_peer(fields: tuple[Any, ...], tail: bytes) -> api.PeerMessage:
+    sender, offset, length = fields
+    return api.PeerMessage(sender, _tail(tail, offset, length))
+
+
+def _decode_stop(fields: tuple[Any, ...], tail: bytes) -> Stop:
+    return Stop()
+
+
+def _decode_count(fields: tuple[Any, ...], tail: bytes) -> api.CountAnswer:
+    name, status, total, elapsed = fields
+    return api.CountAnswer(name, _status(status), total, elapsed)
+
+
+class EventLayout(NamedTuple):
+    """How one kind of event is read."""
+
+    record: struct.Struct
+    decode: Callable[[tuple[Any, ...], bytes], WireEvent]
+
+
+def _event(fields: str, decode: Callable[[tuple[Any, ...], bytes], WireEvent]) -> EventLayout:
+    return EventLayout(struct.Struct(PREFIX + fields), decode)
+
+
+EVENTS: Mapping[int, EventLayout] = {
+    1: _event("QII", _decode_start),
+    2: _event("BIII", _decode_list),
+    3: _event("QBIQdfffB", _decode_request),
+    4: _event("QdB6s", _decode_stream),
+    5: _event("Q6sHBHHdB" + LOAD_REPORT, _decode_outcome),
+    6: _event("Q", _decode_withdrawn),
+    7: _event("Q", _decode_timer),
+    8: _event("6sHd" + LOAD_REPORT, _decode_probe),
+    9: _event("HII", _decode_peer),
+    10: _event("", _decode_stop),
+    11: _event("QHfd", _decode_count),
+}
+"""By the code of the record."""
 
 
 def _decode_event(record: bytes, tail: bytes) -> tuple[int, WireEvent]:
-    code = PREFIX.unpack_from(record)[0]
-    name = EVENT_NAME.get(code)
-    if name is None:
+    code, instance = PREFIX_STRUCT.unpack_from(record)
+    layout = EVENTS.get(code)
+    if layout is None:
         raise WireError(f"unknown event code {code}")
-    _, instance, *f = EVENT_LAYOUT[name][1].unpack_from(record)
-    event: WireEvent
-    if name == "start":
-        event = Start(parse_settings(_tail(tail, f[1], f[2]).decode(), f[0]))
-    elif name == "list":
-        if f[0] not in LIST_KIND:
-            raise WireError(f"unknown list kind {f[0]}")
-        event = api.ServerList(LIST_KIND[f[0]], _entries(tail, f[2], f[3]))
-    elif name == "request":
-        request, class_index, plan_index, customer, deadline, units, spread, first, bits = f
-        repeat = bool(bits & 2)
-        event = api.Request(
-            request, class_index, plan_index, customer, deadline, units, int(spread), int(first), repeat
-        )
-    elif name == "stream":
-        event = api.StreamStarted(f[0], f[2], f[3])
-    elif name == "outcome":
-        request, server, used, over, settled, status, elapsed, attempt, count, *load = f
-        event = api.Outcome(
-            request, attempt, server, _status(status), bool(over), elapsed, tuple(load[:count]), settled, used
-        )
-    elif name == "withdrawn":
-        event = api.Withdrawn(f[0])
-    elif name == "timer":
-        event = api.TimerFired(f[0])
-    elif name == "probe":
-        event = api.ProbeResult(f[0], _status(f[1]), f[2], tuple(f[4 : 4 + f[3]]))
-    elif name == "peer":
-        event = api.PeerMessage(f[0], _tail(tail, f[1], f[2]))
-    elif name == "stop":
-        event = Stop()
-    else:
-        event = api.CountAnswer(f[0], _status(f[1]), f[2], f[3])
-    return instance, event
+    fields = layout.record.unpack_from(record)[2:]
+    return instance, layout.decode(fields, tail)
 
 
 def decode_batch(frame: bytes) -> tuple[float, list[tuple[int, WireEvent]]]:
-    """Read one batch: its clock and its events with their instances."""
+    """Read one batch: its clock and its events with their instances.
+
+    Raises:
+        WireError: the frame does not follow the wire.
+    """
     if len(frame) < BATCH_HEADER.size:
         raise WireError("frame shorter than its header")
     now, length, count = BATCH_HEADER.unpack_from(frame)
@@ -185,37 +238,55 @@
     return now, [_decode_event(frame[at : at + EVENT_SIZE], tail) for at in starts]
 
 
-def _encode_action(instance: int, action: WireAction, tail: bytearray) -> bytes:
-    name: str
-    fields: tuple[object, ...]
-    match action:
-        case api.Send():
-            name, fields = "send", (action.request, action.server, action.timeout)
-        case api.Refuse():
-            name, fields = "refuse", (action.request, action.retry_after)
-        case api.Fail():
-            name, fields = "fail", (action.request,)
-        case api.Cancel():
-            name, fields = "cancel", (action.request, action.attempt)
-        case api.SetTimer():
-            name, fields = "timer", (action.token, action.delay)
-        case api.Probe():
-            name, fields = "probe", (action.server,)
-        case api.Count():
-            name, fields = "count", (action.amount, action.name, action.keep_for)
-        case api.FollowList():
-            name, fields = "follow", (1,)
-        case Fault():
-            text = action.text.encode()
-            name, fields = "fault", (len(tail), len(text))
-            tail += text
-    code, layout = ACTION_LAYOUT[name]
-    return layout.pack(code, instance, *fields).ljust(ACTION_SIZE, b"\0")
+# Actions.
+
+
+class ActionLayout(NamedTuple):
+    """How one kind of action is written."""
+
+    code: int
+    record: struct.Struct
+    fields: Callable[[Any], tuple[object, ...]]
+
+
+def _action(code: int, fields: str, values: Callable[[Any], tuple[object, ...]]) -> ActionLayout:
+    return ActionLayout(code, struct.Struct(PREFIX + fields), values)
+
+
+ACTIONS: Mapping[type, ActionLayout] = {
+    api.Send: _action(1, "Q6sd", lambda send: (send.request, send.server, send.timeout)),
+    api.Refuse: _action(2, "Qd", lambda refuse: (refuse.request, refuse.retry_after)),
+    api.Fail: _action(3, "Q", lambda fail: (fail.request,)),
+    api.Cancel: _action(4, "QB", lambda cancel: (cancel.request, cancel.attempt)),
+    api.SetTimer: _action(5, "Qd", lambda timer: (timer.token, timer.delay)),
+    api.Probe: _action(6, "6s", lambda probe: (probe.server,)),
+    api.FollowList: _action(11, "B", lambda _: (FOLLOW_LIST,)),
+    api.Count: _action(13, "fQd", lambda count: (count.amount, count.name, count.keep_for)),
+}
+FAULT_CODE, FAULT_RECORD = 10, struct.Struct(PREFIX + "II")
+
+
+def _encode_fault(instance: int, fault: Fault, tail: bytearray) -> bytes:
+    text = fault.text.encode()
+    record = FAULT_RECORD.pack(FAULT_CODE, instance, len(tail), len(text))
+    tail += text
+    return record.ljust(ACTION_SIZE, b"\0")
+
+
+def _encode_action(instance: int, action: api.Action) -> bytes:
+    layout = ACTIONS[type(action)]
+    return layout.record.pack(layout.code, instance, *layout.fields(action)).ljust(ACTION_SIZE, b"\0")
 
 
 def encode_reply(actions: Iterable[tuple[int, WireAction]]) -> bytes:
-    """Write one reply frame."""
+    """Write one reply frame of actions with their instances."""
     tail = bytearray()
-    records = [_encode_action(instance, action, tail) for instance, action in actions]
-    body = b"".join(records) + bytes(tail)
-    return REPLY_HEADER.pack(REPLY_HEADER.size + len(body), len(records)) + body
+    records = bytearray()
+    for instance, action in actions:
+        if isinstance(action, Fault):
+            records += _encode_fault(instance, action, tail)
+        else:
+            records += _encode_action(instance, action)
+    body = records + tail
+    count = len(records) // ACTION_SIZE
+    return REPLY_HEADER.pack(REPLY_HEADER.size + len(body), count) + bytes(body)
