--- a/tests/common/test_log_events.py
+++ b/tests/common/test_log_events.py
@@ -17,6 +17,7 @@
         for module in modules:
             logged.update(re.findall(r'\blog_event\(\s*"(\w+)"', module.read_text()))
     page = (ROOT / "docs" / "operators" / "gateway.md").read_text()
-    table = page[page.index("| event | of | says |") :].split("\n\n")[0]
-    named = {name for row in table.splitlines()[2:] for name in re.findall(r"`(\w+)`", row.split("|")[1])}
-    assert logged and named == logged
+    section = page.split("\n## Log events\n", 1)[1].split("\n## ", 1)[0]
+    rows = [line for line in section.splitlines() if line.startswith("| `")]
+    named = [name for row in rows for name in re.findall(r"`(\w+)`", row.split("|")[1])]
+    assert logged and sorted(named) == sorted(logged)
--- a/wickspring/commands/__init__.py
+++ b/wickspring/commands/__init__.py
@@ -19,10 +19,15 @@
 
 def run_command(words: Sequence[str]) -> int:
     """Run the command that the words name, below `wickspring`, and return its exit code."""
-    group, *rest = words or [""]
-    if group in _GROUPS:
-        return run(_load(_GROUPS[group]), rest, PROGRAM, group)
-    return run(_load(_TOP), words, PROGRAM)
+    commands, rest = find_group(words)
+    return run(commands, rest, PROGRAM, words[0] if len(rest) < len(words) else "")
+
+
+def find_group(words: Sequence[str]) -> tuple[type, Sequence[str]]:
+    """Return the class of the group that the first word names, by default the top, and its words."""
+    if words and words[0] in _GROUPS:
+        return _load(_GROUPS[words[0]]), words[1:]
+    return _load(_TOP), words
 
 
 def _load(place: str) -> type:
