--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -20,6 +20,7 @@
     VirtualSystem,
     run_virtual_system,
 )
+from wickspring.agent import wire
 from wickspring.agent.store import Store
 from wickspring.common import messages
 from wickspring.common.connection import DECODE_ERRORS, PeerConnection
@@ -32,6 +33,7 @@
 from wickspring.controlplane.storage import ReplicaStore
 from wickspring.controlplane.storage_file import FILE
 from wickspring.fleet.file import load_fleet
+from wickspring.fleet.model import Operation, Record, Slot
 from wickspring.lab.simulation.clock import VirtualClock
 
 FIXTURES = Path(__file__).parents[1] / "fixtures"
@@ -169,6 +171,22 @@
     assert found == expected
 
 
+@pytest.mark.parametrize(
+    ("name", "kind"),
+    [
+        ("record", Record),
+        ("operation", Operation),
+        ("slot", Slot),
+        ("messages", list[wire.Message]),
+        ("answer", wire.Answer),
+    ],
+)
+def test_stored_data_and_messages_of_agents_keep_their_form(name: str, kind: Any) -> None:
+    form = recorded("agent_messages.json")[name]
+    read = msgspec.convert(form, kind)
+    assert json.loads(msgspec.json.encode(read)) == form
+
+
 # Messages.
 
 
