--- a/tests/commands/test_fleet.py
+++ b/tests/commands/test_fleet.py
@@ -13,7 +13,16 @@
 from wickspring.agent import wire
 from wickspring.commands.fleet import operations
 from wickspring.commands.fleet.client import FleetClient
-from wickspring.fleet.model import Kind, Operation, Phase, Progress, Record, Seen, Step, Want
+from wickspring.fleet.model import (
+    DesiredState,
+    InstanceRecord,
+    Kind,
+    ObservedState,
+    Operation,
+    Phase,
+    Progress,
+    Step,
+)
 from wickspring.wire import WireError
 
 MOVING = Progress("n0", "a0", "hall-a", Step.MOVING, build_before="1")
@@ -32,9 +41,9 @@
     def __init__(self) -> None:
         self.messages: list[wire.Message] = []
         self.asked: list[str] = []
-        self.records: tuple[Record, ...] = (
+        self.records: tuple[InstanceRecord, ...] = (
             record("n0"),
-            record("n1", hall="hall-b", want=Want(False, "1", 1)),
+            record("n1", hall="hall-b", desired=DesiredState(False, "1", 1)),
         )
         self.phases = [Phase.RUNNING, Phase.DONE]
         self.error = ""
@@ -120,7 +129,7 @@
         line.split()[0] for line in fleet("status", "hall=hall-a,build!=3").stdout.splitlines()[1:-1]
     ] == ["n0"]
     assert fleet("status", "n9").exit_code == 2
-    agents.records = (record("n0", seen=Seen("starting")),)
+    agents.records = (record("n0", observed=ObservedState("starting")),)
     assert fleet("status").exit_code == 1
 
 
--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -33,7 +33,7 @@
 from wickspring.controlplane.storage import ReplicaStore
 from wickspring.controlplane.storage_file import FILE
 from wickspring.fleet.file import load_fleet
-from wickspring.fleet.model import Operation, Record, Slot
+from wickspring.fleet.model import InstanceRecord, Operation, Permit
 from wickspring.lab.simulation.clock import VirtualClock
 
 FIXTURES = Path(__file__).parents[1] / "fixtures"
@@ -166,7 +166,14 @@
     shutil.copy(FIXTURES / "agent.sqlite", tmp_path)
     store = Store(tmp_path / "agent.sqlite")
     expected = recorded("agent.json")
-    found = {name: plain(msgspec.to_builtins(getattr(store, name)())) for name in expected}
+    readers = {
+        "records": store.records,
+        "slots": store.permits,
+        "operations": store.operations,
+        "processes": store.processes,
+        "history": store.history,
+    }
+    found = {name: plain(msgspec.to_builtins(readers[name]())) for name in expected}
     store.close()
     assert found == expected
 
@@ -174,9 +181,9 @@
 @pytest.mark.parametrize(
     ("name", "kind"),
     [
-        ("record", Record),
+        ("record", InstanceRecord),
         ("operation", Operation),
-        ("slot", Slot),
+        ("slot", Permit),
         ("messages", list[wire.Message]),
         ("answer", wire.Answer),
     ],
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -14,9 +14,9 @@
 from wickspring.agent import processes
 from wickspring.agent.instance_controller import InstanceController
 from wickspring.agent.node import Node
-from wickspring.fleet import home
+from wickspring.fleet import owner
 from wickspring.fleet.file import load_fleet
-from wickspring.fleet.model import Seen, Want
+from wickspring.fleet.model import DesiredState, ObservedState
 
 
 def test_a_process_is_found_again_by_pid_start_and_token_alone(tmp_path: Path) -> None:
@@ -74,22 +74,22 @@
             stubborn.pid, processes.start_ticks(stubborn.pid), "t", "1", 0, reported_ready=True
         )
         controller.current = process
-        node.instances.home = home.observe(node.instances.home, "n0", Seen())
-        held = node.instances.home.records["n0"]
-        stop = msgspec.structs.replace(held, want=Want(False, "1", 2))
-        node.instances.home = msgspec.structs.replace(
-            node.instances.home, records=node.instances.home.records.insert("n0", stop)
+        node.instances.owner_state = owner.observe(node.instances.owner_state, "n0", ObservedState())
+        held = node.instances.owner_state.records["n0"]
+        stop = msgspec.structs.replace(held, desired=DesiredState(False, "1", 2))
+        node.instances.owner_state = msgspec.structs.replace(
+            node.instances.owner_state, records=node.instances.owner_state.records.insert("n0", stop)
         )
         now = node.context.now()
         controller.step(now)
         assert process.alive
-        assert node.instances.home.records["n0"].seen.state == "draining"
+        assert node.instances.owner_state.records["n0"].observed.state == "draining"
         controller.step(now + 60.0)
         with trio.fail_after(20):
             await process.wait()
         controller.step(now + 61.0)
-        assert node.instances.home.records["n0"].seen.state == "stopped"
-        assert "killed" in node.instances.home.records["n0"].seen.note
+        assert node.instances.owner_state.records["n0"].observed.state == "stopped"
+        assert "killed" in node.instances.owner_state.records["n0"].observed.note
         stubborn.stdout.close()
 
     trio.run(main)
--- a/tests/fleet/test_protocol.py
+++ b/tests/fleet/test_protocol.py
@@ -1,8 +1,8 @@
 """The operation protocol, explored exhaustively from its real transition functions, for a small fleet.
 
-The states are those of the home agents, the operations as their coordinators keep them, and the instances. A
-step is one ask delivered, with its answer heard or lost (which is also what a coordinator killed there comes
-to: it goes on from what was kept), or one move of an instance. What is found is a Kripke structure.
+The states are those of the owners, the operations as their coordinators store them, and the instances. A
+step is one request delivered, with its reply received or lost (which is also what a coordinator killed there
+comes to: it goes on from what was stored), or one change of an instance. What is found is a Kripke structure.
 """
 
 from __future__ import annotations
@@ -15,9 +15,20 @@
 from pyModelChecking.CTL import AG, EF, AtomicProposition, Not, modelcheck
 from rpds import HashTrieMap
 
-from wickspring.fleet import home
-from wickspring.fleet.home import Around, Home
-from wickspring.fleet.model import FLEET, Kind, Operation, Phase, Record, Rules, Seen, Step, Want, scope_of
+from wickspring.fleet import owner, owner_messages
+from wickspring.fleet.model import (
+    FLEET,
+    DesiredState,
+    InstanceRecord,
+    Kind,
+    ObservedState,
+    Operation,
+    Phase,
+    Rules,
+    Step,
+    scope_of,
+)
+from wickspring.fleet.owner import FleetStatus, OwnerState
 from wickspring.fleet.rollout import coordinator
 from wickspring.fleet.rollout.instance_steps import MAX_CRASHES
 from wickspring.fleet.rollout.observation import FleetObservation
@@ -28,23 +39,26 @@
 RULES = Rules(
     hold_s=0.0, down_share_hall=0.34, down_share_fleet=0.34, lease_s=1e6, ask_again_s=0.0, failed_least=1
 )
-HOMES = {"a": ("n0", "n1"), "b": ("n2",)}
-WARDENS = {scope_of("h"): "a", FLEET: "b"}
+OWNERS = {"a": ("n0", "n1"), "b": ("n2",)}
+ISSUERS = {scope_of("h"): "a", FLEET: "b"}
 BAD = "bad"
 
-State = tuple[tuple[Home, ...], tuple[Operation, ...]]
+State = tuple[tuple[OwnerState, ...], tuple[Operation, ...]]
 
 
 def first(*operations: tuple[Kind, str, tuple[str, ...], str]) -> State:
     """Return a fleet of three that serves build 1, and operations about to begin."""
-    homes = []
-    for agent, names in HOMES.items():
-        one = Home(agent)
+    owners = []
+    for agent, names in OWNERS.items():
+        one = OwnerState(agent)
         for name in names:
-            want, seen = Want(True, "1", 1), Seen("ready", "1", version=1, ready_at=1.0)
-            one = home.register(one, Record(name, "h", agent, want=want, seen=seen))
-        homes.append(one)
-    everything = records(tuple(homes))
+            desired, observed = (
+                DesiredState(True, "1", 1),
+                ObservedState("ready", "1", version=1, ready_at=1.0),
+            )
+            one = owner.register(one, InstanceRecord(name, "h", agent, desired=desired, observed=observed))
+        owners.append(one)
+    everything = records(tuple(owners))
     planned = tuple(
         plan_operation(
             OperationRequest(
@@ -60,65 +74,67 @@
         )
         for index, (kind, build, names, _) in enumerate(operations)
     )
-    return tuple(homes), planned
+    return tuple(owners), planned
 
 
-def records(homes: tuple[Home, ...]) -> HashTrieMap[str, Record]:
-    found: HashTrieMap[str, Record] = HashTrieMap()
-    for one in homes:
+def records(owners: tuple[OwnerState, ...]) -> HashTrieMap[str, InstanceRecord]:
+    found: HashTrieMap[str, InstanceRecord] = HashTrieMap()
+    for one in owners:
         for record in one.records.values():
             found = found.insert(record.name, record)
     return found
 
 
-Reduce = Callable[..., tuple[Home, home.Reply]]
+Reduce = Callable[..., tuple[OwnerState, owner_messages.Reply]]
 
 
 def steps(state: State, reduce: Reduce) -> Iterator[State]:
     """Return every state that one step leads to."""
-    homes, operations = state
-    everything = records(homes)
-    observation = FleetObservation(everything, WARDENS, RULES)
+    owners, operations = state
+    everything = records(owners)
+    observation = FleetObservation(everything, ISSUERS, RULES)
     for index, operation in enumerate(operations):
         after, requests = coordinator.advance(operation, NOW, observation)
         if after != operation:
-            yield homes, (*operations[:index], after, *operations[index + 1 :])
+            yield owners, (*operations[:index], after, *operations[index + 1 :])
             continue  # what needs no answer comes first
         for sent in requests:
             place = "ab".index(sent.agent)
-            changed, reply = reduce(homes[place], NOW, sent.request, RULES, Around(everything))
-            new = (*homes[:place], changed, *homes[place + 1 :])
+            changed, reply = reduce(owners[place], NOW, sent.request, RULES, FleetStatus(everything))
+            new = (*owners[:place], changed, *owners[place + 1 :])
             received = receive_reply(operation, NOW, sent.agent, sent.request, reply)
             yield new, (*operations[:index], received, *operations[index + 1 :])
             yield new, operations  # the answer is lost, or the coordinator killed before it kept it
-    for place, one in enumerate(homes):
+    for place, one in enumerate(owners):
         for record in one.records.values():
-            for seen in moves(record):
-                moved = home.observe(one, record.name, seen)
-                yield (*homes[:place], moved, *homes[place + 1 :]), operations
+            for observed in moves(record):
+                moved = owner.observe(one, record.name, observed)
+                yield (*owners[:place], moved, *owners[place + 1 :]), operations
 
 
-def moves(record: Record) -> Iterator[Seen]:
+def moves(record: InstanceRecord) -> Iterator[ObservedState]:
     """Return how an instance may be next."""
-    want, seen = record.want, record.seen
-    if seen.version < want.version:
-        yield Seen("starting" if want.run else "stopped", want.build, want.generation, want.version)
-    elif seen.state == "starting" and seen.failures == 0:
-        if want.build != BAD:
-            yield msgspec.structs.replace(seen, state="ready")
+    desired, observed = record.desired, record.observed
+    if observed.version < desired.version:
+        yield ObservedState(
+            "starting" if desired.run else "stopped", desired.build, desired.generation, desired.version
+        )
+    elif observed.state == "starting" and observed.failures == 0:
+        if desired.build != BAD:
+            yield msgspec.structs.replace(observed, state="ready")
         else:
-            yield msgspec.structs.replace(seen, state="waiting", failures=MAX_CRASHES)
-            yield msgspec.structs.replace(seen, state="ready", requests=9, failed=0)
-    elif seen.build == BAD and seen.state == "ready" and not seen.failed:
-        yield msgspec.structs.replace(seen, requests=99, failed=90)
+            yield msgspec.structs.replace(observed, state="waiting", failures=MAX_CRASHES)
+            yield msgspec.structs.replace(observed, state="ready", requests=9, failed=0)
+    elif observed.build == BAD and observed.state == "ready" and not observed.failed:
+        yield msgspec.structs.replace(observed, requests=99, failed=90)
 
 
 def labels(state: State) -> set[str]:
     """Say what holds in a state."""
-    homes, operations = state
-    everything, found = records(homes), set[str]()
-    down = sum(not record.seen.ready for record in everything.values())
-    if down > home.down_most(3, RULES.down_share_hall):
+    owners, operations = state
+    everything, found = records(owners), set[str]()
+    down = sum(not record.observed.ready for record in everything.values())
+    if down > owner.max_down(3, RULES.down_share_hall):
         found.add("below_floor")
     moving = [
         {one.instance for one in operation.instances if one.step in (Step.MOVING, Step.PROVING)}
@@ -136,7 +152,7 @@
     return found
 
 
-def explore(start: State, reduce: Reduce = home.reduce, most: int = 60_000) -> tuple[Kripke, int]:
+def explore(start: State, reduce: Reduce = owner.handle_request, most: int = 60_000) -> tuple[Kripke, int]:
     """Walk every reachable state; return the structure and how many states there are."""
     keys: dict[bytes, int] = {}
     edges, marks, queue = list[tuple[int, int]](), dict[int, set[str]](), [start]
@@ -145,7 +161,7 @@
         key = msgspec.json.encode(
             [
                 [sorted(one.records.values(), key=lambda r: r.name) for one in state[0]],
-                [sorted(one.slots.items()) for one in state[0]],
+                [sorted(one.permits.items()) for one in state[0]],
                 state[1],
             ]
         )
@@ -209,26 +225,26 @@
 
 
 def without_floor(
-    one: Home, now: float, request: home.Request, rules: Rules, around: Around
-) -> tuple[Home, home.Reply]:
-    """Seed a defect: the warden forgets those who hold leave and serve still."""
-    if isinstance(request, home.TakeSlot):
-        forgetful = msgspec.structs.replace(one, slots=HashTrieMap())
-        return home.reduce(forgetful, now, request, rules, around)
-    return home.reduce(one, now, request, rules, around)
+    one: OwnerState, now: float, request: owner_messages.Request, rules: Rules, status: FleetStatus
+) -> tuple[OwnerState, owner_messages.Reply]:
+    """Seed a defect: the issuer forgets the permits of instances that still serve."""
+    if isinstance(request, owner_messages.AcquirePermit):
+        forgetful = msgspec.structs.replace(one, permits=HashTrieMap())
+        return owner.handle_request(forgetful, now, request, rules, status)
+    return owner.handle_request(one, now, request, rules, status)
 
 
 def without_claims(
-    one: Home, now: float, request: home.Request, rules: Rules, around: Around
-) -> tuple[Home, home.Reply]:
+    one: OwnerState, now: float, request: owner_messages.Request, rules: Rules, status: FleetStatus
+) -> tuple[OwnerState, owner_messages.Reply]:
     """Seed a defect: a claim is given whoever holds it."""
-    if isinstance(request, home.TakeClaims):
+    if isinstance(request, owner_messages.AcquireClaims):
         for name in request.instances:
             record = one.records[name]
             one = msgspec.structs.replace(
                 one, records=one.records.insert(name, msgspec.structs.replace(record, claim=None))
             )
-    return home.reduce(one, now, request, rules, around)
+    return owner.handle_request(one, now, request, rules, status)
 
 
 def test_seeded_defects_are_caught() -> None:
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -8,10 +8,10 @@
 import pytest
 from rpds import HashTrieMap
 
-from tests.support.fleet import NOW, RULES, homes, record
-from wickspring.fleet import home
-from wickspring.fleet.home import Around
+from tests.support.fleet import NOW, RULES, owner_state, record
+from wickspring.fleet import owner
 from wickspring.fleet.model import FLEET, Kind, Operation, Phase, Step, scope_of
+from wickspring.fleet.owner import FleetStatus
 from wickspring.fleet.rollout import coordinator
 from wickspring.fleet.rollout.observation import FleetObservation
 from wickspring.fleet.rollout.plan import OperationRequest, plan_operation
@@ -19,37 +19,39 @@
 
 
 class Drive:
-    """A coordinator and one home, with instances moved by hand."""
+    """A coordinator and one owner of instances, whose observed states are set by hand."""
 
     def __init__(self, kind: Kind, count: int = 3, build: str = "2", batch: int = 1) -> None:
-        self.home = homes(*(record(f"n{n}") for n in range(count)))
+        self.owner_state = owner_state(*(record(f"n{n}") for n in range(count)))
         self.now, self.dead = NOW, frozenset[str]()
-        chosen = tuple(self.home.records[f"n{n}"] for n in range(count))
+        chosen = tuple(self.owner_state.records[f"n{n}"] for n in range(count))
         request = OperationRequest("op", kind, by="x", coordinator="a0", at=NOW, build=build, batch=batch)
         self.operation = plan_operation(request, chosen)
 
     def turn(self, times: int = 4) -> Operation:
         for _ in range(times):
             observation = FleetObservation(
-                self.home.records, {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES, self.dead
+                self.owner_state.records, {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES, self.dead
             )
             self.operation, requests = coordinator.advance(self.operation, self.now, observation)
             for one in requests:
-                self.home, reply = home.reduce(
-                    self.home, self.now, one.request, RULES, Around(self.home.records)
+                self.owner_state, reply = owner.handle_request(
+                    self.owner_state, self.now, one.request, RULES, FleetStatus(self.owner_state.records)
                 )
                 self.operation = receive_reply(self.operation, self.now, one.agent, one.request, reply)
         return self.operation
 
     def be(self, name: str, state: str, **more: object) -> None:
-        old = self.home.records[name]
+        old = self.owner_state.records[name]
         fields: dict[str, object] = {
             "state": state,
-            "build": old.want.build,
-            "generation": old.want.generation,
-            "version": old.want.version,
+            "build": old.desired.build,
+            "generation": old.desired.generation,
+            "version": old.desired.version,
         }
-        self.home = home.observe(self.home, name, msgspec.structs.replace(old.seen, **{**fields, **more}))
+        self.owner_state = owner.observe(
+            self.owner_state, name, msgspec.structs.replace(old.observed, **{**fields, **more})
+        )
 
     def step(self, name: str) -> Step:
         found = self.operation.find(name)
@@ -66,7 +68,7 @@
     drive = Drive(Kind.UPGRADE)
     drive.turn()
     assert [drive.step(f"n{n}") for n in range(3)] == [Step.MOVING, Step.PENDING, Step.PENDING]
-    assert drive.home.records["n0"].want.build == "2"
+    assert drive.owner_state.records["n0"].desired.build == "2"
     drive.be("n0", "starting")
     drive.pass_time(2)
     assert drive.step("n0") is Step.MOVING
@@ -80,35 +82,37 @@
         drive.be(name, "ready")
         drive.pass_time(RULES.hold_s + 3)
     assert drive.turn().phase is Phase.DONE
-    assert all(one.claim is None for one in drive.home.records.values())
-    assert not drive.home.slots
+    assert all(one.claim is None for one in drive.owner_state.records.values())
+    assert not drive.owner_state.permits
 
 
 @pytest.mark.parametrize(
-    ("seen", "reason"),
+    ("observed", "reason"),
     [
         ({"state": "waiting", "failures": 3, "last_exit": 1}, "ended 3 times, last with 1"),
         ({"state": "ready", "requests": 100, "failed": 50}, "50 of 100 answers failed"),
         ({"state": "silent"}, "was ready, and is silent"),
     ],
 )
-def test_a_build_that_fails_is_taken_back_from_all_it_reached(seen: dict[str, object], reason: str) -> None:
+def test_a_build_that_fails_is_taken_back_from_all_it_reached(
+    observed: dict[str, object], reason: str
+) -> None:
     drive = Drive(Kind.UPGRADE)
     drive.turn()
     drive.be("n0", "ready")
     drive.pass_time(RULES.hold_s + 2)
     assert drive.step("n0") is Step.DONE
-    if seen["state"] != "waiting":
+    if observed["state"] != "waiting":
         drive.be("n1", "ready")
         drive.turn()
-    drive.be("n1", **seen)  # type: ignore[arg-type]
+    drive.be("n1", **observed)  # type: ignore[arg-type]
     drive.turn()
     assert drive.operation.phase is Phase.REVERTING
     assert reason in drive.operation.reason
-    assert drive.home.records["n1"].want.build == "1"
+    assert drive.owner_state.records["n1"].desired.build == "1"
     drive.be("n1", "ready", failures=0)
     drive.pass_time(3)
-    assert drive.home.records["n0"].want.build == "1"
+    assert drive.owner_state.records["n0"].desired.build == "1"
     drive.be("n0", "ready")
     drive.pass_time(3)
     assert drive.turn().phase is Phase.FAILED
@@ -146,7 +150,9 @@
     assert after.instances[0].step is Step.MOVING and after.phase is Phase.RUNNING
     after, _ = coordinator.advance(drive.operation, NOW + 60.0, observation)
     assert after.instances[0].step is Step.LOST
-    others = replace(observation, records=drive.home.records.remove("n0"))  # its agent tells, not of it
+    others = replace(
+        observation, records=drive.owner_state.records.remove("n0")
+    )  # its agent tells, not of it
     after, _ = coordinator.advance(drive.operation, NOW + 5.0, others)
     assert "no agent tells of it" in after.reason
 
@@ -173,7 +179,7 @@
 def test_drains_end_with_who_stopped_and_a_restart_has_a_new_generation() -> None:
     drive = Drive(Kind.DRAIN, count=1)
     drive.turn()
-    assert not drive.home.records["n0"].want.run
+    assert not drive.owner_state.records["n0"].desired.run
     drive.be("n0", "draining")
     drive.turn()
     assert drive.step("n0") is Step.MOVING
@@ -181,7 +187,7 @@
     assert drive.turn(6).phase is Phase.DONE
     drive = Drive(Kind.RESTART, count=1)
     drive.turn()
-    assert drive.home.records["n0"].want.generation == 1
+    assert drive.owner_state.records["n0"].desired.generation == 1
     drive.be("n0", "ready")
     drive.pass_time(RULES.hold_s + 3)
     assert drive.operation.phase is Phase.DONE
@@ -201,7 +207,7 @@
 def test_nothing_new_is_begun_without_a_quorum() -> None:
     drive = Drive(Kind.UPGRADE)
     observation = FleetObservation(
-        drive.home.records, {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES, quorum=False
+        drive.owner_state.records, {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES, quorum=False
     )
     after, requests = coordinator.advance(drive.operation, NOW, observation)
     assert requests == []
@@ -209,7 +215,7 @@
 
 
 def test_a_hall_that_the_file_no_longer_names_loses_its_instances_and_ends_the_operation() -> None:
-    records = homes(record("n0")).records
+    records = owner_state(record("n0")).records
     request = OperationRequest("op", Kind.RESTART, by="x", coordinator="a0", at=NOW)
     planned = plan_operation(request, records.values())
     running = msgspec.structs.replace(planned, phase=Phase.RUNNING)
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -20,8 +20,8 @@
 from wickspring.agent.node import Node
 from wickspring.agent.tls import who
 from wickspring.fleet.file import load_fleet
-from wickspring.fleet.home import Home
-from wickspring.fleet.model import Kind, Record
+from wickspring.fleet.model import InstanceRecord, Kind
+from wickspring.fleet.owner import OwnerState
 from wickspring.settings.errors import ConfigError
 from wickspring.tls import Certificates
 from wickspring.wire import Greeting, WireError
@@ -61,7 +61,7 @@
 
     async def main() -> None:
         node = Node(fleet, "a0")
-        node.instances.home = Home("a0")  # no processes in this test
+        node.instances.owner_state = OwnerState("a0")  # no processes in this test
         node.instances.controllers.clear()
         address = fleet.agent("a0").address
         async with trio.open_nursery() as nursery:
@@ -134,5 +134,5 @@
     }
     unwanted |= {"wickspring.fleet", "wickspring.agent", "wickspring.lab", "wickspring.commands"}
     assert not unwanted & loaded
-    empty: HashTrieMap[str, Record] = HashTrieMap()
+    empty: HashTrieMap[str, InstanceRecord] = HashTrieMap()
     assert not empty
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,4 +1,4 @@
-"""Records, homes and a fleet file for the tests of the fleet and its agents."""
+"""Records, owners' states and a fleet file for the tests of the fleet and its agents."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 from pathlib import Path
 
 from tests.agent.test_config import example
-from wickspring.fleet import home
-from wickspring.fleet.home import Home
-from wickspring.fleet.model import Record, Rules, Seen, Want
+from wickspring.fleet import owner
+from wickspring.fleet.model import DesiredState, InstanceRecord, ObservedState, Rules
+from wickspring.fleet.owner import OwnerState
 from wickspring.lab.emulation.site import free_port
 
 NOW = 1000.0
 RULES = Rules()
 
 
-def record(name: str, hall: str = "hall-a", build: str = "1", **more: object) -> Record:
+def record(name: str, hall: str = "hall-a", build: str = "1", **more: object) -> InstanceRecord:
     fields: dict[str, object] = {
-        "want": Want(True, build, 1),
-        "seen": Seen("ready", build, version=1),
+        "desired": DesiredState(True, build, 1),
+        "observed": ObservedState("ready", build, version=1),
         **more,
     }
-    return Record(name, hall, "a0", **fields)  # type: ignore[arg-type]
+    return InstanceRecord(name, hall, "a0", **fields)  # type: ignore[arg-type]
 
 
-def homes(*records: Record) -> Home:
-    one = Home("a0")
+def owner_state(*records: InstanceRecord) -> OwnerState:
+    one = OwnerState("a0")
     for each in records:
-        one = home.register(one, each)
+        one = owner.register(one, each)
     return one
 
 
--- a/wickspring/agent/gossip.py
+++ b/wickspring/agent/gossip.py
@@ -50,7 +50,7 @@
 
     def _content(self, left: bool = False) -> Content:
         """Return what this agent publishes of itself."""
-        records = sorted(self.instances.home.records.values(), key=lambda record: record.name)
+        records = sorted(self.instances.owner_state.records.values(), key=lambda record: record.name)
         operations = self.operations.reported()
         return Content(tuple(records), operations, __version__, wire.HIGHEST, left)
 
--- a/wickspring/agent/instance_controller.py
+++ b/wickspring/agent/instance_controller.py
@@ -1,4 +1,4 @@
-"""Reconciles one instance with what is wanted of it: starts, replaces, drains and watches its processes.
+"""Reconciles one instance with its desired state: starts, replaces, drains and watches its processes.
 
 A replacement overlaps its predecessor if the fleet file says so: the successor listens on the same address,
 and the predecessor is drained once the successor is ready. A successor that does not become ready is given
@@ -21,7 +21,7 @@
 from wickspring.agent.processes import InstanceProcess
 from wickspring.agent.store import Process, StoreError
 from wickspring.fleet.file import FleetFile, FleetInstance
-from wickspring.fleet.model import Record, Seen, Want
+from wickspring.fleet.model import DesiredState, InstanceRecord, ObservedState
 from wickspring.logs import kv
 
 log = logging.getLogger(__name__)
@@ -35,12 +35,12 @@
 
 
 class InstanceRecords(Protocol):
-    """Where a controller reads what is wanted of its instance, and reports how it is."""
+    """Where a controller reads the desired state of its instance, and reports the observed one."""
 
-    def record(self, name: str) -> Record:
+    def record(self, name: str) -> InstanceRecord:
         """Return an instance's record."""
 
-    def report(self, name: str, seen: Seen) -> None:
+    def report(self, name: str, observed: ObservedState) -> None:
         """Take in how an instance is."""
 
 
@@ -75,7 +75,7 @@
     def _file(self) -> FleetFile:
         return self.context.fleet.file
 
-    def _record(self) -> Record:
+    def _record(self) -> InstanceRecord:
         return self.records.record(self.instance.name)
 
     def wake(self) -> None:
@@ -144,10 +144,10 @@
     def step(self, now: float) -> float:
         """Do what is due now; return when to look again at the latest."""
         record = self._record()
-        self._remove_ended(now, record.want.run)
+        self._remove_ended(now, record.desired.run)
         due = self._kill_overdue(now)
-        if record.want.run:
-            due = min(due, self._reconcile(now, record.want))
+        if record.desired.run:
+            due = min(due, self._reconcile(now, record.desired))
         else:
             self._stop(now)
         self._report(now, record)
@@ -220,24 +220,24 @@
         self.failures = 0
         self.pause_until = 0.0
 
-    def _reconcile(self, now: float, want: Want) -> float:
-        """Come closer to what is wanted of a running instance; return when to look again."""
+    def _reconcile(self, now: float, desired: DesiredState) -> float:
+        """Come closer to the desired state of an instance that is to run; return when to look again."""
         if self._awaits_adopted(now):
             assert self.current is not None
             return self.current.started_at + ADOPTION_GRACE_S
-        if self._replace(now, want):
+        if self._replace(now, desired):
             return now
         self._give_up_late_starts(now)
         current = self.current
-        if current is not None and current.reported_ready and current.runs(want):
+        if current is not None and current.reported_ready and current.runs(desired):
             if self.failures and self._is_steady(current, now):
                 self.failures = 0
                 self.note = ""
             return math.inf
-        starting = current if current is not None and current.runs(want) else self.successor
+        starting = current if current is not None and current.runs(desired) else self.successor
         if starting is not None:
             return starting.started_at + self._file.rules.ready_within_s
-        return self._start(now, want)
+        return self._start(now, desired)
 
     def _awaits_adopted(self, now: float) -> bool:
         """Tell whether the current process was adopted and may still report that it is ready."""
@@ -246,14 +246,14 @@
             return False
         return now < current.started_at + ADOPTION_GRACE_S
 
-    def _replace(self, now: float, want: Want) -> bool:
-        """Drain what runs another build than wanted; True where a successor has taken over."""
-        if self.successor is not None and not self.successor.runs(want):
+    def _replace(self, now: float, desired: DesiredState) -> bool:
+        """Drain what runs another build than the desired one; True where a successor has taken over."""
+        if self.successor is not None and not self.successor.runs(desired):
             self._drain(self.successor, now)
             self.successor = None
         if self.current is None:
             return False
-        if self.current.runs(want):
+        if self.current.runs(desired):
             self._drain(self.successor, now)
             self.successor = None
             return False
@@ -280,13 +280,13 @@
                 self._drain(process, now, force=True)
                 self._remove_serving(process)
 
-    def _start(self, now: float, want: Want) -> float:
+    def _start(self, now: float, desired: DesiredState) -> float:
         """Start a process unless a pause holds it up; return when to look again."""
         if now < self.pause_until:
             return self.pause_until
         if self.current is None and self.draining and not self._file.overlap:
             return now + MIN_PAUSE_S  # its address is not free yet
-        process = self._launch(now, want)
+        process = self._launch(now, desired)
         if process is None:
             return self.pause_until
         if self.current is None:
@@ -297,10 +297,10 @@
 
     # Processes.
 
-    def _launch(self, now: float, want: Want) -> InstanceProcess | None:
+    def _launch(self, now: float, desired: DesiredState) -> InstanceProcess | None:
         """Start a process; None where that failed, with the pause set until the next attempt."""
         try:
-            process = self.launcher.launch(self.instance, want)
+            process = self.launcher.launch(self.instance, desired)
         except LaunchError as error:
             self._failed(now, str(error))
             return None
@@ -331,9 +331,9 @@
 
     # Reports.
 
-    def _state(self, now: float, record: Record) -> str:
-        """Return the state in the words of `Seen.state`."""
-        if not record.want.run:
+    def _state(self, now: float, record: InstanceRecord) -> str:
+        """Return the state in the words of `ObservedState.state`."""
+        if not record.desired.run:
             return "draining" if self.draining else "stopped"
         if self.current is None:
             return "waiting" if now < self.pause_until else "starting"
@@ -341,17 +341,17 @@
             return "starting"
         return "silent" if now - self.current.last_report_at > REPORT_TIMEOUT_S else "ready"
 
-    def _report(self, now: float, record: Record) -> None:
+    def _report(self, now: float, record: InstanceRecord) -> None:
         state = self._state(now, record)
         if state != "ready":
             self.ready_at = 0.0
         elif not self.ready_at:
             self.ready_at = now
-        seen = Seen(
+        observed = ObservedState(
             state=state,
-            build=record.seen.build,
-            generation=record.seen.generation,
-            version=record.want.version,
+            build=record.observed.build,
+            generation=record.observed.generation,
+            version=record.desired.version,
             ready_at=self.ready_at,
             starts=self.starts,
             failures=self.failures,
@@ -360,12 +360,12 @@
         )
         process = self.current
         if process is not None:
-            seen = msgspec.structs.replace(
-                seen,
+            observed = msgspec.structs.replace(
+                observed,
                 build=process.build,
                 generation=process.generation,
                 pid=process.pid,
                 requests=process.served,
                 failed=process.failed,
             )
-        self.records.report(self.instance.name, seen)
+        self.records.report(self.instance.name, observed)
--- a/wickspring/agent/local_instances.py
+++ b/wickspring/agent/local_instances.py
@@ -1,4 +1,4 @@
-"""The instances of one agent: what is wanted of them, stored, and a controller for each.
+"""The instances of one agent: their desired states, stored, and a controller for each.
 
 Every change is stored before it takes effect; a change that cannot be stored has not happened.
 """
@@ -14,9 +14,9 @@
 from wickspring.agent.instance_controller import InstanceController
 from wickspring.agent.notifications import Notification
 from wickspring.agent.store import StoreChange, StoreError
-from wickspring.fleet import home
+from wickspring.fleet import owner, owner_messages
 from wickspring.fleet.file import FleetInstance
-from wickspring.fleet.model import Record, Seen, Slot, Want
+from wickspring.fleet.model import DesiredState, InstanceRecord, ObservedState, Permit
 from wickspring.fleet.rollout.observation import Records
 from wickspring.logs import kv
 
@@ -24,11 +24,11 @@
 
 
 class LocalInstances:
-    """The agent's own instances, and the permissions that it gives as a warden."""
+    """The agent's own instances, and the permits that it issues."""
 
     def __init__(self, context: AgentContext) -> None:
         self.context = context
-        self.home = _stored_home(context)
+        self.owner_state = _stored_home(context)
         self.controllers: dict[str, InstanceController] = {}
         self._nursery: trio.Nursery | None = None
         self.apply_fleet_file()
@@ -50,27 +50,27 @@
         file = self.context.fleet.file
         own = {one.name: one for one in file.instance if one.agent == self.context.agent.name}
         for instance in own.values():
-            self._change(home.register(self.home, self._new_record(instance)))
-        for name in [name for name in self.home.records if name not in own]:
+            self._change(owner.register(self.owner_state, self._new_record(instance)))
+        for name in [name for name in self.owner_state.records if name not in own]:
             self._remove(name)
-        for name in [name for name in self.controllers if name not in self.home.records]:
+        for name in [name for name in self.controllers if name not in self.owner_state.records]:
             self.controllers.pop(name).scope.cancel()
         self._update_controllers(own)
 
-    def _new_record(self, instance: FleetInstance) -> Record:
+    def _new_record(self, instance: FleetInstance) -> InstanceRecord:
         file, agent = self.context.fleet.file, self.context.agent
         build = file.first_build or file.build[0].name
-        want = Want(file.first_run, build, 1, by="fleet file", at=self.context.now())
-        return Record(instance.name, agent.hall, agent.name, dict(instance.labels), want)
+        desired = DesiredState(file.first_run, build, 1, by="fleet file", at=self.context.now())
+        return InstanceRecord(instance.name, agent.hall, agent.name, dict(instance.labels), desired)
 
     def _remove(self, name: str) -> None:
-        self._change(home.forget(self.home, name))
-        if name in self.home.records:
+        self._change(owner.forget(self.owner_state, name))
+        if name in self.owner_state.records:
             log.warning("not_in_the_file", extra=kv(name=name, reason="it runs on; drain it first"))
 
     def _update_controllers(self, own: dict[str, FleetInstance]) -> None:
         stored = self.context.store.processes()
-        for name in self.home.records:
+        for name in self.owner_state.records:
             controller = self.controllers.get(name)
             if controller is None:
                 # One that the file no longer names needs a controller as well, to be drained.
@@ -85,18 +85,18 @@
 
     # Records.
 
-    def record(self, name: str) -> Record:
+    def record(self, name: str) -> InstanceRecord:
         """Return the record of an own instance."""
-        return self.home.records[name]
+        return self.owner_state.records[name]
 
-    def report(self, name: str, seen: Seen) -> None:
+    def report(self, name: str, observed: ObservedState) -> None:
         """Take in how an instance is. This is not stored: after a restart it is observed anew."""
-        self.home = home.observe(self.home, name, seen)
+        self.owner_state = owner.observe(self.owner_state, name, observed)
 
     def fleet_records(self) -> Records:
         """Return all instances of the fleet: the own ones as they are, the others as last reported."""
         records = self.context.view.records()
-        for record in self.home.records.values():
+        for record in self.owner_state.records.values():
             records = records.insert(record.name, record)
         return records
 
@@ -107,51 +107,59 @@
 
     # Requests of coordinators.
 
-    def handle_request(self, request: home.Request) -> home.Reply:
+    def handle_request(self, request: owner_messages.Request) -> owner_messages.Reply:
         """Carry out a coordinator's request."""
         now, view = self.context.now(), self.context.view
-        around = home.Around(self.fleet_records(), view.quorum(now), view.dead(now))
-        after, reply = home.reduce(self.home, now, request, self.context.fleet.file.rules, around)
+        status = owner.FleetStatus(self.fleet_records(), view.quorum(now), view.dead(now))
+        after, reply = owner.handle_request(
+            self.owner_state, now, request, self.context.fleet.file.rules, status
+        )
         events = []
-        if isinstance(request, home.SetWant) and not reply.reason and after is not self.home:
+        if (
+            isinstance(request, owner_messages.SetDesiredState)
+            and not reply.reason
+            and after is not self.owner_state
+        ):
             events.append(_describe(request, reply))
         try:
             self._change(after, *events)
         except StoreError as error:
             log.error("not_kept", extra=kv(reason=error))
-            return home.Reply(str(error), wait=True)
+            return owner_messages.Reply(str(error), wait=True)
         return reply
 
-    def _change(self, after: home.Home, *events: str) -> None:
+    def _change(self, after: owner.OwnerState, *events: str) -> None:
         """Store what differs, then let it take effect; on StoreError all stays as it was."""
         now = self.context.now()
-        change = _difference(self.home, after, [(now, text) for text in events])
+        change = _difference(self.owner_state, after, [(now, text) for text in events])
         if not change.is_empty:
             self.context.store.apply(change)
-        self.home = after
+        self.owner_state = after
         for record in change.records:
             if record.name in self.controllers:
                 self.controllers[record.name].wake()
 
 
-def _stored_home(context: AgentContext) -> home.Home:
-    stored = home.Home(context.agent.name)
+def _stored_home(context: AgentContext) -> owner.OwnerState:
+    stored = owner.OwnerState(context.agent.name)
     for record in context.store.records():
-        stored = home.register(stored, record)
-    slots = stored.slots
-    for key, slot in context.store.slots().items():
-        slots = slots.insert(key, slot)
-    return msgspec.structs.replace(stored, slots=slots)
+        stored = owner.register(stored, record)
+    permits = stored.permits
+    for key, permit in context.store.permits().items():
+        permits = permits.insert(key, permit)
+    return msgspec.structs.replace(stored, permits=permits)
 
 
-def _describe(request: home.SetWant, reply: home.Reply) -> str:
-    """Return the line of the history for a change of what is wanted."""
-    restart = " anew" if request.renew else ""
+def _describe(request: owner_messages.SetDesiredState, reply: owner_messages.Reply) -> str:
+    """Return the line of the history for a change of a desired state."""
+    restart = " anew" if request.restart else ""
     what = f"run={request.run} build={request.build}{restart}"
     return f"{request.instance}: {what} by {request.by} ({request.operation}), version {reply.version}"
 
 
-def _difference(before: home.Home, after: home.Home, events: list[tuple[float, str]]) -> StoreChange:
+def _difference(
+    before: owner.OwnerState, after: owner.OwnerState, events: list[tuple[float, str]]
+) -> StoreChange:
     """Return what is to be stored so that the store has `after`."""
     changed = [
         record
@@ -159,13 +167,13 @@
         if (old := before.records.get(name)) is None or _stored_part(old) != _stored_part(record)
     ]
     removed = [name for name in before.records if name not in after.records]
-    slots: dict[str, Slot | None] = {
-        key: slot for key, slot in after.slots.items() if before.slots.get(key) != slot
+    permits: dict[str, Permit | None] = {
+        key: permit for key, permit in after.permits.items() if before.permits.get(key) != permit
     }
-    slots |= {key: None for key in before.slots if key not in after.slots}
-    return StoreChange(records=changed, removed_records=removed, slots=slots, events=events)
+    permits |= {key: None for key in before.permits if key not in after.permits}
+    return StoreChange(records=changed, removed_records=removed, permits=permits, events=events)
 
 
-def _stored_part(record: Record) -> tuple[object, ...]:
+def _stored_part(record: InstanceRecord) -> tuple[object, ...]:
     """Return what of a record must be stored when it changes; the rest is observed anew after a restart."""
-    return record.want, record.claim, record.labels, record.before, record.hall
+    return record.desired, record.claim, record.labels, record.before, record.hall
--- a/wickspring/agent/message_handler.py
+++ b/wickspring/agent/message_handler.py
@@ -7,7 +7,7 @@
 from wickspring.agent.local_instances import LocalInstances
 from wickspring.agent.operation_runner import OperationRunner
 from wickspring.agent.wire import Answer, Peer
-from wickspring.fleet.model import Operation, Record
+from wickspring.fleet.model import InstanceRecord, Operation
 
 AGENTS_GOSSIP = "only agents gossip"
 AGENTS_REQUEST = "only agents ask this"
@@ -25,7 +25,7 @@
         """Answer one message; one that the peer may not send is answered with an error."""
         if isinstance(message, wire.Show):
             return self._show(message)
-        if isinstance(message, wire.Gossip | wire.Push | wire.Home):
+        if isinstance(message, wire.Gossip | wire.Push | wire.OwnerRequest):
             return self._answer_agent(peer, message)
         if peer.role != "operate":
             return Answer(error=f"{peer.name} may read, and not operate")
@@ -34,9 +34,9 @@
             return self.operations.submit(message, by)
         return self.operations.cancel(message, by)
 
-    def _answer_agent(self, peer: Peer, message: wire.Gossip | wire.Push | wire.Home) -> Answer:
+    def _answer_agent(self, peer: Peer, message: wire.Gossip | wire.Push | wire.OwnerRequest) -> Answer:
         if not peer.agent:
-            return Answer(error=AGENTS_REQUEST if isinstance(message, wire.Home) else AGENTS_GOSSIP)
+            return Answer(error=AGENTS_REQUEST if isinstance(message, wire.OwnerRequest) else AGENTS_GOSSIP)
         if isinstance(message, wire.Gossip):
             return Answer(news=self.context.view.delta(message.digest))
         if isinstance(message, wire.Push):
@@ -66,7 +66,7 @@
         program = entry.content.program if entry.content is not None else ""
         return wire.AgentView(name, hall, health, program, entry.heartbeat)
 
-    def _records(self) -> tuple[Record, ...]:
+    def _records(self) -> tuple[InstanceRecord, ...]:
         records = self.instances.fleet_records().values()
         return tuple(sorted(records, key=lambda record: (record.hall, record.name)))
 
--- a/wickspring/agent/operation_runner.py
+++ b/wickspring/agent/operation_runner.py
@@ -16,7 +16,7 @@
 from wickspring.agent.peer_client import PeerClient
 from wickspring.agent.store import StoreChange, StoreError
 from wickspring.agent.wire import Answer
-from wickspring.fleet import home
+from wickspring.fleet import owner_messages
 from wickspring.fleet.model import Kind, Operation
 from wickspring.fleet.rollout import coordinator
 from wickspring.fleet.rollout.observation import FleetObservation, Records
@@ -158,7 +158,7 @@
         fleet, view = self.context.fleet, self.context.view
         return FleetObservation(
             self.instances.fleet_records(),
-            fleet.wardens(),
+            fleet.permit_issuers(),
             fleet.file.rules,
             view.dead(now),
             view.quorum(now),
@@ -167,15 +167,15 @@
     async def _send(self, operation_id: str, request: AgentRequest) -> None:
         """Send a request, and apply its reply; one without a reply is sent again at the next advance."""
         if request.agent == self.context.agent.name:
-            reply: home.Reply | None = self.instances.handle_request(request.request)
+            reply: owner_messages.Reply | None = self.instances.handle_request(request.request)
         else:
             try:
-                reply = (await self.peers.exchange(request.agent, wire.Home(request.request))).reply
+                reply = (await self.peers.exchange(request.agent, wire.OwnerRequest(request.request))).reply
             except WireError:
                 return
         if reply is None:
             return
-        if reply.wait and not isinstance(request.request, home.TakeSlot):
+        if reply.wait and not isinstance(request.request, owner_messages.AcquirePermit):
             return  # the agent could not store it
         operation, now = self.operations[operation_id], self.context.now()
         with suppress(StoreError):  # the request is sent again, and replied to again
--- a/wickspring/agent/process_launcher.py
+++ b/wickspring/agent/process_launcher.py
@@ -15,7 +15,7 @@
 from wickspring.agent.processes import InstanceProcess
 from wickspring.agent.store import Process, StoreChange, StoreError
 from wickspring.fleet.file import FleetInstance
-from wickspring.fleet.model import Want
+from wickspring.fleet.model import DesiredState
 
 
 class LaunchError(Exception):
@@ -28,18 +28,18 @@
     def __init__(self, context: AgentContext) -> None:
         self.context = context
 
-    def launch(self, instance: FleetInstance, want: Want) -> InstanceProcess:
-        """Start a process that runs as wanted.
+    def launch(self, instance: FleetInstance, desired: DesiredState) -> InstanceProcess:
+        """Start a process in the desired state.
 
         Raises:
             LaunchError: there is no such build, or the system refused to start it.
             StoreError: its start could not be stored, and nothing was started.
         """
         name, token = instance.name, secrets.token_hex(8)
-        intent = Process(name, token, 0, 0, want.build, want.generation)
+        intent = Process(name, token, 0, 0, desired.build, desired.generation)
         log_file, pid_file = self.context.folder / f"{name}.log", self._pid_file(name, token)
         try:
-            plan = plan_launch(self.context.fleet, instance, want.build, self.context.notify_socket)
+            plan = plan_launch(self.context.fleet, instance, desired.build, self.context.notify_socket)
             self.context.store.apply(StoreChange(processes=[intent]))
             started = processes.launch(plan.command, plan.folder, plan.environment, log_file, pid_file, token)
         except UnknownBuildError as error:
@@ -49,7 +49,7 @@
                 self.forget(name, token)
             raise LaunchError(f"cannot be started: {error}") from error
         start_ticks = processes.start_ticks(started.pid)
-        return InstanceProcess(started.pid, start_ticks, token, want.build, want.generation)
+        return InstanceProcess(started.pid, start_ticks, token, desired.build, desired.generation)
 
     def store_identity(self, name: str, process: InstanceProcess) -> None:
         """Store the pid and the start time of a launched process.
--- a/wickspring/agent/processes.py
+++ b/wickspring/agent/processes.py
@@ -18,7 +18,7 @@
 
 import trio
 
-from wickspring.fleet.model import Want
+from wickspring.fleet.model import DesiredState
 
 EXEC_TIMEOUT_S = 0.25  # for execve(2) to take effect, on a machine under heavy load
 EXEC_POLL_S = 0.001
@@ -70,9 +70,9 @@
     started_at: float = 0.0
     draining_since: float = 0.0
 
-    def runs(self, want: Want) -> bool:
-        """Tell whether it is of the wanted build and generation."""
-        return (self.build, self.generation) == (want.build, want.generation)
+    def runs(self, desired: DesiredState) -> bool:
+        """Tell whether it is of the desired build and generation."""
+        return (self.build, self.generation) == (desired.build, desired.generation)
 
     @property
     def alive(self) -> bool:
--- a/wickspring/agent/store.py
+++ b/wickspring/agent/store.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from wickspring.fleet.model import Operation, Record, Slot
+from wickspring.fleet.model import InstanceRecord, Operation, Permit
 
 FORM = 1  # of the tables; a later one is not read by an earlier program
 MAX_HISTORY = 10_000
@@ -57,9 +57,9 @@
 class StoreChange:
     """What is stored together in one transaction."""
 
-    records: Sequence[Record] = ()
+    records: Sequence[InstanceRecord] = ()
     removed_records: Sequence[str] = ()  # names
-    slots: Mapping[str, Slot | None] = field(default_factory=dict)  # by key; None where one is removed
+    permits: Mapping[str, Permit | None] = field(default_factory=dict)  # by key; None where one is removed
     operations: Sequence[Operation] = ()
     processes: Sequence[Process] = ()
     ended_tokens: Sequence[str] = ()  # of processes that are forgotten
@@ -68,7 +68,7 @@
     @property
     def is_empty(self) -> bool:
         """Tell whether there is nothing to store."""
-        parts = (self.records, self.removed_records, self.slots, self.operations)
+        parts = (self.records, self.removed_records, self.permits, self.operations)
         return not any((*parts, self.processes, self.ended_tokens, self.events))
 
 
@@ -98,14 +98,16 @@
 
     # Reading.
 
-    def records(self) -> list[Record]:
+    def records(self) -> list[InstanceRecord]:
         """Return all instances."""
-        return [msgspec.json.decode(row[0], type=Record) for row in self._rows("select body from record")]
+        return [
+            msgspec.json.decode(row[0], type=InstanceRecord) for row in self._rows("select body from record")
+        ]
 
-    def slots(self) -> dict[str, Slot]:
-        """Return the slots given."""
+    def permits(self) -> dict[str, Permit]:
+        """Return the permits issued, by key."""
         rows = self._rows("select key, body from slot")
-        return {str(key): msgspec.json.decode(body, type=Slot) for key, body in rows}
+        return {str(key): msgspec.json.decode(body, type=Permit) for key, body in rows}
 
     def operations(self) -> list[Operation]:
         """Return the operations coordinated here, the latest last."""
@@ -150,11 +152,11 @@
             self._db.execute("insert or replace into record values (?, ?)", (record.name, _json(record)))
         for name in change.removed_records:
             self._db.execute("delete from record where name=?", (name,))
-        for key, slot in change.slots.items():
-            if slot is None:
+        for key, permit in change.permits.items():
+            if permit is None:
                 self._db.execute("delete from slot where key=?", (key,))
             else:
-                self._db.execute("insert or replace into slot values (?, ?)", (key, _json(slot)))
+                self._db.execute("insert or replace into slot values (?, ?)", (key, _json(permit)))
 
     def _write_operations(self, change: StoreChange) -> None:
         for operation in change.operations:
--- a/wickspring/agent/wire.py
+++ b/wickspring/agent/wire.py
@@ -13,8 +13,8 @@
 import msgspec
 import trio
 
-from wickspring.fleet import home
-from wickspring.fleet.model import Kind, Operation, Record
+from wickspring.fleet import owner_messages
+from wickspring.fleet.model import InstanceRecord, Kind, Operation
 from wickspring.fleet.views import AgentNews
 from wickspring.membership.anti_entropy import Digest
 from wickspring.wire import Lines, Numbers, WireError, connect, welcome
@@ -31,15 +31,15 @@
 
 
 class Push(msgspec.Struct, frozen=True, tag="push"):
-    """Entries that the other wanted."""
+    """Entries that the other agent has requested."""
 
     news: AgentNews
 
 
-class Home(msgspec.Struct, frozen=True, tag="home"):
-    """A coordinator's request to a home agent or warden."""
+class OwnerRequest(msgspec.Struct, frozen=True, tag="home"):
+    """A coordinator's request to the owner of instances, or to a permit issuer."""
 
-    request: home.Request
+    request: owner_messages.Request
 
 
 class Submit(msgspec.Struct, frozen=True, tag="submit"):
@@ -67,7 +67,7 @@
     history: int = 0  # lines of this agent's history
 
 
-Message = Gossip | Push | Home | Submit | Cancel | Show
+Message = Gossip | Push | OwnerRequest | Submit | Cancel | Show
 
 
 class AgentView(msgspec.Struct, frozen=True):
@@ -92,10 +92,10 @@
 
     error: str = ""
     news: AgentNews | None = None
-    reply: home.Reply | None = None
+    reply: owner_messages.Reply | None = None
     operation: Operation | None = None
     agents: tuple[AgentView, ...] = ()
-    records: tuple[Record, ...] = ()
+    records: tuple[InstanceRecord, ...] = ()
     operations: tuple[Operation, ...] = ()
     history: tuple[HistoryLine, ...] = ()
     quorum: bool = True
--- a/wickspring/commands/fleet/commands.py
+++ b/wickspring/commands/fleet/commands.py
@@ -29,7 +29,7 @@
 )
 from wickspring.config import ConfigError
 from wickspring.fleet.file import load_fleet
-from wickspring.fleet.model import Kind, Operation, Record
+from wickspring.fleet.model import InstanceRecord, Kind, Operation
 from wickspring.wire import WireError
 
 log = logging.getLogger(__name__)
@@ -88,7 +88,7 @@
         else:
             print(status_table(records))
             print(agents_line(answer))
-        if any(record.want.run and not record.seen.ready for record in records):
+        if any(record.desired.run and not record.observed.ready for record in records):
             raise CommandError
 
     def start(
@@ -226,7 +226,7 @@
     def inspect(self, name: str) -> str:
         """Show all that is known of an instance, an operation or an agent."""
         answer = self._client().request(wire.Show())
-        found: list[Record | Operation | wire.AgentView] = [
+        found: list[InstanceRecord | Operation | wire.AgentView] = [
             *(record for record in answer.records if record.name == name),
             *(operation for operation in answer.operations if operation.id == name),
             *(agent for agent in answer.agents if agent.name == name),
--- a/wickspring/commands/fleet/operations.py
+++ b/wickspring/commands/fleet/operations.py
@@ -12,7 +12,7 @@
 from wickspring.command_line.tables import format_json
 from wickspring.commands.fleet.client import FleetClient
 from wickspring.commands.fleet.output import plan_steps, plan_table
-from wickspring.fleet.model import Kind, Operation, Phase, Progress, Record, Step
+from wickspring.fleet.model import InstanceRecord, Kind, Operation, Phase, Progress, Step
 from wickspring.fleet.selector import SelectorError, parse
 from wickspring.wire import WireError
 
@@ -88,12 +88,12 @@
         took_s = operation.ended_at - operation.at
         reason = f": {operation.reason}" if operation.reason else ""
         print(f"{self._id}: {operation.phase.value} after {took_s:.1f} s{reason}")
-        for progress in operation.did_not_follow:
+        for progress in operation.incomplete:
             line = f"did not follow: {progress.instance} ({progress.step.value}) {progress.note}"
             print(line.rstrip())
 
 
-def choose(select: Sequence[str], answer: wire.Answer) -> tuple[Record, ...]:
+def choose(select: Sequence[str], answer: wire.Answer) -> tuple[InstanceRecord, ...]:
     """Apply a selection to the instances that an agent reports."""
     try:
         return parse(tuple(select)).choose(answer.records)
@@ -134,7 +134,7 @@
 
 
 def _submit(
-    client: FleetClient, kind: Kind, records: Sequence[Record], build: str, options: OperationOptions
+    client: FleetClient, kind: Kind, records: Sequence[InstanceRecord], build: str, options: OperationOptions
 ) -> Operation:
     answer = client.request(
         wire.Submit(
--- a/wickspring/commands/fleet/output.py
+++ b/wickspring/commands/fleet/output.py
@@ -10,8 +10,8 @@
 
 from wickspring.agent import wire
 from wickspring.command_line.tables import format_rows
-from wickspring.fleet.model import Kind, Operation, Progress, Record
-from wickspring.fleet.rollout.plan import OperationRequest, desired_state, plan_operation
+from wickspring.fleet.model import InstanceRecord, Kind, Operation, Progress
+from wickspring.fleet.rollout.plan import OperationRequest, plan_operation, target_state
 
 STATUS_COLUMNS = (
     "instance",
@@ -54,7 +54,7 @@
     text: str
 
 
-def status_table(records: Sequence[Record]) -> str:
+def status_table(records: Sequence[InstanceRecord]) -> str:
     """Return a line for each instance."""
     return format_rows(STATUS_COLUMNS, [_status_row(record) for record in records])
 
@@ -66,7 +66,7 @@
     return line if answer.quorum else f"{line}\nthis agent hears too few of the others to begin anything"
 
 
-def plan_steps(kind: Kind, records: Sequence[Record], build: str, batch: int) -> list[PlanStep]:
+def plan_steps(kind: Kind, records: Sequence[InstanceRecord], build: str, batch: int) -> list[PlanStep]:
     """Return what an operation would do, in its order."""
     request = OperationRequest("plan", kind, by="", coordinator="", at=0.0, build=build, batch=batch)
     operation = plan_operation(request, records)
@@ -84,7 +84,7 @@
     )
 
 
-def entry_table(entry: Record | Operation | wire.AgentView) -> str:
+def entry_table(entry: InstanceRecord | Operation | wire.AgentView) -> str:
     """Return all fields of an instance, an operation or an agent."""
     fields: dict[str, Any] = msgspec.to_builtins(entry)
     return format_rows(ENTRY_COLUMNS, [[name, cell] for name in fields for cell in _cells(fields[name])])
@@ -96,7 +96,7 @@
     return f"{at} {entry.agent:<10} {entry.text}"
 
 
-def held_by(record: Record) -> str:
+def held_by(record: InstanceRecord) -> str:
     """Say who holds an instance."""
     claim = record.claim
     if claim is None or claim.until < time.time():
@@ -104,32 +104,32 @@
     return f"{claim.by}: {claim.what} {claim.operation}"
 
 
-def _status_row(record: Record) -> list[str]:
-    seen, want = record.seen, record.want
+def _status_row(record: InstanceRecord) -> list[str]:
+    observed, desired = record.observed, record.desired
     return [
         record.name,
         record.hall,
         record.agent,
-        seen.state,
-        seen.build or NOTHING,
-        _goal(want.run, want.build),
-        str(seen.requests),
-        str(seen.failed),
-        str(seen.starts),
+        observed.state,
+        observed.build or NOTHING,
+        _goal(desired.run, desired.build),
+        str(observed.requests),
+        str(observed.failed),
+        str(observed.starts),
         held_by(record),
-        seen.note or NOTHING,
+        observed.note or NOTHING,
     ]
 
 
-def _plan_step(operation: Operation, progress: Progress, record: Record, batch: int) -> PlanStep:
-    desired = desired_state(operation, progress, record)
+def _plan_step(operation: Operation, progress: Progress, record: InstanceRecord, batch: int) -> PlanStep:
+    target = target_state(operation, progress, record)
     return PlanStep(
         batch=batch,
         instance=progress.instance,
         hall=progress.hall,
         agent=progress.agent,
         before=_goal(progress.run_before, progress.build_before),
-        after=_goal(desired.run, desired.build) + (" anew" if desired.restart else ""),
+        after=_goal(target.run, target.build) + (" anew" if target.restart else ""),
         held_by=held_by(record),
     )
 
--- a/wickspring/fleet/__init__.py
+++ b/wickspring/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of ingresses: what is wanted of each, and how operations bring it about; no I/O and no clock."""
+"""A fleet of ingresses: the desired state of each, and the operations that change it; no I/O and no clock."""
--- a/wickspring/fleet/file.py
+++ b/wickspring/fleet/file.py
@@ -115,16 +115,16 @@
         """Return a build by name; None where the file names none of this name."""
         return next((build for build in self.file.build if build.name == name), None)
 
-    def wardens(self) -> dict[str, str]:
+    def permit_issuers(self) -> dict[str, str]:
         """Return the agent that limits how many instances are down in each scope.
 
         It is the first by name: of a hall for the hall's scope, of all for the fleet's.
         """
         agents = sorted(self.file.agent, key=lambda agent: agent.name)
-        wardens = {FLEET: agents[0].name}
+        permit_issuers = {FLEET: agents[0].name}
         for agent in agents:
-            wardens.setdefault(scope_of(agent.hall), agent.name)
-        return wardens
+            permit_issuers.setdefault(scope_of(agent.hall), agent.name)
+        return permit_issuers
 
 
 def load_fleet(path: Path, *, configs: bool = True) -> Fleet:
--- a/wickspring/fleet/rollout/coordinator.py
+++ b/wickspring/fleet/rollout/coordinator.py
@@ -85,7 +85,7 @@
 def _release(operation: Operation, now: float, observation: FleetObservation) -> Advance:
     """Release what is left; an agent that does not reply releases by itself when the lease ends."""
     requests = release_requests(operation, observation)
-    if requests and now - operation.heard_at < observation.rules.lease_s:
+    if requests and now - operation.advanced_at < observation.rules.lease_s:
         return Advance(operation, requests)
     ended = msgspec.structs.replace(operation, phase=operation.outcome, ended_at=now)
     return Advance(ended, [])
--- a/wickspring/fleet/rollout/instance_steps.py
+++ b/wickspring/fleet/rollout/instance_steps.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from wickspring.fleet.model import FLEET, Operation, Phase, Progress, Record, Rules, Step, scope_of
+from wickspring.fleet.model import FLEET, InstanceRecord, Operation, Phase, Progress, Rules, Step, scope_of
 from wickspring.fleet.rollout.observation import FleetObservation
 from wickspring.fleet.rollout.plan import needed_scopes
 from wickspring.fleet.rollout.progress import ACTIVE_STEPS, enter_step, finish
 
 MAX_CRASHES = 3  # failures in a row after a change, by which the instance counts as failed
-PERMISSION_TIMEOUT_FACTOR = 20.0  # times `Rules.ready_within_s`: how long permission to be down is waited for
+PERMIT_TIMEOUT_FACTOR = 20.0  # times `Rules.ready_within_s`: how long permits are waited for
 
 
 def next_progress(
@@ -38,7 +38,7 @@
 
 
 def _without_record(progress: Progress, observation: FleetObservation, now: float) -> Progress:
-    """Judge an instance that no agent reports: a coordinator that has restarted has not heard of all yet."""
+    """Judge an instance that no agent reports: a coordinator that has restarted has no reports of all yet."""
     if any(record.agent == progress.agent for record in observation.records.values()):
         return enter_step(progress, Step.FAILED, now, "no agent tells of it")
     if now - progress.since > observation.rules.moved_within_s:
@@ -47,17 +47,20 @@
 
 
 def _dead_agent(progress: Progress, observation: FleetObservation) -> str:
-    """Return a dead agent that the instance needs: its own, or a warden before its change; empty if none."""
+    """Return a dead agent that the instance needs: its own, or before a change a permit issuer.
+
+    Empty if there is none.
+    """
     if progress.agent in observation.dead:
         return progress.agent
     if progress.step in (Step.MOVING, Step.PROVING):
         return ""
     for scope in (scope_of(progress.hall), FLEET):
-        warden = observation.wardens.get(scope)
-        if warden is None:
+        issuer = observation.permit_issuers.get(scope)
+        if issuer is None:
             return f"for {scope}"  # a fleet file that has changed may name no hall of that name
-        if warden in observation.dead:
-            return warden
+        if issuer in observation.dead:
+            return issuer
     return ""
 
 
@@ -65,73 +68,75 @@
     """Begin anew with an instance that is reported again while the operation still runs."""
     if operation.phase not in (Phase.RUNNING, Phase.REVERTING):
         return None
-    fresh = msgspec.structs.replace(progress, expect=-1, version=-1, granted=())
+    fresh = msgspec.structs.replace(progress, expected_version=-1, applied_version=-1, granted_scopes=())
     return enter_step(fresh, Step.PENDING, now)
 
 
 def _judge(
-    operation: Operation, progress: Progress, record: Record, rules: Rules, now: float
+    operation: Operation, progress: Progress, record: InstanceRecord, rules: Rules, now: float
 ) -> Progress | None:
     if progress.step is Step.ASKING:
-        return _judge_permission(operation, progress, record, rules, now)
+        return _judge_permits(operation, progress, record, rules, now)
     if progress.step is Step.PROVING:
         return _judge_proof(operation, progress, record, rules, now)
     timed_out = now - progress.since > rules.moved_within_s
-    if progress.version < 0 or record.seen.version < progress.version:
+    if progress.applied_version < 0 or record.observed.version < progress.applied_version:
         # The agent has not replied, or not acted on it yet; nothing says that the instance is at fault.
         note = f"agent {progress.agent} did not carry it out"
         return enter_step(progress, Step.LOST, now, note) if timed_out else None
-    if record.want.run:
+    if record.desired.run:
         return _judge_start(progress, record, rules, now, timed_out)
-    if record.seen.state == "stopped":
+    if record.observed.state == "stopped":
         return finish(operation, progress, now)
-    note = f"still {record.seen.state} after its drain"
+    note = f"still {record.observed.state} after its drain"
     return enter_step(progress, Step.FAILED, now, note) if timed_out else None
 
 
-def _judge_permission(
-    operation: Operation, progress: Progress, record: Record, rules: Rules, now: float
+def _judge_permits(
+    operation: Operation, progress: Progress, record: InstanceRecord, rules: Rules, now: float
 ) -> Progress | None:
-    """Change the instance once every scope permits it to be down."""
-    if all(scope in progress.granted for scope in needed_scopes(operation, progress, record)):
+    """Change the instance once every scope has granted a permit."""
+    if all(scope in progress.granted_scopes for scope in needed_scopes(operation, progress, record)):
         moving = enter_step(progress, Step.MOVING, now)
-        return msgspec.structs.replace(moving, expect=record.want.version, version=-1)
-    if now - progress.since > PERMISSION_TIMEOUT_FACTOR * rules.ready_within_s:
+        return msgspec.structs.replace(moving, expected_version=record.desired.version, applied_version=-1)
+    if now - progress.since > PERMIT_TIMEOUT_FACTOR * rules.ready_within_s:
         return enter_step(progress, Step.FAILED, now, f"no leave to be down: {progress.note}")
     return None
 
 
 def _judge_start(
-    progress: Progress, record: Record, rules: Rules, now: float, timed_out: bool
+    progress: Progress, record: InstanceRecord, rules: Rules, now: float, timed_out: bool
 ) -> Progress | None:
     """Watch the instance once it is ready as wanted; fail it if it crashes or takes too long."""
-    seen, want = record.seen, record.want
-    if seen.ready and (seen.build, seen.generation) == (want.build, want.generation):
+    observed, desired = record.observed, record.desired
+    if observed.ready and (observed.build, observed.generation) == (desired.build, desired.generation):
         proving = enter_step(progress, Step.PROVING, now)
-        return msgspec.structs.replace(proving, seen_requests=seen.requests, seen_failed=seen.failed)
-    if seen.failures >= MAX_CRASHES:
-        note = f"ended {seen.failures} times, last with {seen.last_exit}"
+        return msgspec.structs.replace(
+            proving, requests_before=observed.requests, failed_before=observed.failed
+        )
+    if observed.failures >= MAX_CRASHES:
+        note = f"ended {observed.failures} times, last with {observed.last_exit}"
         return enter_step(progress, Step.FAILED, now, note)
     if timed_out:
-        note = f"build {want.build} not ready after {rules.ready_within_s:g} s"
-        return enter_step(progress, Step.FAILED, now, f"{note}: {seen.note}" if seen.note else note)
+        note = f"build {desired.build} not ready after {rules.ready_within_s:g} s"
+        return enter_step(progress, Step.FAILED, now, f"{note}: {observed.note}" if observed.note else note)
     return None
 
 
 def _judge_proof(
-    operation: Operation, progress: Progress, record: Record, rules: Rules, now: float
+    operation: Operation, progress: Progress, record: InstanceRecord, rules: Rules, now: float
 ) -> Progress | None:
     """Finish an instance that has served well for `Rules.hold_s`; fail it if it does not serve, or badly."""
-    seen = record.seen
-    if operation.phase is Phase.REVERTING and seen.ready:
+    observed = record.observed
+    if operation.phase is Phase.REVERTING and observed.ready:
         return finish(operation, progress, now)
-    if seen.state == "starting" and not seen.failures:
+    if observed.state == "starting" and not observed.failures:
         # Its agent has restarted and has no report of it yet, or has started it again: it is watched anew.
         return enter_step(progress, Step.MOVING, now)
-    if not seen.ready:
-        return enter_step(progress, Step.FAILED, now, f"was ready, and is {seen.state}")
-    requests = seen.requests - progress.seen_requests
-    failed = seen.failed - progress.seen_failed
+    if not observed.ready:
+        return enter_step(progress, Step.FAILED, now, f"was ready, and is {observed.state}")
+    requests = observed.requests - progress.requests_before
+    failed = observed.failed - progress.failed_before
     if requests >= rules.failed_least and failed > rules.failed_share_most * requests:
         return enter_step(progress, Step.FAILED, now, f"{failed} of {requests} answers failed")
     if now - progress.since >= rules.hold_s:
--- a/wickspring/fleet/rollout/observation.py
+++ b/wickspring/fleet/rollout/observation.py
@@ -8,9 +8,9 @@
 
 from rpds import HashTrieMap
 
-from wickspring.fleet.model import Record, Rules
+from wickspring.fleet.model import InstanceRecord, Rules
 
-Records: TypeAlias = "HashTrieMap[str, Record]"
+Records: TypeAlias = "HashTrieMap[str, InstanceRecord]"
 
 
 @dataclass(slots=True, frozen=True)
@@ -18,7 +18,7 @@
     """The fleet as it was last reported, and the rules for operations."""
 
     records: Records  # instances by name
-    wardens: Mapping[str, str]  # agents by the scope whose down instances they limit
+    permit_issuers: Mapping[str, str]  # agents by the scope that they issue permits for
     rules: Rules
     dead: frozenset[str] = frozenset()  # agents that have stopped reporting
     quorum: bool = True  # whether most agents report: without them nothing new is begun
--- a/wickspring/fleet/rollout/plan.py
+++ b/wickspring/fleet/rollout/plan.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from wickspring.fleet.model import FLEET, Kind, Operation, Phase, Progress, Record, scope_of
+from wickspring.fleet.model import FLEET, InstanceRecord, Kind, Operation, Phase, Progress, scope_of
 
 
 @dataclass(slots=True, frozen=True)
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DesiredState:
+class TargetState:
     """What an operation wants of one instance."""
 
     run: bool
@@ -31,7 +31,7 @@
     restart: bool = False  # start it anew, even if it runs this build
 
 
-def plan_operation(request: OperationRequest, records: Iterable[Record]) -> Operation:
+def plan_operation(request: OperationRequest, records: Iterable[InstanceRecord]) -> Operation:
     """Make an operation on these instances, hall by hall."""
     ordered = sorted(records, key=lambda record: (record.hall, record.name))
     return Operation(
@@ -44,42 +44,42 @@
         request.build,
         batch=max(1, request.batch),
         below_floor=request.below_floor,
-        heard_at=request.at,
+        advanced_at=request.at,
     )
 
 
-def _initial_progress(record: Record) -> Progress:
+def _initial_progress(record: InstanceRecord) -> Progress:
     return Progress(
         record.name,
         record.agent,
         record.hall,
-        build_before=record.want.build,
-        run_before=record.want.run,
+        build_before=record.desired.build,
+        run_before=record.desired.run,
     )
 
 
-def desired_state(operation: Operation, progress: Progress, record: Record) -> DesiredState:
+def target_state(operation: Operation, progress: Progress, record: InstanceRecord) -> TargetState:
     """Return what an operation wants of an instance in the operation's current phase."""
-    current = record.want
+    current = record.desired
     if operation.phase is Phase.REVERTING:
-        return DesiredState(progress.run_before, progress.build_before)
+        return TargetState(progress.run_before, progress.build_before)
     if operation.kind is Kind.DRAIN:
-        return DesiredState(False, current.build)
+        return TargetState(False, current.build)
     if operation.kind is Kind.START:
-        return DesiredState(True, operation.build or current.build)
+        return TargetState(True, operation.build or current.build)
     if operation.kind is Kind.RESTART:
-        return DesiredState(True, current.build, restart=True)
+        return TargetState(True, current.build, restart=True)
     if operation.kind is Kind.ROLLBACK:
-        return DesiredState(current.run, operation.build or record.before or current.build)
-    return DesiredState(current.run, operation.build)
+        return TargetState(current.run, operation.build or record.before or current.build)
+    return TargetState(current.run, operation.build)
 
 
-def needed_scopes(operation: Operation, progress: Progress, record: Record) -> tuple[str, ...]:
-    """Return the scopes that must permit the instance to be down.
+def needed_scopes(operation: Operation, progress: Progress, record: InstanceRecord) -> tuple[str, ...]:
+    """Return the scopes whose permit to be down the instance needs.
 
     There are none if it serves nobody now, or is only started.
     """
-    desired = desired_state(operation, progress, record)
-    goes_down = not desired.run or desired.build != record.want.build or desired.restart
-    serves = record.want.run and record.seen.ready
+    target = target_state(operation, progress, record)
+    goes_down = not target.run or target.build != record.desired.build or target.restart
+    serves = record.desired.run and record.observed.ready
     return (scope_of(progress.hall), FLEET) if goes_down and serves else ()
--- a/wickspring/fleet/rollout/progress.py
+++ b/wickspring/fleet/rollout/progress.py
@@ -19,8 +19,8 @@
     instances = tuple(
         progress if other.instance == progress.instance else other for other in operation.instances
     )
-    heard_at = now if advanced else operation.heard_at
-    return msgspec.structs.replace(operation, instances=instances, heard_at=heard_at)
+    advanced_at = now if advanced else operation.advanced_at
+    return msgspec.structs.replace(operation, instances=instances, advanced_at=advanced_at)
 
 
 def enter_step(progress: Progress, step: Step, now: float, note: str = "") -> Progress:
@@ -42,7 +42,7 @@
         phase=Phase.RELEASING,
         outcome=outcome,
         reason=operation.reason or reason,
-        heard_at=now,
+        advanced_at=now,
         instances=instances,
     )
 
@@ -55,21 +55,23 @@
 
 def begin_revert(operation: Operation, now: float, failed: Progress) -> Operation:
     """Return the operation as it begins to revert every changed instance, the failed one first."""
-    changed = [_pending_again(progress, now) for progress in operation.instances if progress.moved]
+    changed = [_pending_again(progress, now) for progress in operation.instances if progress.was_changed]
     changed.sort(key=lambda progress: progress.instance != failed.instance)
-    others = [_given_up(progress, now) for progress in operation.instances if not progress.moved]
+    others = [_given_up(progress, now) for progress in operation.instances if not progress.was_changed]
     return msgspec.structs.replace(
         operation,
         phase=Phase.REVERTING,
         instances=(*changed, *others),
-        heard_at=now,
+        advanced_at=now,
         reason=f"{failed.instance}: {failed.note}",
     )
 
 
 def _pending_again(progress: Progress, now: float) -> Progress:
-    # Permission to be down is requested again: it may have been given back, and the reply to that lost.
-    fresh = msgspec.structs.replace(progress, expect=-1, version=-1, moved=False, granted=())
+    # Permits are requested again: they may have been released, and the replies to that lost.
+    fresh = msgspec.structs.replace(
+        progress, expected_version=-1, applied_version=-1, was_changed=False, granted_scopes=()
+    )
     return enter_step(fresh, Step.PENDING, now, progress.note)
 
 
--- a/wickspring/fleet/selector.py
+++ b/wickspring/fleet/selector.py
@@ -1,7 +1,7 @@
 """Choosing instances: `hall=hall-a,build!=3,n4`.
 
 Terms are parted by commas. `key=value` and `key!=value` all have to hold; where several names stand
-alone, an instance has to be one of them. Keys are name, hall, agent, build (the one that is wanted),
+alone, an instance has to be one of them. Keys are name, hall, agent, build (the desired one),
 state, run, and the labels of the fleet file. A value may end in `*`.
 """
 
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from wickspring.fleet.model import Record
+from wickspring.fleet.model import InstanceRecord
 
 OWN = ("name", "hall", "agent", "build", "state", "run")
 
@@ -27,15 +27,15 @@
     value: str
     equal: bool
 
-    def holds(self, record: Record) -> bool:
+    def holds(self, record: InstanceRecord) -> bool:
         """Tell whether an instance meets it."""
         own = {
             "name": record.name,
             "hall": record.hall,
             "agent": record.agent,
-            "build": record.want.build,
-            "state": record.seen.state,
-            "run": str(record.want.run).lower(),
+            "build": record.desired.build,
+            "state": record.observed.state,
+            "run": str(record.desired.run).lower(),
         }
         value = own.get(self.key, record.labels.get(self.key, ""))
         same = value.startswith(self.value[:-1]) if self.value.endswith("*") else value == self.value
@@ -49,7 +49,7 @@
     names: tuple[str, ...]
     terms: tuple[Term, ...]
 
-    def choose(self, records: Iterable[Record]) -> tuple[Record, ...]:
+    def choose(self, records: Iterable[InstanceRecord]) -> tuple[InstanceRecord, ...]:
         """Return the instances chosen, by hall and name; an unknown name or key is an error."""
         known = sorted(records, key=lambda record: (record.hall, record.name))
         missing = [name for name in self.names if name not in {record.name for record in known}]
--- a/wickspring/fleet/views.py
+++ b/wickspring/fleet/views.py
@@ -19,7 +19,7 @@
 import msgspec
 from rpds import HashTrieMap
 
-from wickspring.fleet.model import Operation, Record, Rules
+from wickspring.fleet.model import InstanceRecord, Operation, Rules
 from wickspring.membership.anti_entropy import AntiEntropyTable, Delta, Entry
 from wickspring.membership.failure_detector import PhiAccrualDetector
 
@@ -39,7 +39,7 @@
 class Content(msgspec.Struct, frozen=True):
     """What an agent tells of itself."""
 
-    records: tuple[Record, ...] = ()
+    records: tuple[InstanceRecord, ...] = ()
     operations: tuple[Operation, ...] = ()
     program: str = ""  # its version
     protocol: int = 1
@@ -57,7 +57,7 @@
         self.random = Random(seed)
         self._pulses: dict[str, PhiAccrualDetector] = {}
         self._began = now
-        self._records: HashTrieMap[str, Record] | None = None
+        self._records: HashTrieMap[str, InstanceRecord] | None = None
         self._judged_at, self._heard = -math.inf, 0
         self._dead: frozenset[str] = frozenset()
         self._whole: HashTrieMap[str, Entry[Content]] = HashTrieMap()
@@ -129,10 +129,10 @@
         self._dead = frozenset(agent for agent, health in healths.items() if health is Health.DEAD)
         self._heard = sum(health not in (Health.DEAD, Health.UNHEARD) for health in healths.values())
 
-    def records(self) -> HashTrieMap[str, Record]:
+    def records(self) -> HashTrieMap[str, InstanceRecord]:
         """Return all instances as last told by their own agents."""
         if self._records is None:
-            records: HashTrieMap[str, Record] = HashTrieMap()
+            records: HashTrieMap[str, InstanceRecord] = HashTrieMap()
             for entry in self.entries.values():
                 for record in entry.content.records if entry.content is not None else ():
                     records = records.insert(record.name, record)
--- a/wickspring/lab/experiments/fleet.py
+++ b/wickspring/lab/experiments/fleet.py
@@ -122,7 +122,7 @@
     result.instances = len(view.records)
     result.rolled = _count_upgraded(view)
     result.did_not_follow = sum(
-        len(operation.did_not_follow) for operation in view.operations if operation.phase.value != "refused"
+        len(operation.incomplete) for operation in view.operations if operation.phase.value != "refused"
     )
     for operation in view.operations:
         result.operations[operation.id] = f"{operation.phase.value} {operation.reason}".strip()
@@ -146,7 +146,8 @@
     names = {instance.instance for upgrade in upgrades for instance in upgrade.instances}
     build = upgrades[0].build if upgrades else ""
     return sum(
-        record.name in names and record.seen.build == build and record.seen.ready for record in view.records
+        record.name in names and record.observed.build == build and record.observed.ready
+        for record in view.records
     )
 
 
--- a/wickspring/lab/experiments/fleet_site.py
+++ b/wickspring/lab/experiments/fleet_site.py
@@ -20,8 +20,8 @@
 import trio
 
 from wickspring.agent import wire
-from wickspring.fleet.home import down_most
 from wickspring.fleet.model import Rules
+from wickspring.fleet.owner import max_down
 from wickspring.lab.emulation.site import (
     ROOT,
     LabError,
@@ -218,7 +218,7 @@
             reports = [await self.show(number) for number in range(self.part.agents)]
         except WireError:
             return False
-        ready = [sum(record.seen.ready for record in report.records) for report in reports]
+        ready = [sum(record.observed.ready for record in report.records) for report in reports]
         complete = bool(reports) and min(ready) == len(self.addresses)
         return complete and all(report.quorum for report in reports)
 
@@ -250,8 +250,8 @@
         """Kill an instance's process."""
         await self._sleep_until(fault.at_s)
         for record in (await self.show(fault.instance % self.part.agents)).records:
-            if record.name == f"n{fault.instance}" and record.seen.pid:
-                os.kill(record.seen.pid, signal.SIGKILL)
+            if record.name == f"n{fault.instance}" and record.observed.pid:
+                os.kill(record.observed.pid, signal.SIGKILL)
 
     async def sample(self) -> None:
         """Ask every instance again and again whether it serves, and check the floor of each hall."""
@@ -281,7 +281,7 @@
             size[self.hall(index)] += 1
             down[self.hall(index)] += not is_up
         share = self.rules.down_share_hall
-        return sum(down[hall] > down_most(size[hall], share) for hall in size)
+        return sum(down[hall] > max_down(size[hall], share) for hall in size)
 
     def stop(self) -> None:
         """End agents and instances, those that this run has started."""
--- a/wickspring/lab/simulation/large_fleet.py
+++ b/wickspring/lab/simulation/large_fleet.py
@@ -14,8 +14,18 @@
 
 import msgspec
 
-from wickspring.fleet import home
-from wickspring.fleet.model import FLEET, Kind, Operation, Record, Rules, Seen, Step, Want, scope_of
+from wickspring.fleet import owner, owner_messages
+from wickspring.fleet.model import (
+    FLEET,
+    DesiredState,
+    InstanceRecord,
+    Kind,
+    ObservedState,
+    Operation,
+    Rules,
+    Step,
+    scope_of,
+)
 from wickspring.fleet.rollout import coordinator
 from wickspring.fleet.rollout.observation import FleetObservation, Records
 from wickspring.fleet.rollout.plan import OperationRequest, plan_operation
@@ -41,16 +51,17 @@
 
 
 class VirtualAgent:
-    """One agent: home, view, and the operations that it coordinates."""
+    """One agent: its instances, its view of the fleet, and the operation that it coordinates."""
 
     def __init__(self, fleet: LargeFleet, name: str, hall: str, names: list[str]) -> None:
         self.fleet, self.name, self.hall = fleet, name, hall
-        self.home = home.Home(name)
+        self.owner_state = owner.OwnerState(name)
         self.alive = True
         for instance in names:
-            seen = Seen("ready", "1", version=1, ready_at=BASE)
-            self.home = home.register(
-                self.home, Record(instance, hall, name, want=Want(True, "1", 1), seen=seen)
+            observed = ObservedState("ready", "1", version=1, ready_at=BASE)
+            self.owner_state = owner.register(
+                self.owner_state,
+                InstanceRecord(instance, hall, name, desired=DesiredState(True, "1", 1), observed=observed),
             )
         self.operation: Operation | None = None
         self.busy: set[str] = set()
@@ -62,9 +73,9 @@
         fleet.every(1000.0 * fleet.rules.gossip_s, self._gossip)
 
     def records(self) -> Records:
-        """Return the fleet as heard of, and the own instances as they are."""
+        """Return the fleet as last reported, and the own instances as they are."""
         records = self.view.records()
-        for record in self.home.records.values():
+        for record in self.owner_state.records.values():
             records = records.insert(record.name, record)
         return records
 
@@ -72,7 +83,7 @@
         if not self.alive:
             return
         operations = (self.operation,) if self.operation is not None else ()
-        self.view.tick(Content(tuple(self.home.records.values()), operations, "virtual"))
+        self.view.tick(Content(tuple(self.owner_state.records.values()), operations, "virtual"))
         for peer in self.view.peers():
             other = self.fleet.agents[peer]
             self.fleet.send(other, partial(self._round, other, self.view.digest()))
@@ -91,37 +102,39 @@
 
     # Requests.
 
-    def request(self, request: home.Request) -> home.Reply:
+    def request(self, request: owner_messages.Request) -> owner_messages.Reply:
         """Carry out a coordinator's request."""
         now = self.fleet.now
-        around = home.Around(self.records(), self.view.quorum(now), self.view.dead(now))
-        after, reply = home.reduce(self.home, now, request, self.fleet.rules, around)
+        status = owner.FleetStatus(self.records(), self.view.quorum(now), self.view.dead(now))
+        after, reply = owner.handle_request(self.owner_state, now, request, self.fleet.rules, status)
         for name, record in after.records.items():
-            if record.want != self.home.records[name].want:
+            if record.desired != self.owner_state.records[name].desired:
                 self.fleet.timeline.at(
-                    self.fleet.timeline.now + 10.0, partial(self._replace, name, record.want)
+                    self.fleet.timeline.now + 10.0, partial(self._replace, name, record.desired)
                 )
-        self.home = after
+        self.owner_state = after
         return reply
 
-    def _replace(self, name: str, want: Want) -> None:
+    def _replace(self, name: str, desired: DesiredState) -> None:
         """Have the successor come up beside its predecessor, as real agents do."""
-        record = self.home.records[name]
-        self.home = home.observe(self.home, name, msgspec.structs.replace(record.seen, version=want.version))
+        record = self.owner_state.records[name]
+        self.owner_state = owner.observe(
+            self.owner_state, name, msgspec.structs.replace(record.observed, version=desired.version)
+        )
         took = self.fleet.random.uniform(*START_MS)
 
         def ready() -> None:
-            seen = Seen(
+            observed = ObservedState(
                 "ready",
-                want.build,
-                want.generation,
-                want.version,
+                desired.build,
+                desired.generation,
+                desired.version,
                 ready_at=self.fleet.now,
                 requests=0,
                 starts=2,
             )
-            if self.home.records[name].want.version == want.version:
-                self.home = home.observe(self.home, name, seen)
+            if self.owner_state.records[name].desired.version == desired.version:
+                self.owner_state = owner.observe(self.owner_state, name, observed)
 
         self.fleet.timeline.at(self.fleet.timeline.now + took, ready)
 
@@ -139,7 +152,7 @@
             return
         now = fleet.now
         observation = FleetObservation(
-            self.records(), fleet.wardens, fleet.rules, self.view.dead(now), self.view.quorum(now)
+            self.records(), fleet.permit_issuers, fleet.rules, self.view.dead(now), self.view.quorum(now)
         )
         self.operation, requests = coordinator.advance(operation, now, observation)
         for request in requests:
@@ -174,10 +187,10 @@
         names = [f"a{number:02d}" for number in range(part.agents)]
         per = scenario.ingresses.count // part.agents
         self.agents: dict[str, VirtualAgent] = {}
-        self.wardens = {FLEET: names[0]}
+        self.permit_issuers = {FLEET: names[0]}
         for number, name in enumerate(names):
             hall = f"h{number % HALLS}"
-            self.wardens.setdefault(scope_of(hall), name)
+            self.permit_issuers.setdefault(scope_of(hall), name)
             instances = [f"n{number * per + index:04d}" for index in range(per)]
             self.agents[name] = VirtualAgent(self, name, hall, instances)
         for agent in self.agents.values():
@@ -211,12 +224,12 @@
         """Hold every hall to its floor, by how its instances really are."""
         down, size = dict[str, int](), dict[str, int]()
         for agent in self.agents.values():
-            for record in agent.home.records.values():
+            for record in agent.owner_state.records.values():
                 size[record.hall] = size.get(record.hall, 0) + 1
-                down[record.hall] = down.get(record.hall, 0) + (not record.seen.ready)
+                down[record.hall] = down.get(record.hall, 0) + (not record.observed.ready)
         self.samples += 1
         self.floor_broken += any(
-            down[hall] > home.down_most(size[hall], self.rules.down_share_hall) for hall in size
+            down[hall] > owner.max_down(size[hall], self.rules.down_share_hall) for hall in size
         )
 
 
@@ -269,7 +282,7 @@
         result.roll_s = operation.ended_at - operation.at
         result.operations = {operation.id: f"{operation.phase.value} {operation.reason}".strip()}
         result.rolled = sum(instance.step is Step.DONE for instance in operation.instances)
-        result.did_not_follow = len(operation.did_not_follow)
+        result.did_not_follow = len(operation.incomplete)
     result.gateway = {
         "cpu_s": cpu_s,
         "messages_per_instance": fleet.messages / max(1, result.instances),
