--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -29,7 +29,7 @@
     Record,
 )
 from wickspring.lab.reports.result import Result
-from wickspring.lab.simulation.ingress_site import run as run_virtual
+from wickspring.lab.simulation.ingress_site.site import run as run_virtual
 from wickspring.lab.traffic import schedule
 
 SMALL = """
@@ -439,10 +439,10 @@
 
 
 def test_virtual_gateways_are_told_of_their_subset_alone_and_servers_serve_alike_many() -> None:
-    from wickspring.lab.simulation.ingress_site import VirtualSite
+    from wickspring.lab.simulation.ingress_site.site import VirtualSite
 
     site = VirtualSite(large(), 1, schedule.draw_script(large(), 1))
-    told = [set(gateway.reducer.entries) for gateway in site.gateways]
+    told = [set(gateway.reducer.entries) for gateway in site.ingresses]
     assert {len(some) for some in told} == {20}
     shares = [sum(server in some for some in told) for server in site.servers]
     assert set(shares) == {4}
--- a/wickspring/lab/experiments/run.py
+++ b/wickspring/lab/experiments/run.py
@@ -11,7 +11,8 @@
 from wickspring.lab.experiments.scenario import Scenario
 from wickspring.lab.experiments.socket_run import run_on_sockets
 from wickspring.lab.reports.result import Result
-from wickspring.lab.simulation import ingress_site, large_fleet, large_peers
+from wickspring.lab.simulation import large_fleet, large_peers
+from wickspring.lab.simulation.ingress_site import site as ingress_site
 
 
 def run(
