--- a/tests/system/test_drill.py
+++ b/tests/system/test_drill.py
@@ -2,10 +2,13 @@
 
 from __future__ import annotations
 
+import msgspec
 import pytest
 
 from wickspring.lab.emulation.stand_in_server import StandInServer
-from wickspring.lab.experiments.drill import DRILLS, RULES, ClientRequest, RequestLog
+from wickspring.lab.experiments.drill import DRILLS, ClientRequest, RequestLog, Violations
+
+RULES = Violations.__struct_fields__
 
 
 def served(number: int, effectful: bool = False) -> ClientRequest:
@@ -21,15 +24,17 @@
     server = StandInServer("", "s", [], "i-1")
     server.executions.update(request.id for request in requests)
     log = RequestLog(40.0 if defect != "over_quota" else 20.0, requests)
-    if defect == "ran_twice":
+    if defect == "executed_twice":
         server.executions["d2"] += 1
         server.executions["d3"] += 1  # this one may
-    elif defect == "promises_broken":
+    elif defect == "executed_after_refusal":
         requests[7].status = 503
-    elif defect == "lies_taken":
+    elif defect == "foreign_answers":
         requests[8].body = requests[9].body
-    elif defect == "drained_late":
+    elif defect == "late_after_drain":
         server.late_requests = 1
-    figures = log.evaluate([server])
-    assert {rule for rule in RULES if figures[rule]} == ({defect} if defect != "none" else set())
+    violations = log.violations([server])
+    counts = msgspec.structs.asdict(violations)
+    assert {rule for rule in RULES if counts[rule]} == ({defect} if defect != "none" else set())
+    assert violations.total == sum(counts.values())
     assert "calm" in DRILLS
--- a/wickspring/lab/experiments/drill.py
+++ b/wickspring/lab/experiments/drill.py
@@ -1,9 +1,9 @@
 """Drills: a complete gateway of processes on loopback, under open load, with faults, checked by rules.
 
 `python -m wickspring.ctl drill NAME` runs one and writes its result as JSON. Rules are checked only by what
-clients and stand-in servers have observed: an effectful request never runs twice, a request answered by 429
-or 503 never ran, a success is the server's own answer to that request, no sliding span exceeds a tenant's
-ceiling, and no server receives a request later than the bound after its draining was acknowledged.
+clients and stand-in servers have observed: an effectful request is never executed twice, a request answered
+by 429 or 503 is never executed, a success is the server's own answer to that request, no sliding span exceeds
+a tenant's ceiling, and no server receives a request later than the bound after its drain was acknowledged.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 from pathlib import Path
 from random import Random
 
+import msgspec
 import trio
 
 from wickspring.common.quota_rule import quota_ceiling
@@ -34,8 +35,34 @@
 CONFIG_CHANGES = 10
 FAULT_DELAY_S = 1.0  # after the load starts
 
-# Keys of the result that operators and their scripts read: each counts how often a rule was broken.
-RULES = ("ran_twice", "promises_broken", "lies_taken", "over_quota", "drained_late")
+REFUSAL_STATUSES = (429, 503)
+
+
+class Violations(msgspec.Struct, kw_only=True):
+    """How often each rule of a drill was broken."""
+
+    executed_twice: int = 0  # effectful requests
+    executed_after_refusal: int = 0  # requests that were answered by 429 or 503
+    foreign_answers: int = 0  # successes with a body that no server sent for the request
+    over_quota: int = 0  # requests above the tenant's ceiling in the worst span
+    late_after_drain: int = 0  # requests at servers whose drain had been acknowledged long before
+
+    @property
+    def total(self) -> int:
+        """Return how often any rule was broken."""
+        return sum(msgspec.structs.astuple(self))
+
+
+class Figures(msgspec.Struct, kw_only=True):
+    """What became of the requests of a drill."""
+
+    requests: int
+    served: int
+    served_in_target: int  # within the latency target of the routes
+    refused: int
+    failed: int
+    p50_ms: float  # of the requests served
+    p99_ms: float
 
 
 @dataclass(slots=True)
@@ -51,8 +78,8 @@
 
     @property
     def refused(self) -> bool:
-        """Tell whether the gateway promised that the request has not run."""
-        return self.status in (429, 503)
+        """Tell whether it was answered that the request has not been executed."""
+        return self.status in REFUSAL_STATUSES
 
     @property
     def served(self) -> bool:
@@ -67,7 +94,7 @@
 
 @dataclass
 class RequestLog:
-    """All requests of a drill, and the check of the rules on them."""
+    """All requests of a drill, and the checks of the rules on them."""
 
     rate: float  # the tenant's requests a second; 0 is no quota
     requests: list[ClientRequest] = field(default_factory=list)
@@ -80,38 +107,35 @@
         )
         return max(counts, default=0)
 
-    def evaluate(self, servers: list[StandInServer]) -> dict[str, float | int]:
-        """Return the figures of the run, with how often each rule was broken."""
-        executions = Counter[str]()
-        for server in servers:
-            executions.update(server.executions)
-        return {**self._figures(), **self._violations(executions, servers)}
-
-    def _figures(self) -> dict[str, float | int]:
+    def figures(self) -> Figures:
+        """Return what became of the requests."""
         served = [request for request in self.requests if request.served]
         latencies = sorted(request.latency_s for request in served) or [0.0]
         refused = sum(request.refused for request in self.requests)
-        return {
-            "asked": len(self.requests),
-            "served": len(served),
-            "in_target": sum(request.latency_s <= TARGET_S for request in served),
-            "refused": refused,
-            "failed": len(self.requests) - len(served) - refused,
-            "p50_ms": round(1000.0 * latencies[len(latencies) // 2], 1),
-            "p99_ms": round(1000.0 * latencies[int(0.99 * (len(latencies) - 1))], 1),
-        }
-
-    def _violations(self, executions: Counter[str], servers: list[StandInServer]) -> dict[str, int]:
+        return Figures(
+            requests=len(self.requests),
+            served=len(served),
+            served_in_target=sum(request.latency_s <= TARGET_S for request in served),
+            refused=refused,
+            failed=len(self.requests) - len(served) - refused,
+            p50_ms=round(1000.0 * latencies[len(latencies) // 2], 1),
+            p99_ms=round(1000.0 * latencies[int(0.99 * (len(latencies) - 1))], 1),
+        )
+
+    def violations(self, servers: list[StandInServer]) -> Violations:
+        """Check the rules, by what clients and servers have observed."""
+        executions = Counter[str]()
+        for server in servers:
+            executions.update(server.executions)
         ceiling = quota_ceiling(self.rate, self.rate, QUOTA_SPAN_S, QUOTA_EXCESS, QUOTA_SLACK)
-        excess = max(0, int(self.max_in_span(executions) - ceiling)) if self.rate else 0
         requests = self.requests
-        return {
-            "ran_twice": sum(request.effectful and executions[request.id] > 1 for request in requests),
-            "promises_broken": sum(request.refused and request.id in executions for request in requests),
-            "lies_taken": sum(request.served and not request.has_own_answer for request in requests),
-            "over_quota": excess,
-            "drained_late": sum(server.late_requests for server in servers),
-        }
+        return Violations(
+            executed_twice=sum(request.effectful and executions[request.id] > 1 for request in requests),
+            executed_after_refusal=sum(request.refused and request.id in executions for request in requests),
+            foreign_answers=sum(request.served and not request.has_own_answer for request in requests),
+            over_quota=max(0, int(self.max_in_span(executions) - ceiling)) if self.rate else 0,
+            late_after_drain=sum(server.late_requests for server in servers),
+        )
 
 
 class Drill:
@@ -245,11 +269,18 @@
 
 
 def run_drill(name: str, seed: int = 1, seconds: float = 9.0, net: int = 16) -> dict[str, float | int | str]:
-    """Run one drill; return its figures, with `rules_broken` over all rules."""
+    """Run one drill; return its figures and violations, with `rules_broken` over all rules."""
     plan = DRILLS[name]
     with tempfile.TemporaryDirectory() as folder:
         drill = Drill(Path(folder), seed, net, plan.tenant_rate)
         trio.run(drill.run, plan, seconds)
-        figures = drill.log.evaluate(drill.gateway.servers)
-    broken = sum(int(figures[rule]) for rule in RULES)
-    return {"drill": name, "seed": seed, "seconds": seconds, **figures, "rules_broken": broken}
+        figures = drill.log.figures()
+        violations = drill.log.violations(drill.gateway.servers)
+    return {
+        "drill": name,
+        "seed": seed,
+        "seconds": seconds,
+        **msgspec.structs.asdict(figures),
+        **msgspec.structs.asdict(violations),
+        "rules_broken": violations.total,
+    }
