--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -28,7 +28,8 @@
 )
 from wickspring.lab.simulation.request_path.simulation import LONG_BODY_BYTES, Simulation
 from wickspring.net.http1_front import Http1Connection
-from wickspring.net.upstream.http1 import AnswerReader, Http1Link
+from wickspring.net.upstream.http1 import Http1ServerConnection
+from wickspring.net.upstream.response_reader import ResponseReader
 
 
 def play(seeds: range, **how: Any) -> Counter[str]:
@@ -189,7 +190,7 @@
     return outcome in (AttemptOutcome.REJECTED, AttemptOutcome.UNSENT, AttemptOutcome.BROKEN)
 
 
-def left_over(reader: AnswerReader) -> bool:
+def left_over(reader: ResponseReader) -> bool:
     if reader.http.our_state is reader.http.their_state is h11.DONE:
         reader.http.start_next_cycle()
         return True
@@ -214,7 +215,7 @@
 
 
 REFUSES = (Attempts, "final_error", property(lambda _: ErrorKind.NO_SERVER))
-BY_PLACE, LEFT_OVER = (upstream, "answers_attempt", by_place), (AnswerReader, "reusable", left_over)
+BY_PLACE, LEFT_OVER = (upstream, "answers_attempt", by_place), (ResponseReader, "start_next", left_over)
 OTHER, TWICE, REFUSED = "not what a server said", "ran twice", "refused though it ran"
 DEFECTS: dict[str, tuple[int, str, list[Any]]] = {  # the seed that finds it, what is found, what is changed
     "an answer matched by its place": (1, OTHER, [BY_PLACE]),
@@ -228,7 +229,11 @@
         OTHER,
         [LEFT_OVER, BY_PLACE, (upstream, "check_invariant", by_place)],
     ),
-    "unsent until all is written": (82, REFUSED, [(UpstreamConnection, "written", Http1Link.written)]),
+    "unsent until all is written": (
+        82,
+        REFUSED,
+        [(UpstreamConnection, "may_have_run", Http1ServerConnection.may_have_run)],
+    ),
     "a flowing answer ended by another try": (
         34,
         "Too little data",
--- a/tests/net/test_discovery_pauses.py
+++ b/tests/net/test_discovery_pauses.py
@@ -64,9 +64,7 @@
             discovery.Directory(()),
             None,  # type: ignore[arg-type]
             lambda _: None,
-            seed,
-            settings.gateways,
-            settings.drain_grace,
+            discovery.WatchPauses(seed, settings.gateways, settings.drain_grace),
         )
         assert watch._backoff.start() <= 0.25
         assert watch._backoff.ended() <= 0.35
@@ -77,7 +75,7 @@
     assert max(backoff.failed() for _ in range(20)) <= 1.0
 
 
-@pytest.mark.parametrize("status", discovery.BUSY)
+@pytest.mark.parametrize("status", discovery.BUSY_STATUSES)
 def test_a_watch_turned_away_is_told_from_a_bad_list(status: int) -> None:
     reader = discovery.WatchReader()
     reader.request("/discovery/hosts?follow=1&since=7", "d")
@@ -116,7 +114,7 @@
         watch = discovery.Discovery(address, directory, nursery, news.append)
         nursery.start_soon(watch.run)
         with trio.fail_after(20):
-            await watch.heard.wait()
+            await watch.received.wait()
         nursery.cancel_scope.cancel()
     assert [b"since=7 " in request for request in asked] == [True] * 3
     assert directory.version == 9 and len(news) == 1
@@ -129,7 +127,7 @@
 
     async def main() -> None:
         async with site(known=True, mute_discovery=True) as here:
-            assert not here.runtime.discovery.heard.is_set()
+            assert not here.runtime.discovery.received.is_set()
             client = await client1(here.http1)
             status, _, _ = await client.ask(request())
             assert status == 200
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -187,29 +187,29 @@
     def pause(self, paused: bool) -> None:
         self.done.append("pause" if paused else "accept")
 
-    def tell(self) -> list[succession.State]:
+    def export_state(self) -> list[succession.State]:
         return self.parts
 
-    def gives(self) -> bool:
+    def releases_clients(self) -> bool:
         return self.draining
 
-    def take_client(self) -> tuple[socket.socket, bytes] | None:
+    def release_client(self) -> tuple[socket.socket, bytes] | None:
         return self.clients.pop() if self.clients else None
 
     def adopt_client(self, sock: socket.socket, ahead: bytes) -> None:
         self.clients.append((sock, ahead))
         self.done.append("client")
 
-    def adopt(self, state: succession.State) -> None:
+    def import_state(self, state: succession.State) -> None:
         self.done.append(f"state {' '.join(state.open)}{state.last}")
 
-    def moved(self, server: api.ServerId, back: float | None) -> None:
-        self.done.append(f"moved {server.decode()} {back}")
+    def apply_maintenance(self, server: api.ServerId, included_at: float | None) -> None:
+        self.done.append(f"moved {server.decode()} {included_at}")
 
-    def peer_holds(self, descriptors: int) -> None:
+    def on_peer_descriptors(self, descriptors: int) -> None:
         self.done.append(f"holds {descriptors}")
 
-    def holds(self) -> int:
+    def open_descriptors(self) -> int:
         return 7
 
 
@@ -231,11 +231,11 @@
                 assert after.listeners[0].getsockname() == old.listener.getsockname()
                 late = Successor(path, Side())
                 assert not await late.begin()  # one successor at a time
-                await before.tell_moved(b"s2", None)  # between the welcome and the state
+                await before.announce_maintenance(b"s2", None)  # between the welcome and the state
                 await after.take(nursery)
                 assert old.done == ["pause"]
                 assert new.done[:3] == ["moved s2 None", "state aFalse", "state True"]
-                await after.tell_moved(b"s2", 9.0)
+                await after.announce_maintenance(b"s2", 9.0)
                 await until(old, "moved s2 9.0")
                 one, other = socket.socketpair()
                 old.clients.append((one, b"GET"))
@@ -338,7 +338,7 @@
     for part in parts:
         sent = handover._decoder.decode(handover._encode(part))
         assert isinstance(sent, succession.State)
-        assert len(handover._encode(part)) < handover.MOST_MESSAGE
+        assert len(handover._encode(part)) < handover.MAX_MESSAGE_BYTES
         succession.import_state(new, sent)
     assert list(new.policy.quotas) == list(old.policy.quotas)
     for customer, account in new.policy.quotas.items():
--- a/tests/net/test_http1.py
+++ b/tests/net/test_http1.py
@@ -15,7 +15,7 @@
 from example.toy import Answer, Seen, ToyServer, echo
 from tests.support.ingress import BIG_PLAN, client1, request, site
 from wickspring import interface as api
-from wickspring.net import http1_front, server
+from wickspring.net import graceful_shutdown, http1_front
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -252,7 +252,7 @@
             for client in (early, late, fresh):
                 status, headers, _ = await client.answer()
                 assert (status, headers["connection"]) == (200, "close")
-            await trio.sleep(server.ACCEPT_ON_S)
+            await trio.sleep(graceful_shutdown.ACCEPT_ON_S)
             with pytest.raises(OSError, match="all attempts to connect"):
                 await client1(here.http1)
 
--- a/tests/net/test_malformed_peers.py
+++ b/tests/net/test_malformed_peers.py
@@ -12,10 +12,10 @@
 
 from example.toy import Answer, Seen, ToyServer, echo
 from tests.net.test_http1 import abort, never
-from tests.support.ingress import BIG_PLAN, IDS, client1, client2, job, request, site
+from tests.support.ingress import BIG_PLAN, IDS, client1, client2, exchange, request, site
 from wickspring.net import link
 from wickspring.net.http_server import BUFFERED_SHARE
-from wickspring.net.upstream.http1 import MOST_INTERIM, AnswerReader
+from wickspring.net.upstream.response_reader import MAX_INTERIM_RESPONSES, ResponseReader
 
 POST = b"POST /api?customer=0000000000000007 HTTP/1.1\r\nHost: a\r\n"
 
@@ -250,7 +250,7 @@
     HEAD + b"Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
     HEAD + b"\r\nabc",  # it ends with the connection: cut or not, nobody could tell
     HEAD + b"X: " + b"y" * 40000,
-    b"HTTP/1.1 100 Continue\r\n\r\n" * (MOST_INTERIM + 1) + HEAD + b"Content-Length: 0\r\n\r\n",
+    b"HTTP/1.1 100 Continue\r\n\r\n" * (MAX_INTERIM_RESPONSES + 1) + HEAD + b"Content-Length: 0\r\n\r\n",
 ]
 
 
@@ -272,18 +272,18 @@
     trio.run(main)
 
 
-@pytest.mark.parametrize("ahead", [0, 1, MOST_INTERIM])
+@pytest.mark.parametrize("ahead", [0, 1, MAX_INTERIM_RESPONSES])
 @pytest.mark.parametrize("surplus", [b"", HEAD, b"\x81noise"])
 def test_good_answer_with_more_around_it_is_served_and_its_connection_ended(
     ahead: int, surplus: bytes
 ) -> None:
-    reader = AnswerReader()
-    reader.request(job("GET", f"/{next(IDS)}"))
+    reader = ResponseReader()
+    reader.encode_request(exchange("GET", f"/{next(IDS)}"))
     raw = b"HTTP/1.1 103 Early Hints\r\n\r\n" * ahead + HEAD + b"Content-Length: 3\r\n\r\nabc"
-    answer = reader.feed(raw + surplus)
+    answer = reader.receive(raw + surplus)
     assert answer is not None
     assert (answer[0], answer[2]) == (200, b"abc")
-    assert reader.reusable() == (not surplus)
+    assert reader.start_next() == (not surplus)
 
 
 def test_connections_that_are_reset_after_a_short_idle_time_are_not_used_again() -> None:
@@ -309,8 +309,8 @@
 
 
 def test_cut_answer_is_none() -> None:
-    reader = AnswerReader()
-    reader.request(job("GET", "/"))
-    assert reader.feed(HEAD + b"Content-Length: 4\r\n\r\nabc") is None
+    reader = ResponseReader()
+    reader.encode_request(exchange("GET", "/"))
+    assert reader.receive(HEAD + b"Content-Length: 4\r\n\r\nabc") is None
     with pytest.raises(h11.RemoteProtocolError):
-        reader.feed(b"")
+        reader.receive(b"")
--- a/tests/net/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.support.ingress import job
+from tests.support.ingress import exchange
 from tests.support.policy_gateway import KIND, PLAN, make_settings
 from wickspring import interface as api
 from wickspring.net import counter, discovery
@@ -24,8 +24,8 @@
 from wickspring.net.http_server import HttpRequest
 from wickspring.net.link import Link
 from wickspring.net.runtime import Runtime
-from wickspring.net.upstream.http1 import AnswerReader
-from wickspring.net.upstream.reports import read_reply
+from wickspring.net.upstream.response_reader import ResponseReader
+from wickspring.net.upstream.responses import read_result
 
 same = settings(derandomize=True, max_examples=60, deadline=None, database=None)
 cuts = st.lists(st.integers(1, 40), min_size=1, max_size=30)
@@ -139,14 +139,14 @@
     assert (directory.version, directory.addresses) == (4, {b"s-1": ("127.0.0.1", 5000)})
 
 
-def ask(reader: AnswerReader) -> None:
-    reader.request(job("POST", "/api?customer=0", b"text"))
+def ask(reader: ResponseReader) -> None:
+    reader.encode_request(exchange("POST", "/api?customer=0", b"text"))
 
 
 @same
 @given(cuts, st.binary(max_size=200), st.booleans())
 def test_answers_however_cut(sizes: list[int], body: bytes, chunked: bool) -> None:
-    reader = AnswerReader()
+    reader = ResponseReader()
     for _ in range(2):
         ask(reader)
         if chunked:
@@ -154,18 +154,18 @@
             data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + parts + b"0\r\n\r\n"
         else:
             data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        got = [answer for piece in pieces(data, sizes) if (answer := reader.feed(piece)) is not None]
+        got = [answer for piece in pieces(data, sizes) if (answer := reader.receive(piece)) is not None]
         assert [(status, text) for status, _, text in got] == [(200, body)]
-        assert reader.reusable()
+        assert reader.start_next()
 
 
 @same
 @given(st.binary(max_size=300))
 def test_answer_garbage_is_no_answer(data: bytes) -> None:
-    reader = AnswerReader()
+    reader = ResponseReader()
     ask(reader)
     try:
-        assert reader.feed(b"\xff" + data) is None
+        assert reader.receive(b"\xff" + data) is None
     except h11.RemoteProtocolError as error:
         assert str(error)
 
@@ -367,9 +367,9 @@
 )
 def test_the_protocols_table(code: int, headers: dict[str, str], status: api.Status) -> None:
     report = {"x-load-report": '{"inflight":7,"qps":1.5}'}
-    reply = read_reply(code, {**headers, **report}, b"", ("inflight", "qps"))
+    reply = read_result(code, {**headers, **report}, b"", ("inflight", "qps"))
     assert (reply.status, reply.load) == (status, (7.0, 1.5))
     for text in ("{oops", '{"inflight":-1}', '{"inflight":1e300}', '{"qps":1}', '{"inflight":"7"}'):
-        assert read_reply(code, {"x-load-report": text}, b"", ("inflight",)).load == ()
+        assert read_result(code, {"x-load-report": text}, b"", ("inflight",)).load == ()
     for use in ("-5", "x", "inf", "1e300"):
-        assert read_reply(code, {"api-usage": use}, b"", ()).fleet_use == 0
+        assert read_result(code, {"api-usage": use}, b"", ()).fleet_use == 0
--- a/tests/support/ingress.py
+++ b/tests/support/ingress.py
@@ -21,8 +21,9 @@
 from wickspring.net import server
 from wickspring.net.http2_wire import Frames, GoAway
 from wickspring.net.http2_wire import settings as http2_settings
+from wickspring.net.reload import ReadInstance
 from wickspring.net.runtime import Runtime
-from wickspring.net.upstream.carrier import Job
+from wickspring.net.upstream.exchange import ServerExchange
 
 IDS = count(1)
 KINDS = {
@@ -33,12 +34,20 @@
 BIG_PLAN = replace(PLAN, name="big", rate=1.0, burst=1000.0)
 
 
-def job(method: str, target: str, body: bytes = b"") -> Job:
-    """Make a job for a reader of answers alone."""
+def exchange(method: str, target: str, body: bytes = b"") -> ServerExchange:
+    """Make an exchange for a reader of answers alone."""
     headers = [("X-Call-Id", "1")]
     place = ("127.0.0.1", 1)
-    return Job(
-        b"s", place, False, 0.0, method=method, target=target, headers=headers, body=body, done=lambda _: None
+    return ServerExchange(
+        b"s",
+        place,
+        False,
+        0.0,
+        method=method,
+        target=target,
+        headers=headers,
+        body=body,
+        on_end=lambda _: None,
     )
 
 
@@ -57,7 +66,7 @@
 
     async def owed_none(self) -> None:
         """Wait until nobody waits for an answer; the test's own time limit ends it otherwise."""
-        while self.runtime.owed or self.runtime.reducer.pending:
+        while self.runtime.pending_responses or self.runtime.reducer.pending:
             await trio.sleep(0.005)
 
     def tally_adds_up(self) -> bool:
@@ -78,7 +87,7 @@
     plan: api.PlanSettings = BIG_PLAN,
     sockets: int = 1024,
     memory_mb: float = 192.0,
-    reread: server.Reread | None = None,
+    reread: ReadInstance | None = None,
     known: bool = False,
     mute_discovery: bool = False,
     **changes: Any,
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -7,6 +7,7 @@
 
 import trio
 
+from wickspring import interface as api
 from wickspring.common import logs
 from wickspring.common.connection import accept_connections
 from wickspring.common.messages import (
@@ -16,6 +17,7 @@
 )
 from wickspring.common.routing_table import RoutingTable
 from wickspring.common.settings import NodeSettings
+from wickspring.connections.model import PooledConnection
 from wickspring.dataplane.control_client.client import ControlClient
 from wickspring.dataplane.control_client.listener import UsageReports
 from wickspring.dataplane.endpoint_table import EndpointTable
@@ -37,7 +39,7 @@
 from wickspring.net.datagrams import Udp
 from wickspring.net.http1_front import Patience
 from wickspring.net.http_server import HttpRequest, HttpServer
-from wickspring.net.upstream.manager import Upstream
+from wickspring.net.upstream.manager import UpstreamManager
 
 RESERVED_FDS = 200  # descriptors that are not for clients or endpoints
 FORGET_ENDPOINT_MS = 20_000.0
@@ -70,6 +72,7 @@
         self.gossip = GossipNode(
             settings.ip, self.clock, nursery, self.random, self.state_exchange, self.datagrams
         )
+        self.server_entry = PoolDirectory(self.endpoints).entry
         self.upstream = self._build_upstream()
         self.request_context = self._build_request_context()
         self.responder = Responder(self.request_context)
@@ -77,18 +80,18 @@
         self.admission = Admission(self.request_context, self.forwarder, self.responder)
         self.startup_queue = StartupQueue(self.request_context, self.responder, self._handle)
 
-    def _build_upstream(self) -> Upstream:
-        return Upstream(
-            ConnectionDefaults(self.random.getrandbits(32)),
-            self.limits,
-            lambda: self.max_descriptors,
-            lambda: len(self.connections),
-            self.clock,
-            self.timers,
-            self.nursery,
-            PoolDirectory(self.endpoints).entry,
-            UpstreamConnection,
-        )
+    def _build_upstream(self) -> UpstreamManager:
+        return UpstreamManager(self, ConnectionDefaults(self.random.getrandbits(32)), self.limits)
+
+    def make_server_connection(
+        self, upstream: UpstreamManager, connection: PooledConnection
+    ) -> UpstreamConnection:
+        """Return a connection to an endpoint."""
+        return UpstreamConnection(upstream, connection)
+
+    def expected_capacity(self, server: api.ServerId) -> int:
+        """Return how many requests a new connection to an endpoint will carry at once: HTTP/1.1 has one."""
+        return 1
 
     def _build_request_context(self) -> RequestContext:
         return RequestContext(
--- a/wickspring/dataplane/request/forwarding.py
+++ b/wickspring/dataplane/request/forwarding.py
@@ -13,7 +13,7 @@
 from wickspring.dataplane.request.response import Responder
 from wickspring.dataplane.upstream import BufferedResponse, Exchange
 from wickspring.interface import Status
-from wickspring.net.upstream.carrier import Reply
+from wickspring.net.upstream.exchange import ExchangeResult
 
 KEEP_ALIVE_SHARE = 0.9  # of the time that an endpoint keeps an idle connection, by its Keep-Alive header
 MAX_ATTEMPTS_PER_REQUEST = 16  # spacing of the numbers of attempts
@@ -90,8 +90,8 @@
             headers=headers,
             body=request.body,
             body_stream=request.body_stream,
-            done=partial(self._on_attempt_end, request, candidate, number, load_owner),
-            flows=partial(self._start_body_stream, request),
+            on_end=partial(self._on_attempt_end, request, candidate, number, load_owner),
+            may_stream_body=partial(self._start_body_stream, request),
             on_headers=self._on_response_headers,
             on_stream=partial(self._responder.begin_stream, request, number),
         )
@@ -112,7 +112,7 @@
             settings.server_idle_timeout_ms = min(settings.server_idle_timeout_ms, idle_timeout_ms)
 
     def _on_attempt_end(
-        self, request: Request, candidate: KnownEndpoint, number: int, load_owner: str, reply: Reply
+        self, request: Request, candidate: KnownEndpoint, number: int, load_owner: str, reply: ExchangeResult
     ) -> None:
         """Record how an attempt ended, and go on from there."""
         context = self._context
@@ -132,7 +132,7 @@
         elif request.streaming_attempt == number:  # else another attempt's response ends by itself
             self._responder.end_stream(request, outcome is AttemptOutcome.ANSWERED)
 
-    def _continue(self, request: Request, outcome: AttemptOutcome, reply: Reply, now: float) -> None:
+    def _continue(self, request: Request, outcome: AttemptOutcome, reply: ExchangeResult, now: float) -> None:
         """Deliver a response, try again, or give up."""
         attempts = request.attempts
         if isinstance(reply, BufferedResponse) and outcome is AttemptOutcome.ANSWERED:
--- a/wickspring/dataplane/request/model.py
+++ b/wickspring/dataplane/request/model.py
@@ -23,7 +23,7 @@
 from wickspring.net.clock import Clock
 from wickspring.net.http1_front import Http1Connection
 from wickspring.net.timers import Timers
-from wickspring.net.upstream.manager import Upstream
+from wickspring.net.upstream.manager import UpstreamManager
 
 RETRY_AFTER_MS = (60.0, 160.0)  # range of the delay that a client is asked for where no endpoint is available
 
@@ -130,7 +130,7 @@
     config: ConfigSync
     quota_client: QuotaClient
     load_client: LoadClient
-    upstream: Upstream
+    upstream: UpstreamManager
     data_plane_count: Callable[[], int]  # 0 where it is not known
     requests: dict[int, Request] = field(default_factory=dict)
     non_idempotent_ids: set[str] = field(default_factory=set)  # of requests in progress
--- a/wickspring/dataplane/request/response.py
+++ b/wickspring/dataplane/request/response.py
@@ -12,7 +12,7 @@
 from wickspring.dataplane.upstream import SIGNATURE_HEADER, BufferedResponse, ResponseHead, end_to_end_headers
 from wickspring.net.calls import Client, retry_after
 from wickspring.net.http1_front import Http1Connection
-from wickspring.net.upstream.carrier import Sink
+from wickspring.net.upstream.exchange import ResponseSink
 
 # Statuses that a client reads as: the request has not been executed and never will be.
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
@@ -68,7 +68,7 @@
         if isinstance(client, Http1Connection):
             client.respond(response.code, "", response.body, end_to_end_headers(response.pairs))
 
-    def begin_stream(self, request: Request, attempt_number: int, head: ResponseHead) -> Sink | None:
+    def begin_stream(self, request: Request, attempt_number: int, head: ResponseHead) -> ResponseSink | None:
         """Begin a response that is longer than what is buffered; None where it cannot be streamed."""
         client = request.waiting_client()
         if request.attempts.ended or request.streaming_attempt or not isinstance(client, Http1Connection):
--- a/wickspring/dataplane/upstream.py
+++ b/wickspring/dataplane/upstream.py
@@ -14,8 +14,9 @@
 
 from wickspring.core.invariants import check_invariant
 from wickspring.interface import Status
-from wickspring.net.upstream.carrier import Job, Reply, Sink
-from wickspring.net.upstream.http1 import AnswerReader, Http1Link
+from wickspring.net.upstream.exchange import ExchangeResult, ResponseSink, ServerExchange
+from wickspring.net.upstream.http1 import Http1ServerConnection
+from wickspring.net.upstream.response_reader import Response, ResponseReader
 
 ATTEMPT_ID_HEADER = "x-attempt-id"
 SIGNATURE_HEADER = "x-server-seal"  # the name is agreed with endpoints; its value is not checked here
@@ -55,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class BufferedResponse(Reply):
+class BufferedResponse(ExchangeResult):
     """A complete response of an endpoint."""
 
     code: int = 0
@@ -75,17 +76,17 @@
     """Learn nothing from the headers of a response."""
 
 
-def _refuse_stream(head: ResponseHead) -> Sink | None:
+def _refuse_stream(head: ResponseHead) -> ResponseSink | None:
     """Let no response through before it is complete."""
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class Exchange(Job):
+class Exchange(ServerExchange):
     """One attempt at one endpoint."""
 
     id: str
     on_headers: Callable[[dict[str, str]], None] = _ignore_headers  # of each buffered response
-    on_stream: Callable[[ResponseHead], Sink | None] = _refuse_stream  # None buffers on
+    on_stream: Callable[[ResponseHead], ResponseSink | None] = _refuse_stream  # None buffers on
 
 
 def end_to_end_headers(pairs: HeaderPairs) -> HeaderPairs:
@@ -99,7 +100,7 @@
     return [pair for pair in pairs if pair[0] not in dropped]
 
 
-def answers_attempt(reader: AnswerReader, exchange: Exchange) -> bool:
+def answers_attempt(reader: ResponseReader, exchange: Exchange) -> bool:
     """Return whether a head belongs to one response, and to this attempt.
 
     A response that was cut within a header's value, or within its reason phrase, and is followed by the next
@@ -111,7 +112,7 @@
     return not any(_STATUS_LINE.search(text) for text in (reader.reason, *(value for _, value in pairs)))
 
 
-def is_authentic(reader: AnswerReader, exchange: Exchange) -> bool:
+def is_authentic(reader: ResponseReader, exchange: Exchange) -> bool:
     """Return whether a response is the endpoint's to this attempt, as far as its head can show.
 
     The response itself must tell its end: one that ends with its connection looks complete wherever it is
@@ -130,28 +131,28 @@
     return not (200 <= status < 300) or (any(signatures) and "content-encoding" not in headers)
 
 
-class UpstreamConnection(Http1Link):
+class UpstreamConnection(Http1ServerConnection):
     """A connection to an endpoint of the gateway."""
 
-    _taken_before = 0  # bytes that the kernel had taken before the present job
+    _taken_before = 0  # bytes that the kernel had taken before the present exchange
 
-    def begin(self, job: Job) -> None:
-        """Write the job; nothing of an earlier response may be unread."""
+    def begin(self, exchange: ServerExchange) -> None:
+        """Write the request; nothing of an earlier response may be unread."""
         check_invariant(not self.reader.http.trailing_data[0], "no bytes of an earlier response are unread")
         if self.link is not None:
             self._taken_before = self.link.taken
-        super().begin(job)
+        super().begin(exchange)
 
-    def written(self) -> bool:
+    def may_have_run(self) -> bool:
         """Return whether the endpoint can have read a byte; one that executes by the head alone may have."""
         return self.sent and self.link is not None and self.link.taken > self._taken_before
 
-    def read(self, answer: tuple[int, dict[str, str], bytes]) -> Reply:
+    def read_result(self, response: Response) -> ExchangeResult:
         """Return a complete response as the endpoint's own, or close the connection it came on."""
-        code, headers, body = answer
-        exchange = self.job
+        code, headers, body = response
+        exchange = self.exchange
         if not isinstance(exchange, Exchange):  # a health probe
-            return Reply(Status.OK if code == 200 else Status.ERROR, body=body)
+            return ExchangeResult(Status.OK if code == 200 else Status.ERROR, body=body)
         exchange.on_headers(headers)
         if not answers_attempt(self.reader, exchange):
             # The late response of another attempt: what comes next on this connection is not to be trusted.
@@ -163,20 +164,17 @@
         status = Status.OK if code < 500 else Status.ERROR
         return BufferedResponse(status, body=body, code=code, pairs=self.reader.pairs)
 
-    def _reset(self) -> Reply:
+    def _reset(self) -> ExchangeResult:
         """Close the connection, whose responses are not to be trusted."""
-        self.closed = True
-        self.upstream.room(self.conn, 0)
-        if self.link is not None:
-            self.link.close()
-        return Reply(Status.RESET)
+        self.abandon_connection()
+        return ExchangeResult(Status.RESET)
 
-    def begins(self, job: Job) -> Sink | None:
+    def open_sink(self, exchange: ServerExchange) -> ResponseSink | None:
         """Let a long response through once its head shows whose it is."""
-        if not isinstance(job, Exchange):
+        if not isinstance(exchange, Exchange):
             return None
         pairs = self.reader.pairs
         not_executed = any(name == NOT_EXECUTED_HEADER for name, _ in pairs)
-        if not_executed or not is_authentic(self.reader, job):
+        if not_executed or not is_authentic(self.reader, exchange):
             return None
-        return job.on_stream(ResponseHead(self.reader.code, pairs, self.reader.length))
+        return exchange.on_stream(ResponseHead(self.reader.code, pairs, self.reader.length))
--- a/wickspring/lab/experiments/fleet_site.py
+++ b/wickspring/lab/experiments/fleet_site.py
@@ -47,13 +47,13 @@
 _FAILING_PROGRAM = """
 import sys
 from wickspring import interface as api
-from wickspring.net import runtime
-from wickspring.net.upstream.carrier import Reply
+from wickspring.net import attempts
+from wickspring.net.upstream.exchange import ExchangeResult
 
 def fail(self, start):
-    self._attempt_ended(start.request, start.attempt, Reply(api.Status.ERROR))
+    self.ended(start.request, start.attempt, ExchangeResult(api.Status.ERROR))
 
-runtime.Runtime._start = fail
+attempts.AttemptRunner.start = fail
 from wickspring.cli import main
 sys.exit(main())
 """
--- a/wickspring/lab/simulation/stub_endpoints.py
+++ b/wickspring/lab/simulation/stub_endpoints.py
@@ -6,21 +6,21 @@
 
 from wickspring.dataplane.upstream import BufferedResponse
 from wickspring.interface import Status
-from wickspring.net.upstream.carrier import Job
-from wickspring.net.upstream.manager import Upstream
+from wickspring.net.upstream.exchange import ServerExchange
+from wickspring.net.upstream.manager import UpstreamManager
 
 SERVICE_TIME_MS = 50.0
 SEAL = [("x-server-seal", "1.1.1.1.1.1")]  # present in any success of a server
 
 
-class StubUpstream(Upstream):
+class StubUpstream(UpstreamManager):
     """Upstream connections without a network: each attempt succeeds after `SERVICE_TIME_MS`."""
 
-    def start(self, job: Job) -> None:
+    def start(self, exchange: ServerExchange) -> None:
         """Answer an attempt later."""
-        job_done = job.done
+        on_end = exchange.on_end
         response = BufferedResponse(Status.OK, code=200, pairs=SEAL)
-        self.timers.at(self.clock.now() + SERVICE_TIME_MS, lambda: job_done(response))
+        self.timers.at(self.clock.now() + SERVICE_TIME_MS, lambda: on_end(response))
 
 
 class StubCaller:
--- a/wickspring/lab/simulation/virtual_run.py
+++ b/wickspring/lab/simulation/virtual_run.py
@@ -63,7 +63,7 @@
         (state_exchange, "connect", network.connect),
         (state_exchange, "Link", lambda link, _: link),
         (dataplane_process, "Udp", partial(DatagramEndpoint, network)),
-        (dataplane_process, "Upstream", StubUpstream),
+        (dataplane_process, "UpstreamManager", StubUpstream),
         (trio.to_thread, "run_sync", _run_inline),
         (PeerConnection, "send", send),
         (PeerConnection, "read_wire_messages", read_wire_messages),
--- a/wickspring/net/discovery.py
+++ b/wickspring/net/discovery.py
@@ -5,6 +5,7 @@
 import logging
 import math
 from collections.abc import Callable
+from dataclasses import dataclass
 from random import Random
 
 import h11
@@ -19,13 +20,14 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE_MOST = 5.0  # s; an empty line comes every 2 s, so this is two of them missed
-DIAL_MS = 1000.0
-PAUSE_FIRST, PAUSE_MOST = 0.1, 10.0  # s between tries; the most is less in a small fleet
+MAX_SILENCE_S = 5.0  # an empty line comes every 2 s, so this is two of them missed
+DIAL_TIMEOUT_MS = 1000.0
+MIN_PAUSE_S = 0.1  # between two watches
+MAX_PAUSE_S = 10.0  # the same; less in a small fleet
 FLEET_RATE = 10.0  # watches a second that all ingresses together open while all of them have to
 PROMPT_SHARE = 0.4  # of the time that a drain may go unheeded: the longest wait by chance before a watch
-LONGEST_LINE = 8 << 20
-BUSY = (429, 503)  # statuses of a service that has more callers than it can serve
+MAX_LINE_BYTES = 8 << 20
+BUSY_STATUSES = (429, 503)  # statuses of a service that has more callers than it can serve
 STATES = {
     "up": api.Readiness.READY,
     "draining": api.Readiness.DRAINING,
@@ -118,7 +120,7 @@
                 event = self.http.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     break
-                if isinstance(event, h11.Response) and event.status_code in BUSY:
+                if isinstance(event, h11.Response) and event.status_code in BUSY_STATUSES:
                     raise BusyError(f"status {event.status_code}")
                 if isinstance(event, h11.Response) and event.status_code != 200:
                     raise ListError(f"status {event.status_code}")
@@ -130,11 +132,28 @@
         except h11.RemoteProtocolError as error:
             raise ListError(str(error)) from error
         *lines, self._rest = self._rest.split(b"\n")
-        if len(self._rest) > LONGEST_LINE:
+        if len(self._rest) > MAX_LINE_BYTES:
             raise ListError("a line without an end")
         return [line.strip() for line in lines]
 
 
+@dataclass(slots=True, frozen=True)
+class WatchPauses:
+    """What the pauses between watches depend on."""
+
+    seed: int = 0
+    gateways: int = 1  # of the fleet, which share the service
+    drain_grace_ms: float = 1000.0  # time that a server's drain may go unheeded
+
+    def backoff(self) -> Backoff:
+        """Return the pauses."""
+        prompt_s = PROMPT_SHARE * self.drain_grace_ms / 1000.0
+        return Backoff(Random(self.seed), self.gateways, FLEET_RATE, MIN_PAUSE_S, MAX_PAUSE_S, prompt_s)
+
+
+DEFAULT_PAUSES = WatchPauses()
+
+
 class Discovery:
     """Keeps the watch open, whatever happens to it."""
 
@@ -143,16 +162,16 @@
         address: tuple[str, int],
         directory: Directory,
         nursery: trio.Nursery,
-        listed: Callable[[api.ServerList], None],
-        seed: int = 0,
-        gateways: int = 1,
-        grace_ms: float = 1000.0,
+        on_list: Callable[[api.ServerList], None],
+        pauses: WatchPauses = DEFAULT_PAUSES,
     ) -> None:
-        self.address, self.directory, self.nursery, self.listed = address, directory, nursery, listed
-        self.heard = trio.Event()
-        self.tried = trio.Event()  # a first watch has said something, or ended
-        prompt = PROMPT_SHARE * grace_ms / 1000.0
-        self._backoff = Backoff(Random(seed), gateways, FLEET_RATE, PAUSE_FIRST, PAUSE_MOST, prompt)
+        self.address = address
+        self.directory = directory
+        self.nursery = nursery
+        self._on_list = on_list
+        self.received = trio.Event()  # a first line has been read
+        self.tried = trio.Event()  # a first watch has sent something, or ended
+        self._backoff = pauses.backoff()
         self._scope = trio.CancelScope()  # of the present watch and the pause after it
 
     def move(self, address: tuple[str, int]) -> None:
@@ -162,7 +181,7 @@
             self._scope.cancel()
 
     async def run(self) -> None:
-        """Watch for ever, with pauses between tries that grow while nothing is heard.
+        """Watch for ever, with pauses between tries that grow while nothing is received.
 
         All ingresses of a fleet lose their watches at one moment, or start at one. Coming again in step they
         keep an overbooked discovery so busy with callers that give up that none is served.
@@ -186,20 +205,20 @@
 
     async def _watch(self) -> bool:
         """Follow one connection to its end; True if it said anything, and nothing that was no list."""
-        sock = await connect(self.address, DIAL_MS)
+        sock = await connect(self.address, DIAL_TIMEOUT_MS)
         if sock is None:
             return False
-        link, reader, heard = Link(sock, self.nursery), WatchReader(), False
+        link, reader, received = Link(sock, self.nursery), WatchReader(), False
         try:
             target = f"/discovery/hosts?follow=1&since={self.directory.version}"
             link.send(reader.request(target, f"{self.address[0]}:{self.address[1]}"))
             while not reader.ended:
-                with trio.fail_after(SILENCE_MOST):
+                with trio.fail_after(MAX_SILENCE_S):
                     data = await link.receive()
                 if not data:
                     break
                 for line in reader.feed(data):
-                    heard = True
+                    received = True
                     self._line(line)
         except trio.TooSlowError:
             log.warning("watch_silent")
@@ -207,16 +226,16 @@
             # The list held stays in force. What the line would have told, a drain perhaps, must not be
             # missed: the next watch begins with the whole list.
             log.warning("list_line_bad", extra=kv(reason=error))
-            self.directory.version, heard = 0, False
+            self.directory.version, received = 0, False
         finally:
             link.close()
-        return heard
+        return received
 
     def _line(self, line: bytes) -> None:
         if line:
             news = self.directory.apply(decode(line))
             states = " ".join(f"{e.server.decode()}:{e.readiness.value}" for e in news.entries[:20])
             log.info("list", extra=kv(version=self.directory.version, kind=news.kind.value, servers=states))
-            self.listed(news)
-        self.heard.set()
+            self._on_list(news)
+        self.received.set()
         self.tried.set()
--- a/wickspring/net/handover.py
+++ b/wickspring/net/handover.py
@@ -28,10 +28,11 @@
 
 ANSWER_S = 0.5  # for the serving process to answer; a hung one is passed over
 STATE_S = 1.0  # for the state to come whole
-MOST_MESSAGE = 192 * 1024  # bytes; the kernel takes messages up to its send buffer, some 200 kB
-MOST_PATH = 100  # bytes of a Unix socket's name, of the 108 that the kernel takes
-GIVE_EVERY_S = 0.005  # between looks for client connections that can go
-MOST_FDS = 4  # with one message
+MAX_MESSAGE_BYTES = 192 * 1024  # the kernel takes messages up to its send buffer, some 200 kB
+MAX_PATH_BYTES = 100  # bytes of a Unix socket's name, of the 108 that the kernel takes
+RELEASE_POLL_S = 0.005  # between looks for client connections that can go
+MAX_DESCRIPTORS = 4  # with one message
+ANCILLARY_BYTES = socket.CMSG_SPACE(array.array("i").itemsize * MAX_DESCRIPTORS)
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(succession.Message)
@@ -47,7 +48,7 @@
         return None
     word = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)
     path = Path(folder) / f"wickspring-{word}-{port}.sock"
-    return path if len(os.fsencode(path)) <= MOST_PATH else None
+    return path if len(os.fsencode(path)) <= MAX_PATH_BYTES else None
 
 
 class Channel:
@@ -87,7 +88,7 @@
         """Return the next message and what came with it; None at the end."""
         while True:
             try:
-                data, extra, _, _ = self._sock.recvmsg(MOST_MESSAGE, socket.CMSG_SPACE(4 * MOST_FDS))
+                data, extra, _, _ = self._sock.recvmsg(MAX_MESSAGE_BYTES, ANCILLARY_BYTES)
                 break
             except BlockingIOError:
                 try:
@@ -119,7 +120,7 @@
             self._sock.close()
 
 
-class Ingress(Protocol):
+class RestartedProcess(Protocol):
     """What either process lets the other do."""
 
     def welcome(self) -> tuple[succession.Welcome, list[int]]:
@@ -128,35 +129,35 @@
     def pause(self, paused: bool) -> None:
         """Accept nothing from now on, or again."""
 
-    def tell(self) -> list[succession.State]:
+    def export_state(self) -> list[succession.State]:
         """Return the state in parts."""
 
-    def gives(self) -> bool:
+    def releases_clients(self) -> bool:
         """Tell whether client connections are to go: from SIGTERM on."""
 
-    def take_client(self) -> tuple[socket.socket, bytes] | None:
+    def release_client(self) -> tuple[socket.socket, bytes] | None:
         """Take a client connection with no request under way out of this process."""
 
     def adopt_client(self, sock: socket.socket, ahead: bytes) -> None:
         """Serve a client connection."""
 
-    def adopt(self, state: succession.State) -> None:
+    def import_state(self, state: succession.State) -> None:
         """Take a part of the state in."""
 
-    def moved(self, server: ServerId, back: float | None) -> None:
+    def apply_maintenance(self, server: ServerId, included_at: float | None) -> None:
         """Apply a server's removal or return, made at the other process's admin API."""
 
-    def peer_holds(self, descriptors: int) -> None:
+    def on_peer_descriptors(self, descriptors: int) -> None:
         """Note how many descriptors the other process holds."""
 
-    def holds(self) -> int:
+    def open_descriptors(self) -> int:
         """Return how many descriptors this process holds."""
 
 
 class Predecessor:
     """The serving process's side: one successor at a time."""
 
-    def __init__(self, path: Path, ingress: Ingress) -> None:
+    def __init__(self, path: Path, ingress: RestartedProcess) -> None:
         self.path, self.ingress = path, ingress
         self.channel: Channel | None = None
         self.succeeded = False  # a successor accepts in this process's stead
@@ -209,7 +210,7 @@
         finally:
             channel.close()
             self.channel = None
-            if self.succeeded and not self.ingress.gives():
+            if self.succeeded and not self.ingress.releases_clients():
                 log.warning("successor_left", extra=kv(then="this process accepts again"))
                 self.succeeded = False
                 self.ingress.pause(False)
@@ -227,20 +228,20 @@
             elif isinstance(message, succession.Serving) and not self.succeeded:
                 self.ingress.pause(True)
                 self.succeeded = True
-                for part in self.ingress.tell():
+                for part in self.ingress.export_state():
                     await channel.send(part)
                 nursery.start_soon(self._give, channel)
                 log.info("succeeded")
             elif isinstance(message, succession.MaintenanceChanged):
-                self.ingress.moved(message.server, message.back)
+                self.ingress.apply_maintenance(message.server, message.back)
 
     async def _give(self, channel: Channel) -> None:
         """Hand client connections over, as they fall idle, to the end of this process."""
         held = -1
         while True:
-            if held != (held := self.ingress.holds()):
+            if held != (held := self.ingress.open_descriptors()):
                 await channel.send(succession.DescriptorsHeld(held))
-            while self.ingress.gives() and (taken := self.ingress.take_client()) is not None:
+            while self.ingress.releases_clients() and (taken := self.ingress.release_client()) is not None:
                 sock, ahead = taken
                 try:
                     await channel.send(succession.ClientConnection(ahead), sock.fileno())
@@ -251,19 +252,19 @@
                     sock.close()
                     raise
                 sock.close()
-            await trio.sleep(GIVE_EVERY_S)
+            await trio.sleep(RELEASE_POLL_S)
 
-    async def tell_moved(self, server: ServerId, back: float | None) -> None:
+    async def announce_maintenance(self, server: ServerId, included_at: float | None) -> None:
         """Tell a successor of a server taken out or put back here."""
         if self.channel is not None:
             with suppress(HandoverError):
-                await self.channel.send(succession.MaintenanceChanged(server, back))
+                await self.channel.send(succession.MaintenanceChanged(server, included_at))
 
 
 class Successor:
     """The new process's side, from its first word to the old process's end."""
 
-    def __init__(self, path: Path, ingress: Ingress) -> None:
+    def __init__(self, path: Path, ingress: RestartedProcess) -> None:
         self.path, self.ingress = path, ingress
         self.channel: Channel | None = None
         self.welcome: succession.Welcome | None = None
@@ -331,13 +332,13 @@
                 if isinstance(message, succession.ClientConnection) and socks:
                     self.ingress.adopt_client(socks.pop(0), message.ahead)
                 elif isinstance(message, succession.State):
-                    self.ingress.adopt(message)
+                    self.ingress.import_state(message)
                     if message.last:
                         self._whole.set()
                 elif isinstance(message, succession.MaintenanceChanged):
-                    self.ingress.moved(message.server, message.back)
+                    self.ingress.apply_maintenance(message.server, message.back)
                 elif isinstance(message, succession.DescriptorsHeld):
-                    self.ingress.peer_holds(message.descriptors)
+                    self.ingress.on_peer_descriptors(message.descriptors)
                 for sock in socks:
                     sock.close()
         except HandoverError as error:
@@ -346,11 +347,11 @@
             self.channel = None
             channel.close()
             self._whole.set()
-            self.ingress.peer_holds(0)
+            self.ingress.on_peer_descriptors(0)
             log.info("predecessor_ended")
 
-    async def tell_moved(self, server: ServerId, back: float | None) -> None:
+    async def announce_maintenance(self, server: ServerId, included_at: float | None) -> None:
         """Tell the old process of a server taken out or put back here."""
         if self.channel is not None:
             with suppress(HandoverError):
-                await self.channel.send(succession.MaintenanceChanged(server, back))
+                await self.channel.send(succession.MaintenanceChanged(server, included_at))
--- a/wickspring/net/upstream/http1.py
+++ b/wickspring/net/upstream/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 to a ticket server: one connection, one job at a time."""
+"""HTTP/1.1 to a server: one connection, one exchange at a time (no pipelining; RFC 9112, section 9.3.2)."""
 
 from __future__ import annotations
 
@@ -10,272 +10,170 @@
 from wickspring.connections.model import ClosedBy, PooledConnection
 from wickspring.interface import Status
 from wickspring.net.body_stream import BodyStream
-from wickspring.net.calls import MOST_LONG
 from wickspring.net.link import Link
-from wickspring.net.upstream.carrier import MOST_ANSWER, Job, Reply, Sink
-from wickspring.net.upstream.manager import Upstream
-from wickspring.net.upstream.reports import read_reply
+from wickspring.net.upstream.exchange import ExchangeResult, ResponseSink, ServerExchange
+from wickspring.net.upstream.manager import LostExchange, UpstreamManager
+from wickspring.net.upstream.response_reader import Response, ResponseReader
+from wickspring.net.upstream.responses import read_result
 
-_FRAMING = (b"content-length", b"transfer-encoding")
 STALL_S = 15.0  # for a peer that moves no byte of a transfer; slow ones take seconds
-MOST_INTERIM = 8  # answers 1xx ahead of the one that counts
 
 
-def check_framing(response: h11.Response) -> int | None:
-    """Return an answer's length where it is told ahead; raise unless its end is certain.
-
-    Without a length a cut answer would pass for whole. Only one that says it ends with its connection may.
-    """
-    framing = {name: value for name, value in response.headers if name in _FRAMING}
-    closes = response.http_version == b"1.0" or any(
-        name == b"connection" and b"close" in value.lower() for name, value in response.headers
-    )
-    if response.status_code not in (204, 304) and len(framing) != 1 and not (closes and not framing):
-        raise h11.RemoteProtocolError("an answer without one clear length")
-    length = framing.get(b"content-length")
-    if length is None:
-        return None
-    if response.status_code != 200 and int(length) > MOST_ANSWER:
-        raise h11.RemoteProtocolError("a refusal over 64 KiB")
-    if int(length) > MOST_LONG:
-        raise h11.RemoteProtocolError("an answer over 64 MiB")
-    return int(length)
-
-
-class AnswerReader:
-    """Reads one answer after another from a connection's bytes."""
-
-    def __init__(self) -> None:
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=16 * 1024)
-        self._response: h11.Response | None = None
-        self._body = bytearray()
-        self._interim = 0
-        self.length: int | None = None  # of the present answer, where it is told ahead
-        self.long = False  # it is longer than what is held: its bytes are to be taken as they come
-
-    def request(self, job: Job) -> bytes:
-        """Return the bytes of a request, as far as they are held."""
-        headers = [("Host", job.host), *job.headers]
-        body_stream = job.body_stream
-        if body_stream is not None and body_stream.content_length is None:
-            headers.append(("Transfer-Encoding", "chunked"))
-        elif body_stream is not None or job.body or job.method == "POST":
-            length = len(job.body) if body_stream is None else body_stream.content_length
-            headers.append(("Content-Length", str(length)))
-        self._interim = 0
-        request = h11.Request(method=job.method, target=job.target, headers=headers)
-        data = self.http.send(request) or b""
-        if job.body:
-            data += self.http.send(h11.Data(data=job.body)) or b""
-        return data if body_stream is not None else data + self.end()
-
-    def piece(self, data: bytes) -> bytes:
-        """Return the bytes that carry a further piece of the request's body."""
-        return self.http.send(h11.Data(data=data)) or b""
-
-    def end(self) -> bytes:
-        """Return the bytes that end the request."""
-        return self.http.send(h11.EndOfMessage()) or b""
-
-    @property
-    def some(self) -> bool:
-        """Tell whether bytes of the answer's body wait to be taken."""
-        return bool(self._body)
-
-    def take(self) -> bytes:
-        """Take what has come of a long answer."""
-        data = bytes(self._body)
-        self._body.clear()
-        return data
-
-    def feed(self, data: bytes) -> tuple[int, dict[str, str], bytes] | None:
-        """Take bytes in; return status, headers and body once the answer is whole."""
-        self.http.receive_data(data)
-        while True:
-            event = self.http.next_event()
-            if event is h11.NEED_DATA or event is h11.PAUSED:
-                return None
-            if isinstance(event, h11.InformationalResponse):
-                self._interim += 1
-                if self._interim > MOST_INTERIM:
-                    raise h11.RemoteProtocolError("1xx without an end")
-            elif isinstance(event, h11.Response):
-                self.length = check_framing(event)
-                self.long = self.length is not None and self.length > MOST_ANSWER
-                self._response, self._body = event, bytearray()
-            elif isinstance(event, h11.Data):
-                self._body += event.data
-                if len(self._body) > MOST_ANSWER:
-                    if self._response is None or self._response.status_code != 200:
-                        raise h11.RemoteProtocolError("a refusal over 64 KiB")
-                    self.long = True
-            elif isinstance(event, h11.EndOfMessage) and self._response is not None:
-                headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in self._response.headers}
-                return self._response.status_code, headers, bytes(self._body)
-            elif isinstance(event, h11.ConnectionClosed):
-                raise h11.RemoteProtocolError("closed without an answer")
-
-    @property
-    def code(self) -> int:
-        """Return the status of the present answer; 0 while none has begun."""
-        return self._response.status_code if self._response is not None else 0
-
-    @property
-    def reason(self) -> str:
-        """Return the words beside the status of the present answer."""
-        return self._response.reason.decode("latin-1") if self._response is not None else ""
-
-    @property
-    def pairs(self) -> list[tuple[str, str]]:
-        """Return the headers of the present answer, in order, their names in lower case."""
-        if self._response is None:
-            return []
-        return [(k.decode("latin-1"), v.decode("latin-1")) for k, v in self._response.headers]
-
-    def reusable(self) -> bool:
-        """Make ready for the next request; False where the connection ends here."""
-        if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
-            self.http.start_next_cycle()
-            return not self.http.trailing_data[0]
-        return False
-
-
-class Http1Link:
+class Http1ServerConnection:
     """A connection in the pool."""
 
-    def __init__(self, upstream: Upstream, conn: PooledConnection) -> None:
-        self.upstream, self.conn = upstream, conn
-        self.job: Job | None = None
+    def __init__(self, upstream: UpstreamManager, connection: PooledConnection) -> None:
+        self.upstream = upstream
+        self.connection = connection
+        self.exchange: ServerExchange | None = None
         self.link: Link | None = None
-        self.reader = AnswerReader()
+        self.reader = ResponseReader()
         self.closed = False
-        self.sent = False  # bytes of the present job have gone out
-        self._whole = False  # its last byte has been handed to the link
-        self._sink: Sink | None = None  # where the long answer goes that has begun
-        self._heard = False  # and bytes have come since
+        self.sent = False  # bytes of the present request have been written
+        self._request_complete = False  # its last byte has been handed to the link
+        self._sink: ResponseSink | None = None  # where the streamed response goes that has begun
+        self._has_received = False  # bytes have arrived since the present exchange began
 
-    def stale(self) -> bool:
-        """Tell whether the peer has closed, or has said something unasked."""
+    def is_stale(self) -> bool:
+        """Tell whether the peer has closed the connection, or has sent something unasked."""
         return self.link is None or self.link.peek() is not None
 
-    def heard(self, job: Job) -> bool:
-        """Tell whether anything has come since the job began."""
-        return self.job is job and self._heard
+    def has_received(self, exchange: ServerExchange) -> bool:
+        """Tell whether any byte has arrived since the exchange began."""
+        return self.exchange is exchange and self._has_received
+
+    # The request.
 
-    def begin(self, job: Job) -> None:
-        """Write the job."""
-        self.job, self._heard = job, False
+    def begin(self, exchange: ServerExchange) -> None:
+        """Write the request of an exchange."""
+        self.exchange, self._has_received = exchange, False
         if self.link is None:
             self.close()
-        elif job.new_work and not self.upstream.may_send(self.conn.server):
-            # Told of its drain while the connection was on its way: nothing new may go there.
-            self._end(Reply(Status.CONNECT_FAILED))
+        elif exchange.new_work and not self.upstream.accepts_work(self.connection.server):
+            # The server was told to drain while the connection was being dialed: nothing new may go there.
+            self._end(ExchangeResult(Status.CONNECT_FAILED))
         else:
-            self.sent, self._whole = True, job.body_stream is None
-            self.link.send(self.reader.request(job))
-            if self.link.broken:
-                self.close(ClosedBy.PEER)
-            elif job.body_stream is not None:
-                self.upstream.nursery.start_soon(self._upload, job, job.body_stream, self.link)
-
-    async def _upload(self, job: Job, body_stream: BodyStream, link: Link) -> None:
-        """Write the rest of a long body as it comes and as the server reads it."""
+            self._send(exchange, self.link)
+
+    def _send(self, exchange: ServerExchange, link: Link) -> None:
+        self.sent = True
+        self._request_complete = exchange.body_stream is None
+        link.send(self.reader.encode_request(exchange))
+        if link.broken:
+            self.close(ClosedBy.PEER)
+        elif exchange.body_stream is not None:
+            self.upstream.nursery.start_soon(self._upload, exchange, exchange.body_stream, link)
+
+    async def _upload(self, exchange: ServerExchange, body_stream: BodyStream, link: Link) -> None:
+        """Write the rest of a long body as it arrives and as the server reads it."""
         while True:
             with trio.move_on_after(STALL_S) as stalled:
                 await link.room()
-            if stalled.cancelled_caught and self.job is job:
+            if stalled.cancelled_caught and self.exchange is exchange:
                 self.close(ClosedBy.PEER)
             more = not link.broken and await body_stream.wait_readable()
-            if self.job is not job or link.broken or body_stream.closed:
+            if self.exchange is not exchange or link.broken or body_stream.closed:
                 return  # answered, given up or broken meanwhile; whoever did so has seen to the rest
             if more:
-                if not job.flows():
+                if not exchange.may_stream_body():
                     return
-                link.send(self.reader.piece(body_stream.read_available()))
+                link.send(self.reader.encode_body(body_stream.read_available()))
             elif body_stream.ended:
-                link.send(self.reader.end())
-                self._whole = True
-                job.uploaded()
+                link.send(self.reader.encode_end())
+                self._request_complete = True
+                exchange.on_body_sent()
                 return
 
+    # The response.
+
     async def run(self) -> None:
-        """Dial, then read answers until either side ends the connection."""
-        self.link = link = await self.upstream.connect(self.conn)
+        """Dial, then read responses until either side closes the connection."""
+        self.link = link = await self.upstream.connect(self.connection)
         if link is None:
             self.closed = True
             return
-        self.upstream.up(self.conn, 1)
+        self.upstream.dial_succeeded(self.connection, 1)
         while not self.closed:
             data: bytes | None = None
             with trio.move_on_after(STALL_S if self._sink is not None else math.inf):
                 data = await link.receive()
-            if data is None or self.job is None:
-                break  # broken, or something said unasked, a close most of all
-            self._heard |= bool(data)
+            if data is None or self.exchange is None:
+                break  # broken, or something sent unasked, a close most of all
+            self._has_received |= bool(data)
             try:
-                answer = self.reader.feed(data)
+                response = self.reader.receive(data)
             except h11.RemoteProtocolError:
                 break
-            if self.reader.long and self.reader.some and not await self._pass_on(self.job):
+            if self.reader.streamed and self.reader.has_body_bytes and not await self._stream(self.exchange):
                 break
-            if answer is not None:
-                self._answered(answer)
+            if response is not None:
+                self._on_response(response)
             elif not data:
                 break
         self.close(ClosedBy.PEER)
 
-    async def _pass_on(self, job: Job) -> bool:
-        """Pass on what has come of a long answer; False where nobody wants it any more."""
+    async def _stream(self, exchange: ServerExchange) -> bool:
+        """Pass on what has arrived of a streamed response; False where nobody wants it any more."""
         if self._sink is None:
-            job.untimed()
-            self._sink = self.begins(job)
-        if self._sink is None or self.job is not job:
+            exchange.cancel_deadline()
+            self._sink = self.open_sink(exchange)
+        if self._sink is None or self.exchange is not exchange:
             return False
-        self._sink.write_body(self.reader.take())
+        self._sink.write_body(self.reader.take_body())
         with trio.move_on_after(STALL_S):
-            return await self._sink.wait_writable() and self.job is job
+            return await self._sink.wait_writable() and self.exchange is exchange
         return False
 
-    def begins(self, job: Job) -> Sink | None:
-        """Say where a long answer goes; None where nobody takes it."""
-        return job.begins(self.reader.length)
+    def open_sink(self, exchange: ServerExchange) -> ResponseSink | None:
+        """Return where a streamed response goes; None where nobody takes it."""
+        return exchange.open_sink(self.reader.length)
 
-    def _answered(self, answer: tuple[int, dict[str, str], bytes]) -> None:
-        # An answer before the request is out (a server that turns work away early) leaves the
+    def _on_response(self, response: Response) -> None:
+        # A response before the request is out (a server that turns work away early) leaves the
         # connection in no state to be used again.
-        if not (self.link is not None and self.link.flushed and self.reader.reusable()):
-            self.closed = True
-            self.upstream.room(self.conn, 0)
-            if self.link is not None:
-                self.link.close()
-        self.reader.long = False
-        self._end(self.read(answer))
+        if not (self.link is not None and self.link.flushed and self.reader.start_next()):
+            self.abandon_connection()
+        self.reader.streamed = False
+        self._end(self.read_result(response))
+
+    def abandon_connection(self) -> None:
+        """Close the connection, and let the pools give it no further exchange."""
+        self.closed = True
+        self.upstream.capacity_changed(self.connection, 0)
+        if self.link is not None:
+            self.link.close()
+
+    def read_result(self, response: Response) -> ExchangeResult:
+        """Return what a complete response means."""
+        return read_result(*response, self.upstream.settings.load_fields)
 
-    def read(self, answer: tuple[int, dict[str, str], bytes]) -> Reply:
-        """Say what a whole answer means."""
-        return read_reply(*answer, self.upstream.settings.load_fields)
+    # Ends.
 
-    def _end(self, reply: Reply) -> None:
-        job, self.job, self.sent, self._sink = self.job, None, False, None
-        if job is not None:
-            self.upstream.finish(job, reply)
+    def _end(self, result: ExchangeResult) -> None:
+        exchange, self.exchange = self.exchange, None
+        self.sent, self._sink = False, None
+        if exchange is not None:
+            self.upstream.finish(exchange, result)
 
-    def abandon(self, job: Job) -> None:
-        """Give up a job, which closes the connection once the job is written."""
-        if self.job is job:
-            self.job = None
+    def cancel(self, exchange: ServerExchange) -> None:
+        """Give up an exchange, which closes the connection once its request is written."""
+        if self.exchange is exchange:
+            self.exchange = None
             self.close()
 
-    def written(self) -> bool:
-        """Tell whether the present job may have run: its last byte was written."""
-        return self.sent and self._whole and self.link is not None and self.link.flushed
+    def may_have_run(self) -> bool:
+        """Tell whether the server may have run the present request: its last byte was written."""
+        return self.sent and self._request_complete and self.link is not None and self.link.flushed
 
     def close(self, closed_by: ClosedBy = ClosedBy.LOCAL) -> None:
-        """Close; what was written decides what may have run."""
-        written = self.written()
+        """Close; the exchange ends by what was written of it."""
+        may_have_run = self.may_have_run()
         self.closed, self.sent = True, False
         if self.link is not None:
             self.link.close()
-        job, self.job = self.job, None
-        reply = Reply(Status.RESET if written else Status.CONNECT_FAILED)
-        self.upstream.closed(self.conn, closed_by, [(job, reply, self._heard)] if job is not None else [])
+        exchange, self.exchange = self.exchange, None
+        lost = []
+        if exchange is not None:
+            result = ExchangeResult(Status.RESET if may_have_run else Status.CONNECT_FAILED)
+            lost.append(LostExchange(exchange, result, self._has_received))
+        self.upstream.connection_closed(self.connection, closed_by, lost)
--- a/wickspring/net/upstream/http2.py
+++ b/wickspring/net/upstream/http2.py
@@ -1,4 +1,4 @@
-"""HTTP/2 to a ticket server, by prior knowledge: one connection, many jobs, each on a stream of its own."""
+"""HTTP/2 to a server, by prior knowledge (RFC 9113, section 3.3): a stream for each exchange."""
 
 from __future__ import annotations
 
@@ -14,228 +14,278 @@
 from wickspring.interface import Status
 from wickspring.net.http2_wire import Frames, GoAway, pump, settings
 from wickspring.net.link import Link
-from wickspring.net.upstream.carrier import MOST_ANSWER, Job, Reply
-from wickspring.net.upstream.manager import Upstream
-from wickspring.net.upstream.reports import read_reply
+from wickspring.net.upstream.exchange import MAX_BUFFERED_RESPONSE, ExchangeResult, ServerExchange
+from wickspring.net.upstream.manager import LostExchange, UpstreamManager
+from wickspring.net.upstream.responses import read_result
 
-WINDOW = 1 << 20
-MOST_STREAM_ID = 1 << 30  # a connection that has come so far is left for a new one
+WINDOW_BYTES = 1 << 20  # of response bodies that a connection may have in flight
+MAX_STREAM_ID = 1 << 30  # a connection that has come so far is left for a new one; ids end at 2^31
+AUTHORITY = "app.svc"
 
 
 @dataclass(slots=True, eq=False)
-class Exchange:
-    """A job on its stream."""
+class StreamExchange:
+    """An exchange on its stream."""
 
-    job: Job
+    exchange: ServerExchange
     outgoing: bytearray
-    began: float
-    written: bool = False  # its last byte has been given to the connection,
-    ends_at: int = 0  # as this one of all that the connection was given
+    started_at: float  # ms
+    written: bool = False  # the request's last byte has been given to the connection,
+    ends_at: int = 0  # as this one of all bytes that the connection was given
     code: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytearray = field(default_factory=bytearray)
 
-    def lost(self, taken: int) -> Reply:
-        """Return the outcome of a break: whether its last byte was taken decides what may have run."""
-        out = self.written and self.ends_at <= taken
-        return Reply(Status.RESET if out else Status.CONNECT_FAILED)
+    def result_of_loss(self, taken: int) -> ExchangeResult:
+        """Return the result of a break: whether its last byte was taken decides what may have run."""
+        may_have_run = self.written and self.ends_at <= taken
+        return ExchangeResult(Status.RESET if may_have_run else Status.CONNECT_FAILED)
 
 
-class Http2Link:
+class Http2ServerConnection:
     """A connection in the pool."""
 
-    def __init__(self, upstream: Upstream, conn: PooledConnection) -> None:
-        self.upstream, self.conn = upstream, conn
+    def __init__(self, upstream: UpstreamManager, connection: PooledConnection) -> None:
+        self.upstream = upstream
+        self.connection = connection
         config = h2.config.H2Configuration(client_side=True, header_encoding="utf-8")
         self.http = h2.connection.H2Connection(config)
         self.frames = Frames()
         self.link: Link | None = None
-        self.streams: dict[int, Exchange] = {}
-        self._whole: list[Exchange] = []  # whose last byte goes out with the next flush
-        self.heard_at = upstream.clock.now()
-        self.last_stream: int | None = None  # of a GOAWAY
-        self.suspect = False  # a job got no answer and nothing else was heard: no new work
-        self.up = False  # its settings have come, and with them how many streams it takes
+        self.streams: dict[int, StreamExchange] = {}
+        self._completed: list[StreamExchange] = []  # whose last byte goes out with the next flush
+        self.last_received_at = upstream.clock.now()
+        self.goaway_last_stream: int | None = None
+        self.suspect = False  # an exchange got no response and nothing else arrived: no new work
+        self.up = False  # the peer's settings have arrived, and with them how many streams it takes
         self.closed = False
 
-    def room(self) -> int:
-        """Take jobs up to the stream limits of both sides, until the peer says that it goes."""
-        spent = (self.http.highest_outbound_stream_id or 0) > MOST_STREAM_ID
-        if self.closed or self.suspect or spent or self.last_stream is not None:
+    def capacity(self) -> int:
+        """Return the stream limit of both sides (RFC 9113, section 5.1.2); 0 once the peer goes away."""
+        exhausted = (self.http.highest_outbound_stream_id or 0) > MAX_STREAM_ID
+        if self.closed or self.suspect or exhausted or self.goaway_last_stream is not None:
             return 0
         ours = self.upstream.settings.streams_per_connection
         return int(min(ours, self.http.remote_settings.max_concurrent_streams))
 
-    def stale(self) -> bool:
+    def is_stale(self) -> bool:
         """Tell whether the peer has closed; frames not read yet are no sign of that."""
         return self.link is None or self.link.peek() == b""
 
-    def heard(self, job: Job) -> bool:
-        """Tell whether anything has come since the job began."""
-        return self.heard_at >= job.assigned_at
+    def has_received(self, exchange: ServerExchange) -> bool:
+        """Tell whether any byte has arrived since the exchange began."""
+        return self.last_received_at >= exchange.assigned_at
 
-    def begin(self, job: Job) -> None:
-        """Open a stream for a job."""
-        going = self.closed or self.last_stream is not None
-        if going or (job.new_work and not self.upstream.may_send(self.conn.server)):
-            # The connection has begun to go, or the server was told to drain, while the job was on its way.
-            self.upstream.finish(job, Reply(Status.CONNECT_FAILED))
+    # Requests.
+
+    def begin(self, exchange: ServerExchange) -> None:
+        """Open a stream for an exchange."""
+        going_away = self.closed or self.goaway_last_stream is not None
+        if going_away or (exchange.new_work and not self.upstream.accepts_work(self.connection.server)):
+            # The connection has begun to close, or the server was told to drain, in the meantime.
+            self.upstream.finish(exchange, ExchangeResult(Status.CONNECT_FAILED))
             return
-        stream = self.http.get_next_available_stream_id()
-        headers = [
-            (":method", job.method),
-            (":scheme", "http"),
-            (":authority", "app.svc"),
-            (":path", job.target),
-            *((name.lower(), value) for name, value in job.headers),
-        ]
-        if job.body or job.method == "POST":
-            headers.append(("content-length", str(len(job.body))))
-        exchange = Exchange(job, bytearray(job.body), self.upstream.clock.now(), written=not job.body)
-        self.streams[stream] = exchange
-        self.http.send_headers(stream, headers, end_stream=not job.body)
-        if exchange.written:
-            self._whole.append(exchange)
-        self._pump(stream, exchange)
+        self._open_stream(exchange)
         self._flush()
-        self.upstream.room(self.conn, self.room())
+        self.upstream.capacity_changed(self.connection, self.capacity())
         if self.link is not None and self.link.broken:
             self.close(ClosedBy.PEER)
 
-    def _pump(self, stream: int, exchange: Exchange) -> None:
-        if not exchange.written and pump(self.http, stream, exchange.outgoing):
-            exchange.written = True
-            self._whole.append(exchange)
+    def _open_stream(self, exchange: ServerExchange) -> None:
+        stream_id = self.http.get_next_available_stream_id()
+        headers = [
+            (":method", exchange.method),
+            (":scheme", "http"),
+            (":authority", AUTHORITY),
+            (":path", exchange.target),
+            *((name.lower(), value) for name, value in exchange.headers),
+        ]
+        body = exchange.body
+        if body or exchange.method == "POST":
+            headers.append(("content-length", str(len(body))))
+        stream = StreamExchange(exchange, bytearray(body), self.upstream.clock.now(), written=not body)
+        self.streams[stream_id] = stream
+        self.http.send_headers(stream_id, headers, end_stream=not body)
+        if stream.written:
+            self._completed.append(stream)
+        self._pump(stream_id, stream)
+
+    def _pump(self, stream_id: int, stream: StreamExchange) -> None:
+        """Write of a request's body what the flow-control windows allow."""
+        if not stream.written and pump(self.http, stream_id, stream.outgoing):
+            stream.written = True
+            self._completed.append(stream)
 
     def _flush(self) -> None:
         if self.link is None:
             return
         self.link.send(self.http.data_to_send())
-        for exchange in self._whole:
-            exchange.ends_at = self.link.given
-        self._whole.clear()
+        for stream in self._completed:
+            stream.ends_at = self.link.given
+        self._completed.clear()
+
+    # The connection.
 
     async def run(self) -> None:
-        """Dial, then read until either side ends the connection."""
-        asked = self.upstream.clock.now()
-        self.link = link = await self.upstream.connect(self.conn)
+        """Dial, then read until either side closes the connection."""
+        dialed_at = self.upstream.clock.now()
+        self.link = link = await self.upstream.connect(self.connection)
         if link is None:
             self.closed = True
             return
-        self.heard_at = self.upstream.clock.now()
-        self.http.local_settings = settings(client=True, streams=0)
-        self.http.initiate_connection()
-        self.http.increment_flow_control_window(WINDOW)
-        self._flush()
-        # A peer that accepts and says nothing is as good as not there: one time-out covers both.
-        self.upstream.timers.at(asked + self.upstream.settings.dial_timeout, self._not_up)
+        self._initiate(dialed_at)
         while not self.closed:
             data = await link.receive()
             if not data:
                 break
-            self.heard_at = self.upstream.clock.now()
+            self.last_received_at = self.upstream.clock.now()
             try:
-                for part in self.frames.feed(data):
-                    if isinstance(part, GoAway):
-                        self._going(part)
-                        continue
-                    for event in self.http.receive_data(part):
-                        self._event(event)
+                self._receive(data)
             except (H2Error, UnicodeDecodeError, ValueError):
                 break
             self._flush()
-            self._end_if_done()
+            self._close_if_done()
         self.close(ClosedBy.PEER)
 
-    def _not_up(self) -> None:
+    def _initiate(self, dialed_at: float) -> None:
+        """Send the connection preface (RFC 9113, section 3.4)."""
+        self.last_received_at = self.upstream.clock.now()
+        self.http.local_settings = settings(client=True, streams=0)
+        self.http.initiate_connection()
+        self.http.increment_flow_control_window(WINDOW_BYTES)
+        self._flush()
+        # A peer that accepts and sends no settings is as good as not there: one time-out covers both.
+        self.upstream.timers.at(dialed_at + self.upstream.settings.dial_timeout, self._close_unless_up)
+
+    def _receive(self, data: bytes) -> None:
+        for part in self.frames.feed(data):
+            if isinstance(part, GoAway):
+                self._on_goaway(part)
+                continue
+            for event in self.http.receive_data(part):
+                self._on_event(event)
+
+    def _close_unless_up(self) -> None:
         if not self.up:
             self.close()
 
-    def _come_up(self) -> None:
-        """Take what waits, as far as the peer's limit goes; a peer that takes none at all is of no use."""
+    def _on_first_settings(self) -> None:
+        """Take exchanges up to the peer's limit; a peer that takes none at all is of no use."""
         self.up = True
-        if self.room():
-            self.upstream.up(self.conn, self.room())
+        if self.capacity():
+            self.upstream.dial_succeeded(self.connection, self.capacity())
         else:
             self.close()
 
-    def _going(self, goaway: GoAway) -> None:
-        """Streams above the last one named never ran; the others may have, and may yet be answered."""
-        self.last_stream = min(goaway.last_stream, self.last_stream or goaway.last_stream)
+    def _on_goaway(self, goaway: GoAway) -> None:
+        """End the streams above the last one named, which never ran (RFC 9113, section 6.8).
+
+        The others may have run, and may yet be answered.
+        """
+        last = min(goaway.last_stream, self.goaway_last_stream or goaway.last_stream)
+        self.goaway_last_stream = last
         if self.up:
-            self.upstream.room(self.conn, 0)
-        for stream in [number for number in self.streams if number > self.last_stream]:
-            self._end(stream, Reply(Status.CONNECT_FAILED))
+            self.upstream.capacity_changed(self.connection, 0)
+        for stream_id in [stream_id for stream_id in self.streams if stream_id > last]:
+            self._end(stream_id, ExchangeResult(Status.CONNECT_FAILED))
 
-    def _event(self, event: h2.events.Event) -> None:
-        stream = getattr(event, "stream_id", None) or 0
-        exchange = self.streams.get(stream)
+    # Events of h2.
+
+    def _on_event(self, event: h2.events.Event) -> None:
         if isinstance(event, h2.events.RemoteSettingsChanged) and not self.up:
-            self._come_up()
+            self._on_first_settings()
         elif isinstance(event, h2.events.WindowUpdated | h2.events.RemoteSettingsChanged):
-            for number, other in list(self.streams.items()):
-                self._pump(number, other)
-            self.upstream.room(self.conn, self.room())
+            self._on_windows_changed()
         elif isinstance(event, h2.events.DataReceived):
-            self.http.acknowledge_received_data(event.flow_controlled_length, stream)
-            if exchange is not None:
-                exchange.body += event.data
-                if len(exchange.body) > MOST_ANSWER:
-                    self._cancel(stream)
-                    self._end(stream, Reply(Status.ERROR))
-        elif exchange is None:
+            self._on_data(event)
+        else:
+            stream_id = getattr(event, "stream_id", None) or 0
+            stream = self.streams.get(stream_id)
+            if stream is not None:
+                self._on_stream_event(stream_id, stream, event)
+
+    def _on_windows_changed(self) -> None:
+        for stream_id, stream in list(self.streams.items()):
+            self._pump(stream_id, stream)
+        self.upstream.capacity_changed(self.connection, self.capacity())
+
+    def _on_data(self, event: h2.events.DataReceived) -> None:
+        stream_id = event.stream_id
+        self.http.acknowledge_received_data(event.flow_controlled_length, stream_id)
+        stream = self.streams.get(stream_id)
+        if stream is None:
             return
-        elif isinstance(event, h2.events.ResponseReceived):
-            exchange.headers = {str(name): str(value) for name, value in event.headers}
-            code = exchange.headers.get(":status", "0")
-            exchange.code = int(code) if code.isdigit() else 0
+        stream.body += event.data
+        if len(stream.body) > MAX_BUFFERED_RESPONSE:
+            self._reset(stream_id)
+            self._end(stream_id, ExchangeResult(Status.ERROR))
+
+    def _on_stream_event(self, stream_id: int, stream: StreamExchange, event: h2.events.Event) -> None:
+        if isinstance(event, h2.events.ResponseReceived):
+            stream.headers = {str(name): str(value) for name, value in event.headers}
+            code = stream.headers.get(":status", "0")
+            stream.code = int(code) if code.isdigit() else 0
         elif isinstance(event, h2.events.StreamEnded):
-            fields = self.upstream.settings.load_fields
-            if not exchange.written:
-                self._cancel(stream)  # answered early; the rest of the request is of no use
-            reply = read_reply(exchange.code, exchange.headers, bytes(exchange.body), fields)
-            self._end(stream, reply)
+            self._on_stream_ended(stream_id, stream)
         elif isinstance(event, h2.events.StreamReset):
-            refused = event.error_code == ErrorCodes.REFUSED_STREAM
-            taken = self.link.taken if self.link is not None else 0
-            self._end(stream, Reply(Status.FULL) if refused else exchange.lost(taken))
+            refused = event.error_code == ErrorCodes.REFUSED_STREAM  # not processed: RFC 9113, section 8.7
+            result = ExchangeResult(Status.FULL) if refused else stream.result_of_loss(self._taken())
+            self._end(stream_id, result)
+
+    def _on_stream_ended(self, stream_id: int, stream: StreamExchange) -> None:
+        if not stream.written:
+            self._reset(stream_id)  # answered early; the rest of the request is of no use
+        load_fields = self.upstream.settings.load_fields
+        result = read_result(stream.code, stream.headers, bytes(stream.body), load_fields)
+        self._end(stream_id, result)
 
-    def _end(self, stream: int, reply: Reply) -> None:
-        exchange = self.streams.pop(stream, None)
-        if exchange is not None:
-            self.upstream.finish(exchange.job, reply)
+    # Ends.
 
-    def _cancel(self, stream: int) -> None:
+    def _taken(self) -> int:
+        """Return how many bytes of the connection the kernel has taken."""
+        return self.link.taken if self.link is not None else 0
+
+    def _end(self, stream_id: int, result: ExchangeResult) -> None:
+        stream = self.streams.pop(stream_id, None)
+        if stream is not None:
+            self.upstream.finish(stream.exchange, result)
+
+    def _reset(self, stream_id: int) -> None:
         try:
-            self.http.reset_stream(stream, ErrorCodes.CANCEL)
+            self.http.reset_stream(stream_id, ErrorCodes.CANCEL)
         except H2Error:
             return  # it has ended already
 
-    def abandon(self, job: Job) -> None:
-        """Reset the stream of one job; the others on the connection go on."""
-        for stream, exchange in list(self.streams.items()):
-            if exchange.job is job:
+    def cancel(self, exchange: ServerExchange) -> None:
+        """Reset the stream of one exchange; the others on the connection go on."""
+        for stream_id, stream in list(self.streams.items()):
+            if stream.exchange is exchange:
                 # A machine that has vanished keeps its connections open and silent for ever.
-                self.suspect |= self.heard_at < exchange.began
-                del self.streams[stream]
-                self._cancel(stream)
+                self.suspect |= self.last_received_at < stream.started_at
+                del self.streams[stream_id]
+                self._reset(stream_id)
                 self._flush()
-                self.upstream.room(self.conn, self.room())
-                self.upstream.left(job)
-        self._end_if_done()
+                self.upstream.capacity_changed(self.connection, self.capacity())
+                self.upstream.release(exchange)
+        self._close_if_done()
 
-    def _end_if_done(self) -> None:
-        if self.up and not self.room() and not self.streams:
+    def _close_if_done(self) -> None:
+        if self.up and not self.capacity() and not self.streams:
             self.close()
 
     def close(self, closed_by: ClosedBy = ClosedBy.LOCAL) -> None:
-        """Close; each job ends by whether its last byte was written."""
+        """Close; each exchange ends by whether its last byte was written."""
         first, self.closed = not self.closed, True
-        taken = self.link.taken if self.link is not None else 0
+        taken = self._taken()
         if self.link is not None:
             self.link.close()
         streams, self.streams = list(self.streams.values()), {}
         if first and not self.up:
-            self.upstream.dial_failed(self.conn)  # it was accepted and never said its settings
-        lost = [(one.job, one.lost(taken), self.heard_at >= one.began) for one in streams]
-        self.upstream.closed(self.conn, closed_by, lost)
+            self.upstream.dial_failed(self.connection)  # it was accepted and never sent its settings
+        lost = [
+            LostExchange(
+                stream.exchange, stream.result_of_loss(taken), self.last_received_at >= stream.started_at
+            )
+            for stream in streams
+        ]
+        self.upstream.connection_closed(self.connection, closed_by, lost)
--- a/wickspring/net/upstream/manager.py
+++ b/wickspring/net/upstream/manager.py
@@ -1,12 +1,12 @@
-"""Carries out what the pools decide, and tells them what becomes of dials, connections and jobs."""
+"""Carries out what the pools decide, and tells them what becomes of dials, connections and exchanges."""
 
 from __future__ import annotations
 
 import logging
 import math
-from collections.abc import Callable
+from collections.abc import Collection
 from functools import partial
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 import trio
 
@@ -28,28 +28,31 @@
 from wickspring.net.clock import Clock
 from wickspring.net.link import Link, connect
 from wickspring.net.timers import Timers
-from wickspring.net.upstream.carrier import Carrier, Job, Reply
+from wickspring.net.upstream.exchange import ExchangeResult, ServerConnection, ServerExchange
 
 log = logging.getLogger(__name__)
 
-SWEEP_MS = 250.0
-GONE = ServerStatus(False)
+MAINTENANCE_MS = 250.0  # between two calls of `ConnectionPools.maintain`
+UNKNOWN_SERVER = ServerStatus(accepts_work=False)
 
 
-class Dialled(Protocol):
-    """What a program tells of the servers that it dials; `interface.Settings` among others has it."""
+class UpstreamSettings(Protocol):
+    """What a program tells of the servers that it dials; `interface.Settings` among others has it.
+
+    Times are milliseconds.
+    """
 
     @property
     def seed(self) -> int:
-        """Where chance begins."""
+        """Seed of the pools' random choices."""
 
     @property
     def dial_timeout(self) -> float:
-        """Milliseconds for a connection to come up."""
+        """Time for a connection to come up."""
 
     @property
     def idle_close(self) -> float:
-        """Milliseconds after which servers end idle connections."""
+        """Time after which servers close idle connections."""
 
     @property
     def cold_capacity(self) -> float:
@@ -57,7 +60,7 @@
 
     @property
     def cold_time(self) -> float:
-        """Milliseconds until a started server is warm."""
+        """Time until a started server is warm."""
 
     @property
     def load_fields(self) -> tuple[str, ...]:
@@ -65,133 +68,170 @@
 
     @property
     def streams_per_connection(self) -> int:
-        """Requests that one connection carries at once, where the protocol lets it."""
+        """How many requests one connection carries at once, where the protocol lets it."""
+
+
+class UpstreamOwner(Protocol):
+    """The process whose requests go to servers."""
+
+    clock: Clock
+    timers: Timers
+    nursery: trio.Nursery
+
+    @property
+    def max_descriptors(self) -> int:
+        """How many file descriptors there may be for connections to clients and servers."""
+
+    @property
+    def connections(self) -> Collection[object]:
+        """The connections of clients."""
+
+    def server_entry(self, server: api.ServerId) -> api.ServerEntry | None:
+        """Return what the server list says of a server; None where it does not have it."""
+
+    def make_server_connection(
+        self, upstream: UpstreamManager, connection: PooledConnection
+    ) -> ServerConnection:
+        """Return a connection of the protocol that its server speaks."""
+
+    def expected_capacity(self, server: api.ServerId) -> int:
+        """Return how many requests a new connection to a server will carry at once."""
+
 
+class LostExchange(NamedTuple):
+    """An exchange that ended with its connection."""
 
-class Upstream:
-    """Starts and stops jobs; owns the connections."""
+    exchange: ServerExchange
+    result: ExchangeResult
+    received_bytes: bool  # since the exchange began
+
+
+class UpstreamManager:
+    """Starts and stops exchanges; owns the connections to servers."""
 
     def __init__(
         self,
-        settings: Dialled,
+        owner: UpstreamOwner,
+        settings: UpstreamSettings,
         limits: ConnectionLimits,
-        sockets: Callable[[], int],
-        clients: Callable[[], int],
-        clock: Clock,
-        timers: Timers,
-        nursery: trio.Nursery,
-        entry: Callable[[api.ServerId], api.ServerEntry | None],
-        make: Callable[[Upstream, PooledConnection], Carrier],
-        expect: Callable[[api.ServerId], int] = lambda _: 1,
-        shared: api.PeerState | None = None,
+        peer_state: api.PeerState | None = None,
     ) -> None:
+        self._owner = owner
         self.settings, self.limits = settings, limits
-        self.clock, self.timers, self.nursery = clock, timers, nursery
-        self._sockets, self._clients, self._entry = sockets, clients, entry
-        self._make, self._expect = make, expect
-        self.pools = ConnectionPools(limits, settings.idle_close, self._look, settings.seed, shared)
-        self._carriers: dict[PooledConnection, Carrier] = {}
-        self._standings: dict[api.ServerId, tuple[api.ServerEntry, ServerStatus]] = {}  # of warm servers
-        self._wakes = math.inf
-        self.timers.at(self.clock.now() + SWEEP_MS, self._sweep)
-
-    def _look(self, server: api.ServerId, now: float) -> ServerStatus:
-        entry = self._entry(server)
+        self.clock, self.timers, self.nursery = owner.clock, owner.timers, owner.nursery
+        self.pools = ConnectionPools(limits, settings.idle_close, self._status_of, settings.seed, peer_state)
+        self._connections: dict[PooledConnection, ServerConnection] = {}
+        # Of warm servers, whose status stays for as long as the list says the same.
+        self._statuses: dict[api.ServerId, tuple[api.ServerEntry, ServerStatus]] = {}
+        self._retry_at = math.inf
+        self.timers.at(self.clock.now() + MAINTENANCE_MS, self._maintain)
+
+    # The servers' status.
+
+    def _status_of(self, server: api.ServerId, now: float) -> ServerStatus:
+        entry = self._owner.server_entry(server)
         if entry is None:
-            return GONE
-        known = self._standings.get(server)
+            return UNKNOWN_SERVER
+        known = self._statuses.get(server)
         if known is not None and known[0] is entry:
             return known[1]
-        standing = self._standing(entry, now)
-        if standing.warmth >= 1.0:  # it stays so for as long as the list says the same
-            self._standings[server] = entry, standing
-        return standing
+        status = self._read_status(entry, now)
+        if status.warmth >= 1.0:
+            self._statuses[server] = entry, status
+        return status
 
-    def _standing(self, entry: api.ServerEntry, now: float) -> ServerStatus:
-        takes = entry.readiness is Readiness.READY
+    def _read_status(self, entry: api.ServerEntry, now: float) -> ServerStatus:
+        accepts_work = entry.readiness is Readiness.READY
         if entry.started_at <= 0.0:
-            return ServerStatus(takes)
+            return ServerStatus(accepts_work)
         cold = self.settings.cold_capacity
-        share = max(0.0, now - entry.started_at) / max(1.0, self.settings.cold_time)
-        return ServerStatus(takes, min(1.0, cold + (1.0 - cold) * share), entry.started_at)
+        progress = max(0.0, now - entry.started_at) / max(1.0, self.settings.cold_time)
+        warmth = min(1.0, cold + (1.0 - cold) * progress)
+        return ServerStatus(accepts_work, warmth, entry.started_at)
 
-    def may_send(self, server: api.ServerId) -> bool:
+    def accepts_work(self, server: api.ServerId) -> bool:
         """Tell whether new work may go to a server; asked again just before the first byte."""
-        entry = self._entry(server)
+        entry = self._owner.server_entry(server)
         return entry is not None and entry.readiness is Readiness.READY
 
-    def start(self, job: Job) -> None:
-        """Carry a job on a connection that has room, or on a new one."""
-        job.timer = self.timers.at(job.deadline, partial(self.stop, job, Reply(Status.TIMEOUT)))
-        self._bound()
-        self._perform(self.pools.request_connection(self.clock.now(), job, self._expect(job.server)))
+    # Exchanges.
+
+    def start(self, exchange: ServerExchange) -> None:
+        """Carry an exchange on a connection that has room, or on a new one."""
+        timed_out = partial(self.stop, exchange, ExchangeResult(Status.TIMEOUT))
+        exchange.timer = self.timers.at(exchange.deadline, timed_out)
+        self._limit_connections()
+        expected_capacity = self._owner.expected_capacity(exchange.server)
+        self._perform(self.pools.request_connection(self.clock.now(), exchange, expected_capacity))
 
-    def stop(self, job: Job, reply: Reply | None = None) -> None:
-        """Stop waiting for a job; with a reply its end is told, without one it is not."""
-        if job.ended:
+    def stop(self, exchange: ServerExchange, result: ExchangeResult | None = None) -> None:
+        """Stop waiting for an exchange; a result is reported, None reports nothing."""
+        if exchange.ended:
             return
-        carrier = job.carrier
-        if carrier is None:
-            self.pools.request_cancelled(job)
-        elif not carrier.heard(job):
-            self.pools.request_unanswered(job)
-        if reply is None:
-            job.retire()
+        server_connection = exchange.server_connection
+        if server_connection is None:
+            self.pools.request_cancelled(exchange)
+        elif not server_connection.has_received(exchange):
+            self.pools.request_unanswered(exchange)
+        if result is None:
+            exchange.discard()
         else:
-            job.end(reply)
-        if carrier is not None:
-            carrier.abandon(job)
+            exchange.finish(result)
+        if server_connection is not None:
+            server_connection.cancel(exchange)
 
-    # From the connections.
+    def finish(self, exchange: ServerExchange, result: ExchangeResult) -> None:
+        """End an exchange on a connection that goes on: it was answered, or its request never written."""
+        answered = result.status is not Status.CONNECT_FAILED
+        self._perform(self.pools.request_finished(self.clock.now(), exchange, answered))
+        exchange.finish(result)
 
-    async def connect(self, conn: PooledConnection) -> Link | None:
+    def release(self, exchange: ServerExchange) -> None:
+        """Free the place of an exchange that was cancelled, on a connection that goes on."""
+        self._perform(self.pools.request_finished(self.clock.now(), exchange, answered=False))
+
+    # Connections.
+
+    async def connect(self, connection: PooledConnection) -> Link | None:
         """Dial; None where it failed, which the pools know then, or was closed by this side meanwhile."""
-        sock = await connect(conn.address, self.settings.dial_timeout)
-        if conn.state is ConnectionState.CLOSED:
+        sock = await connect(connection.address, self.settings.dial_timeout)
+        if connection.state is ConnectionState.CLOSED:
             if sock is not None:
                 sock.close()
             return None
         if sock is None:
-            self.dial_failed(conn)
+            self.dial_failed(connection)
             return None
         return Link(sock, self.nursery)
 
-    def up(self, conn: PooledConnection, room: int) -> None:
-        """Take in a dial that has succeeded; its connection takes so many jobs at once."""
-        self._perform(self.pools.dial_succeeded(self.clock.now(), conn, room))
-
-    def dial_failed(self, conn: PooledConnection) -> None:
-        """Take in a dial that has failed."""
-        self._carriers.pop(conn, None)
-        self._perform(self.pools.dial_failed(self.clock.now(), conn))
-
-    def room(self, conn: PooledConnection, room: int) -> None:
-        """Change how many jobs a connection takes at once."""
-        if conn.capacity != room:
-            self._perform(self.pools.capacity_changed(self.clock.now(), conn, room))
-
-    def finish(self, job: Job, reply: Reply) -> None:
-        """Free the place of a job on a connection that goes on: it was answered, or never written."""
-        answered = reply.status is not Status.CONNECT_FAILED
-        self._perform(self.pools.request_finished(self.clock.now(), job, answered))
-        job.end(reply)
-
-    def left(self, job: Job) -> None:
-        """Free the place of a job that was given up, on a connection that goes on."""
-        self._perform(self.pools.request_finished(self.clock.now(), job, answered=False))
-
-    def closed(self, conn: PooledConnection, end: ClosedBy, lost: list[tuple[Job, Reply, bool]]) -> None:
-        """Remove a connection that has ended with these jobs, of which bytes may have been received."""
-        self._carriers.pop(conn, None)
-        for job, reply, heard in lost:
-            if reply.status is Status.RESET:
-                self.pools.request_lost(self.clock.now(), job, heard)
-        self._perform(self.pools.connection_closed(self.clock.now(), conn, end))
-        for job, reply, _ in lost:
-            job.end(reply)
-
-    def leave(self) -> None:
-        """ClosedBy what is idle, now and from now on: another process of this ingress opens its own."""
+    def dial_succeeded(self, connection: PooledConnection, capacity: int) -> None:
+        """Record that a connection is up and carries so many exchanges at once."""
+        self._perform(self.pools.dial_succeeded(self.clock.now(), connection, capacity))
+
+    def dial_failed(self, connection: PooledConnection) -> None:
+        """Record that a dial has failed."""
+        self._connections.pop(connection, None)
+        self._perform(self.pools.dial_failed(self.clock.now(), connection))
+
+    def capacity_changed(self, connection: PooledConnection, capacity: int) -> None:
+        """Record how many exchanges a connection carries at once."""
+        if connection.capacity != capacity:
+            self._perform(self.pools.capacity_changed(self.clock.now(), connection, capacity))
+
+    def connection_closed(
+        self, connection: PooledConnection, closed_by: ClosedBy, lost: list[LostExchange]
+    ) -> None:
+        """Remove a connection that has ended, and the exchanges that ended with it."""
+        self._connections.pop(connection, None)
+        for exchange, result, received_bytes in lost:
+            if result.status is Status.RESET:
+                self.pools.request_lost(self.clock.now(), exchange, received_bytes)
+        self._perform(self.pools.connection_closed(self.clock.now(), connection, closed_by))
+        for exchange, result, _ in lost:
+            exchange.finish(result)
+
+    def close_idle_from_now_on(self) -> None:
+        """Close what is idle, now and from now on: another process of this gateway opens its own."""
         self.pools.settings.shutting_down = True
         self._perform(self.pools.maintain(self.clock.now()))
 
@@ -204,72 +244,78 @@
             **pools.counters,
         }
 
-    # Carrying out.
+    # Actions of the pools.
 
     def _perform(self, actions: list[Action]) -> None:
         if not actions and not self.pools.has_waiting_requests:
-            return  # as after nearly every answer
+            return  # as after nearly every response
         for action in actions:
             if isinstance(action, AssignConnection):
                 self._assign(action)
             elif isinstance(action, OpenConnection):
-                carrier = self._carriers[action.connection] = self._make(self, action.connection)
-                self.nursery.start_soon(self._run, carrier)
+                self._open(action.connection)
             elif isinstance(action, CloseConnection):
-                ended = self._carriers.pop(action.connection, None)
-                if ended is not None:
-                    ended.close()
-            elif isinstance(action.request, Job):
-                action.request.end(Reply(Status.CONNECT_FAILED))
-        self._wake()
-
-    def _assign(self, assign: AssignConnection) -> None:
-        job, carrier, now = assign.request, self._carriers.get(assign.connection), self.clock.now()
-        if not isinstance(job, Job):
+                closing = self._connections.pop(action.connection, None)
+                if closing is not None:
+                    closing.close()
+            elif isinstance(action.request, ServerExchange):
+                action.request.finish(ExchangeResult(Status.CONNECT_FAILED))
+        self._schedule_retry()
+
+    def _open(self, connection: PooledConnection) -> None:
+        server_connection = self._owner.make_server_connection(self, connection)
+        self._connections[connection] = server_connection
+        self.nursery.start_soon(self._run, server_connection)
+
+    def _assign(self, assignment: AssignConnection) -> None:
+        exchange = assignment.request
+        server_connection = self._connections.get(assignment.connection)
+        now = self.clock.now()
+        if not isinstance(exchange, ServerExchange):
             return
-        if job.ended or carrier is None:
-            self._perform(self.pools.request_finished(now, job, answered=False))
-        elif job.idle_ms >= 0.0 and carrier.stale():
-            # A server closes what is idle; its close may have come and not been read yet, and work
-            # written after it would count as possibly run.
-            follows = self.pools.connection_stale(now, job)
-            carrier.close()
-            self._perform(follows)
+        if exchange.ended or server_connection is None:
+            self._perform(self.pools.request_finished(now, exchange, answered=False))
+        elif exchange.idle_ms >= 0.0 and server_connection.is_stale():
+            # A server closes what is idle (RFC 9112, section 9.5); its close may have arrived and not been
+            # read yet, and work written after it would count as possibly run.
+            actions = self.pools.connection_stale(now, exchange)
+            server_connection.close()
+            self._perform(actions)
         else:
-            job.carrier = carrier
-            carrier.begin(job)
+            exchange.server_connection = server_connection
+            server_connection.begin(exchange)
 
-    async def _run(self, carrier: Carrier) -> None:
+    async def _run(self, server_connection: ServerConnection) -> None:
         try:
-            await carrier.run()
-        except Exception as error:  # one server's oddity must not end the ingress
+            await server_connection.run()
+        except Exception as error:  # one server's oddity must not end the process
             log.exception("server_connection_failed", extra=kv(reason=error))
         finally:
-            carrier.close()
+            server_connection.close()
 
-    # Upkeep.
+    # Maintenance.
 
-    def _bound(self) -> None:
+    def _limit_connections(self) -> None:
+        owner = self._owner
         self.pools.settings.max_connections = max_server_connections(
-            self.limits, self._sockets(), self._clients()
+            self.limits, owner.max_descriptors, len(owner.connections)
         )
 
-    def _wake(self) -> None:
-        """See to it that lines are looked at again when time alone may have made room."""
-        now = self.clock.now()
-        due = self.pools.next_retry(now)
-        if due < self._wakes:
-            self._wakes = due
-            self.timers.at(due, self._due)
-
-    def _due(self) -> None:
-        self._wakes = math.inf
-        self._bound()
+    def _schedule_retry(self) -> None:
+        """Have queues served again when time alone may have made room."""
+        retry_at = self.pools.next_retry(self.clock.now())
+        if retry_at < self._retry_at:
+            self._retry_at = retry_at
+            self.timers.at(retry_at, self._retry_queues)
+
+    def _retry_queues(self) -> None:
+        self._retry_at = math.inf
+        self._limit_connections()
         self._perform(self.pools.retry_queues(self.clock.now()))
 
-    def _sweep(self) -> None:
-        self.timers.at(self.clock.now() + SWEEP_MS, self._sweep)
-        self._bound()
+    def _maintain(self) -> None:
+        self.timers.at(self.clock.now() + MAINTENANCE_MS, self._maintain)
+        self._limit_connections()
         self._perform(self.pools.maintain(self.clock.now()))
-        for server in [server for server in self._standings if self._entry(server) is None]:
-            del self._standings[server]
+        for server in [server for server in self._statuses if self._owner.server_entry(server) is None]:
+            del self._statuses[server]
