--- a/tests/controlplane/test_chain_defects.py
+++ b/tests/controlplane/test_chain_defects.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from wickspring.controlplane.replication.chain import ReplicationChain
+from wickspring.controlplane.replication.chain import OutgoingMessage, ReplicationChain, TicketOutcome
 from wickspring.controlplane.replication.lease import Lease
 from wickspring.controlplane.replication.messages import Pass, Promise
 from wickspring.controlplane.replication.paxos import AcceptedValue, PaxosVoter, Proposal
@@ -26,7 +26,7 @@
     def _confirm(self, sequence: int, state: Replica) -> None:
         super()._confirm(sequence, state)
         effects = self._chain.effects
-        effects.outcomes = [(ticket, CommitOutcome.COMMITTED) for ticket, _ in effects.outcomes]
+        effects.outcomes = [TicketOutcome(ticket, CommitOutcome.COMMITTED) for ticket, _ in effects.outcomes]
 
 
 class AcknowledgesAnyText(ReplicationChain):
@@ -41,7 +41,7 @@
     def submit(self, now: float, ticket: int, update: Update) -> None:
         super().submit(now, ticket, update)
         if self.updates.pending.pop(ticket, None) is not None:
-            self.effects.outcomes.append((ticket, CommitOutcome.COMMITTED))
+            self.report_outcome(ticket, CommitOutcome.COMMITTED)
 
 
 class RefusesUncommittedConflict(ReplicationChain):
@@ -54,7 +54,7 @@
             return
         if self.replica.config.outcome_of(update.version, pending.digest) == CommitOutcome.CONFLICT:
             del self.updates.pending[ticket]
-            self.effects.outcomes.append((ticket, CommitOutcome.CONFLICT))
+            self.report_outcome(ticket, CommitOutcome.CONFLICT)
 
 
 class ConfirmsReadsAlone(ReplicationChain):
@@ -62,7 +62,7 @@
 
     def submit(self, now: float, ticket: int, update: Update) -> None:
         if update.is_read and self.is_head:
-            self.effects.outcomes.append((ticket, CommitOutcome.COMMITTED))
+            self.report_outcome(ticket, CommitOutcome.COMMITTED)
         else:
             super().submit(now, ticket, update)
 
@@ -101,7 +101,7 @@
         address, message = messages[-1]
         if isinstance(message, Pass) and message.sequence == sequence:
             abbreviated = state.abbreviated_for(state.config.identity)
-            messages[-1] = address, Pass(message.view, sequence, abbreviated)
+            messages[-1] = OutgoingMessage(address, Pass(message.view, sequence, abbreviated))
 
     def on_pass(self, now: float, sender: str, message: Pass) -> None:
         chain = self._chain
--- a/wickspring/controlplane/api/calls.py
+++ b/wickspring/controlplane/api/calls.py
@@ -7,9 +7,10 @@
 from __future__ import annotations
 
 import re
+from abc import ABC, abstractmethod
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Protocol
+from typing import ClassVar, NamedTuple, Protocol
 
 import msgspec
 
@@ -115,10 +116,35 @@
         """Answer one call."""
 
 
-def find_handler(handlers: Iterable[ApiHandler], method: str, path: str) -> tuple[ApiHandler, dict[str, str]]:
-    """Return the handler of a call and the named parts of its path; raises `LookupError` where none fits."""
+class ControlPlaneHandler(ABC):
+    """An `ApiHandler` that uses a control-plane node; a subclass is one method of one resource."""
+
+    method: ClassVar[str]
+    path: ClassVar[re.Pattern[str]]
+
+    def __init__(self, control_plane: ControlPlaneApi) -> None:
+        self._control_plane = control_plane
+
+    @abstractmethod
+    async def call(self, request: ApiRequest) -> ApiResponse:
+        """Answer one call."""
+
+
+class MatchedHandler(NamedTuple):
+    """The handler of a call, and the named parts of its path."""
+
+    handler: ApiHandler
+    parts: dict[str, str]
+
+
+def find_handler(handlers: Iterable[ApiHandler], method: str, path: str) -> MatchedHandler:
+    """Return the handler of a call.
+
+    Raises:
+        LookupError: no handler has this method and path.
+    """
     for handler in handlers:
         match = handler.path.match(path)
         if match is not None and handler.method == method:
-            return handler, match.groupdict()
+            return MatchedHandler(handler, match.groupdict())
     raise LookupError(path)
--- a/wickspring/controlplane/api/config.py
+++ b/wickspring/controlplane/api/config.py
@@ -12,7 +12,7 @@
     NO_QUORUM,
     ApiRequest,
     ApiResponse,
-    ControlPlaneApi,
+    ControlPlaneHandler,
     error_response,
 )
 from wickspring.controlplane.api.config_validation import validate_config
@@ -20,15 +20,12 @@
 from wickspring.controlplane.replication.replica import CommitOutcome, Update
 
 
-class ConfigReplace:
+class ConfigReplace(ControlPlaneHandler):
     """Handles `POST /config/replace`."""
 
     method = "POST"
     path = re.compile(r"/config/replace\Z")
 
-    def __init__(self, control_plane: ControlPlaneApi) -> None:
-        self._control_plane = control_plane
-
     async def call(self, request: ApiRequest) -> ApiResponse:
         """Validate a configuration, and acknowledge it once it is committed."""
         validated = validate_config(request.body)
@@ -43,15 +40,12 @@
         return ApiResponse(200, msgspec.json.encode({"generation": f"r{version}"}))
 
 
-class ConfigRead:
+class ConfigRead(ControlPlaneHandler):
     """Handles `GET /config/read`."""
 
     method = "GET"
     path = re.compile(r"/config/read\Z")
 
-    def __init__(self, control_plane: ControlPlaneApi) -> None:
-        self._control_plane = control_plane
-
     async def call(self, request: ApiRequest) -> ApiResponse:
         """Return the newest committed configuration, as its operator sent it."""
         replica = await self._control_plane.updates.read()
--- a/wickspring/controlplane/api/deregister.py
+++ b/wickspring/controlplane/api/deregister.py
@@ -6,18 +6,15 @@
 
 from wickspring.common.endpoints import GONE
 from wickspring.common.errors import ErrorDetail, ErrorKind
-from wickspring.controlplane.api.calls import ApiRequest, ApiResponse, ControlPlaneApi, error_response
+from wickspring.controlplane.api.calls import ApiRequest, ApiResponse, ControlPlaneHandler, error_response
 
 
-class Deregister:
+class Deregister(ControlPlaneHandler):
     """Handles `POST /servers/ID/deregister`."""
 
     method = "POST"
     path = re.compile(r"/servers/(?P<id>[^/]{1,200})/deregister\Z")
 
-    def __init__(self, control_plane: ControlPlaneApi) -> None:
-        self._control_plane = control_plane
-
     async def call(self, request: ApiRequest) -> ApiResponse:
         """Acknowledge the end of a server once it is committed; its id never comes back."""
         if await self._control_plane.endpoints.commit_departure(request.parts["id"], GONE):
--- a/wickspring/controlplane/api/handlers.py
+++ b/wickspring/controlplane/api/handlers.py
@@ -2,22 +2,24 @@
 
 from __future__ import annotations
 
-from wickspring.controlplane.api.calls import ApiHandler, ControlPlaneApi
+from wickspring.controlplane.api.calls import ApiHandler, ControlPlaneApi, ControlPlaneHandler
 from wickspring.controlplane.api.config import ConfigRead, ConfigReplace
 from wickspring.controlplane.api.deregister import Deregister
 from wickspring.controlplane.api.heartbeat import Heartbeat
 from wickspring.controlplane.api.snapshot import SnapshotDownload, SnapshotRestore
 from wickspring.controlplane.api.status import Status
 
+HANDLERS: tuple[type[ControlPlaneHandler], ...] = (
+    Heartbeat,
+    Deregister,
+    ConfigReplace,
+    ConfigRead,
+    SnapshotDownload,
+    SnapshotRestore,
+    Status,
+)
+
 
 def create_handlers(control_plane: ControlPlaneApi) -> list[ApiHandler]:
     """Return one handler for each method of each resource."""
-    return [
-        Heartbeat(control_plane),
-        Deregister(control_plane),
-        ConfigReplace(control_plane),
-        ConfigRead(control_plane),
-        SnapshotDownload(control_plane),
-        SnapshotRestore(control_plane),
-        Status(control_plane),
-    ]
+    return [handler(control_plane) for handler in HANDLERS]
--- a/wickspring/controlplane/api/heartbeat.py
+++ b/wickspring/controlplane/api/heartbeat.py
@@ -17,7 +17,7 @@
     NO_QUORUM,
     ApiRequest,
     ApiResponse,
-    ControlPlaneApi,
+    ControlPlaneHandler,
     error_response,
 )
 
@@ -73,15 +73,12 @@
     )
 
 
-class Heartbeat:
+class Heartbeat(ControlPlaneHandler):
     """Handles an endpoint's heartbeat, `POST /servers/ID/heartbeat`."""
 
     method = "POST"
     path = re.compile(r"/servers/(?P<id>[^/]{1,200})/heartbeat\Z")
 
-    def __init__(self, control_plane: ControlPlaneApi) -> None:
-        self._control_plane = control_plane
-
     async def call(self, request: ApiRequest) -> ApiResponse:
         """Register the endpoint; `draining` is acknowledged once it is committed."""
         endpoints = self._control_plane.endpoints
--- a/wickspring/controlplane/api/snapshot.py
+++ b/wickspring/controlplane/api/snapshot.py
@@ -11,7 +11,7 @@
     NO_QUORUM,
     ApiRequest,
     ApiResponse,
-    ControlPlaneApi,
+    ControlPlaneHandler,
     error_response,
 )
 from wickspring.controlplane.api.update_errors import not_committed_response
@@ -19,15 +19,12 @@
 from wickspring.controlplane.replication.replica import CommitOutcome
 
 
-class SnapshotDownload:
+class SnapshotDownload(ControlPlaneHandler):
     """Handles `GET /snapshot`."""
 
     method = "GET"
     path = re.compile(r"/snapshot\Z")
 
-    def __init__(self, control_plane: ControlPlaneApi) -> None:
-        self._control_plane = control_plane
-
     async def call(self, request: ApiRequest) -> ApiResponse:
         """Return a snapshot of the committed state."""
         updates = self._control_plane.updates
@@ -37,15 +34,12 @@
         return ApiResponse(200, snapshot.pack(replica, updates.epoch))
 
 
-class SnapshotRestore:
+class SnapshotRestore(ControlPlaneHandler):
     """Handles `POST /snapshot`."""
 
     method = "POST"
     path = re.compile(r"/snapshot\Z")
 
-    def __init__(self, control_plane: ControlPlaneApi) -> None:
-        self._control_plane = control_plane
-
     async def call(self, request: ApiRequest) -> ApiResponse:
         """Merge a snapshot into the replicated state; acknowledged once that is committed."""
         unpacked = snapshot.unpack(request.body)
--- a/wickspring/controlplane/api/status.py
+++ b/wickspring/controlplane/api/status.py
@@ -6,18 +6,15 @@
 
 import msgspec
 
-from wickspring.controlplane.api.calls import ApiRequest, ApiResponse, ControlPlaneApi
+from wickspring.controlplane.api.calls import ApiRequest, ApiResponse, ControlPlaneHandler
 
 
-class Status:
+class Status(ControlPlaneHandler):
     """Handles `GET /status`."""
 
     method = "GET"
     path = re.compile(r"/status\Z")
 
-    def __init__(self, control_plane: ControlPlaneApi) -> None:
-        self._control_plane = control_plane
-
     async def call(self, request: ApiRequest) -> ApiResponse:
         """Return the status as JSON."""
         return ApiResponse(200, msgspec.json.encode(self._control_plane.status()))
--- a/wickspring/controlplane/data_plane_messages.py
+++ b/wickspring/controlplane/data_plane_messages.py
@@ -23,10 +23,8 @@
     UsageReport,
 )
 from wickspring.controlplane.components import Components
-from wickspring.controlplane.data_plane_sessions import DataPlaneSessions, PeerSession, ReportedConfig
-from wickspring.controlplane.endpoint_service import EndpointService
-from wickspring.controlplane.quota_service import QuotaService
-from wickspring.controlplane.view_announcements import ViewAnnouncer
+from wickspring.controlplane.data_plane_sessions import PeerSession, ReportedConfig
+from wickspring.controlplane.services import Services
 
 MAX_INTRODUCED = 3  # other data planes that a new one learns of
 
@@ -34,19 +32,12 @@
 class DataPlaneMessageHandler:
     """Dispatches what data planes ask and report."""
 
-    def __init__(
-        self,
-        components: Components,
-        data_planes: DataPlaneSessions,
-        endpoints: EndpointService,
-        quota: QuotaService,
-        view: ViewAnnouncer,
-    ) -> None:
+    def __init__(self, components: Components, services: Services) -> None:
         self._components = components
-        self._data_planes = data_planes
-        self._endpoints = endpoints
-        self._quota = quota
-        self._view = view
+        self._data_planes = services.data_planes
+        self._endpoints = services.endpoints
+        self._quota = services.quota
+        self._view = services.view
 
     def receive(self, session: PeerSession, message: DataPlaneRequest) -> None:
         """Handle a message of a data plane; the most frequent kinds come first."""
--- a/wickspring/controlplane/maintenance.py
+++ b/wickspring/controlplane/maintenance.py
@@ -9,10 +9,7 @@
 from wickspring.common import logs
 from wickspring.common.config_status import QuorumContact
 from wickspring.controlplane.components import Components
-from wickspring.controlplane.data_plane_sessions import DataPlaneSessions
-from wickspring.controlplane.endpoint_service import EndpointService
-from wickspring.controlplane.quota_service import QuotaService
-from wickspring.controlplane.view_announcements import ViewAnnouncer
+from wickspring.controlplane.services import Services
 
 INTERVAL_MS = 250.0
 INTERVAL_JITTER = 0.1  # share by which intervals vary
@@ -42,19 +39,12 @@
 class Maintenance:
     """Runs the periodic tasks."""
 
-    def __init__(
-        self,
-        components: Components,
-        data_planes: DataPlaneSessions,
-        endpoints: EndpointService,
-        quota: QuotaService,
-        view: ViewAnnouncer,
-    ) -> None:
+    def __init__(self, components: Components, services: Services) -> None:
         self._components = components
-        self._data_planes = data_planes
-        self._endpoints = endpoints
-        self._quota = quota
-        self._view = view
+        self._data_planes = services.data_planes
+        self._endpoints = services.endpoints
+        self._quota = services.quota
+        self._view = services.view
         self._tolerance_log = ToleranceLog()
         self._announced_nodes: list[str] = []
         self._liveness_sent_at = 0.0
--- a/wickspring/controlplane/process.py
+++ b/wickspring/controlplane/process.py
@@ -29,6 +29,7 @@
 from wickspring.controlplane.quota_service import QuotaService
 from wickspring.controlplane.replication.node import ReplicationNode
 from wickspring.controlplane.replication.replica import Replica
+from wickspring.controlplane.services import Services
 from wickspring.controlplane.status import ControlPlaneStatus, collect_status
 from wickspring.controlplane.storage import ReplicaStore
 from wickspring.controlplane.update_service import UpdateService
@@ -52,14 +53,11 @@
         self.endpoints = EndpointService(self.components, self.data_planes, self.updates)
         self.quota = QuotaService(self.components, self.data_planes)
         self.view = ViewAnnouncer(self.components, self.data_planes)
-        self._data_plane_messages = DataPlaneMessageHandler(
-            self.components, self.data_planes, self.endpoints, self.quota, self.view
-        )
+        services = Services(self.data_planes, self.endpoints, self.quota, self.view)
+        self._data_plane_messages = DataPlaneMessageHandler(self.components, services)
         self._node_messages = NodeMessageHandler(self.replication, self.endpoints, self.quota)
         self.peer_server = PeerServer(self.replication, self._data_plane_messages)
-        self.maintenance = Maintenance(
-            self.components, self.data_planes, self.endpoints, self.quota, self.view
-        )
+        self.maintenance = Maintenance(self.components, services)
         self.api_server.handlers = create_handlers(self)
         self.restore()
 
--- a/wickspring/controlplane/replication/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -21,7 +21,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from random import Random
-from typing import ClassVar, Self, assert_never
+from typing import ClassVar, NamedTuple, Self, assert_never
 
 from wickspring.controlplane.replication.catch_up import CatchUp
 from wickspring.controlplane.replication.messages import (
@@ -52,12 +52,26 @@
 from wickspring.core.invariants import check_invariant
 
 
+class OutgoingMessage(NamedTuple):
+    """A message to another node."""
+
+    address: str
+    message: ReplicationMessage
+
+
+class TicketOutcome(NamedTuple):
+    """The outcome of the update that was submitted with a ticket."""
+
+    ticket: int
+    outcome: CommitOutcome
+
+
 @dataclass(slots=True)
 class Effects:
     """What the host does once the state is saved."""
 
-    messages: list[tuple[str, ReplicationMessage]] = field(default_factory=list)  # with receivers
-    outcomes: list[tuple[int, CommitOutcome]] = field(default_factory=list)  # by ticket
+    messages: list[OutgoingMessage] = field(default_factory=list)
+    outcomes: list[TicketOutcome] = field(default_factory=list)
     newly_committed: bool = False  # `committed` has changed
 
 
@@ -180,7 +194,11 @@
 
     def send(self, address: str, message: ReplicationMessage) -> None:
         """Have a message sent once the state is saved."""
-        self.effects.messages.append((address, message))
+        self.effects.messages.append(OutgoingMessage(address, message))
+
+    def report_outcome(self, ticket: int, outcome: CommitOutcome) -> None:
+        """Have the outcome of a ticket reported once the state is saved."""
+        self.effects.outcomes.append(TicketOutcome(ticket, outcome))
 
     def start(self, now: float) -> None:
         """Start: the head finds out whether its view stands, and what of its replica is committed."""
--- a/wickspring/controlplane/replication/update_passing.py
+++ b/wickspring/controlplane/replication/update_passing.py
@@ -69,7 +69,7 @@
         """Take an update, or a read, at the head; elsewhere its outcome is NOT_YET at once."""
         chain = self._chain
         if not chain.is_head:
-            chain.effects.outcomes.append((ticket, CommitOutcome.NOT_YET))
+            chain.report_outcome(ticket, CommitOutcome.NOT_YET)
             return
         self.pending[ticket] = PendingUpdate(update, digest_of(update.document))
         self._start_pass(now)
@@ -144,7 +144,7 @@
         for ticket in carried:
             pending = self.pending.pop(ticket)
             outcome = chain.committed.config.outcome_of(pending.update.version, pending.digest)
-            chain.effects.outcomes.append((ticket, outcome))
+            chain.report_outcome(ticket, outcome)
 
     def receive(self, now: float, sender: str, message: UpdatePassingMessage) -> None:
         """Handle a pass from the predecessor, or a confirmation from the successor."""
@@ -192,5 +192,6 @@
         self._start_pass(now)
 
     def _give_up_pending(self) -> None:
-        self._chain.effects.outcomes += [(ticket, CommitOutcome.NOT_YET) for ticket in self.pending]
+        for ticket in self.pending:
+            self._chain.report_outcome(ticket, CommitOutcome.NOT_YET)
         self.pending.clear()
--- a/wickspring/controlplane/replication/update_submission.py
+++ b/wickspring/controlplane/replication/update_submission.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
 
@@ -30,21 +29,52 @@
 NOT_COMMITTED = UpdateResult(CommitOutcome.NOT_YET)
 
 
-class _Waiter:
-    """A caller that waits for its result."""
+class _Submitter(Protocol):
+    """A caller whose update is at this node's chain."""
 
-    def __init__(self) -> None:
+    def finish(self, outcome: CommitOutcome, committed: Replica) -> None:
+        """Receive the outcome, and the state that is committed now."""
+
+
+class _LocalSubmitter:
+    """A caller in this process, which waits for its result."""
+
+    def __init__(self, reads: bool) -> None:
         self.result = NOT_COMMITTED
+        self._reads = reads
         self._done = trio.Event()
 
-    def finish(self, result: UpdateResult) -> None:
+    def finish(self, outcome: CommitOutcome, committed: Replica) -> None:
+        """Return the outcome to the caller, with a copy of the state where it reads."""
+        has_state = self._reads and outcome is CommitOutcome.COMMITTED
+        self.finish_with(UpdateResult(outcome, committed.copy() if has_state else None))
+
+    def finish_with(self, result: UpdateResult) -> None:
+        """Return a result to the caller."""
         self.result = result
         self._done.set()
 
     async def wait(self) -> None:
+        """Wait until there is a result."""
         await self._done.wait()
 
 
+@dataclass(slots=True, frozen=True)
+class _RemoteSubmitter:
+    """Another node that has forwarded an update to this one."""
+
+    host: SubmissionHost
+    address: str
+    ticket: int  # of that node
+    reads: bool
+
+    def finish(self, outcome: CommitOutcome, committed: Replica) -> None:
+        """Send the outcome to the node, with the state where it reads."""
+        has_state = self.reads and outcome is CommitOutcome.COMMITTED
+        state = committed.pack() if has_state else None
+        self.host.send(self.address, UpdateOutcome(self.ticket, int(outcome), state))
+
+
 class SubmissionHost(Protocol):
     """What the submitter needs of its node."""
 
@@ -66,8 +96,8 @@
     def __init__(self, host: SubmissionHost) -> None:
         self._host = host
         self._last_ticket = 0
-        self._at_chain: dict[int, Callable[[CommitOutcome], None]] = {}  # tickets of this node's chain
-        self._forwarded: dict[int, _Waiter] = {}  # tickets at the head, which is another node
+        self._at_chain: dict[int, _Submitter] = {}  # by ticket: updates at this node's chain
+        self._forwarded: dict[int, _LocalSubmitter] = {}  # by ticket: updates sent to another node, the head
 
     def _next_ticket(self) -> int:
         self._last_ticket += 1
@@ -75,30 +105,23 @@
 
     async def submit(self, update: Update, read: bool) -> UpdateResult:
         """Have an update committed by the head; NOT_YET where that takes longer than `UPDATE_TIMEOUT_MS`."""
-        waiter = _Waiter()
+        submitter = _LocalSubmitter(read)
         ticket = self._next_ticket()
         try:
             with trio.move_on_after(UPDATE_TIMEOUT_MS / 1000.0):
-                if self._start(ticket, update, read, waiter):
-                    await waiter.wait()
+                if self._start(ticket, update, read, submitter):
+                    await submitter.wait()
         finally:  # its caller may have been cancelled
             self._forget(ticket)
-        return waiter.result
+        return submitter.result
 
-    def _start(self, ticket: int, update: Update, read: bool, waiter: _Waiter) -> bool:
+    def _start(self, ticket: int, update: Update, read: bool, submitter: _LocalSubmitter) -> bool:
         """Hand an update to the head; False where that is not connected."""
         chain = self._host.chain
         if chain.head != chain.ip:
-            self._forwarded[ticket] = waiter
+            self._forwarded[ticket] = submitter
             return self._host.send(chain.head, SubmitUpdate(ticket, update.pack(), read))
-
-        def on_outcome(outcome: CommitOutcome) -> None:
-            replica = None
-            if read and outcome is CommitOutcome.COMMITTED:
-                replica = chain.committed.copy()
-            waiter.finish(UpdateResult(outcome, replica))
-
-        self._at_chain[ticket] = on_outcome
+        self._at_chain[ticket] = submitter
         self._host.submit_to_chain(ticket, update)
         return True
 
@@ -108,27 +131,28 @@
             self._host.cancel_in_chain(ticket)
 
     def on_submit(self, address: str, message: SubmitUpdate) -> None:
-        """Handle an update that another node took, and answer that node with its outcome."""
-
-        def on_outcome(outcome: CommitOutcome) -> None:
-            state = None
-            if message.with_state and outcome is CommitOutcome.COMMITTED:
-                state = self._host.chain.committed.pack()
-            self._host.send(address, UpdateOutcome(message.ticket, int(outcome), state))
+        """Submit an update that another node has forwarded; its outcome is sent to that node.
 
+        Raises:
+            ValueError: the update is malformed.
+        """
         ticket = self._next_ticket()
-        self._at_chain[ticket] = on_outcome
+        self._at_chain[ticket] = _RemoteSubmitter(self._host, address, message.ticket, message.with_state)
         self._host.submit_to_chain(ticket, Update.unpack(message.update))
 
     def on_update_outcome(self, message: UpdateOutcome) -> None:
-        """Handle the head's answer to an update that this node forwarded."""
-        waiter = self._forwarded.pop(message.ticket, None)
-        if waiter is not None:
+        """Handle the head's answer to an update that this node forwarded.
+
+        Raises:
+            ValueError: the outcome is unknown, or the state is malformed.
+        """
+        submitter = self._forwarded.pop(message.ticket, None)
+        if submitter is not None:
             replica = None if message.state is None else Replica.unpack(message.state)
-            waiter.finish(UpdateResult(CommitOutcome(message.outcome), replica))
+            submitter.finish_with(UpdateResult(CommitOutcome(message.outcome), replica))
 
     def on_outcome(self, ticket: int, outcome: CommitOutcome) -> None:
         """Handle the outcome of a ticket at this node's chain."""
-        callback = self._at_chain.pop(ticket, None)
-        if callback is not None:
-            callback(outcome)
+        submitter = self._at_chain.pop(ticket, None)
+        if submitter is not None:
+            submitter.finish(outcome, self._host.chain.committed)
