--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -282,7 +282,8 @@
                 cast(PeerConnection, RecordingConnection("p")), ClusterView(2, members, ["10.1.0.33"], 8)
             )
             assert set(members) <= set(data_plane.control_client.connections.clients)
-            assert {data_plane.control_client.connections.owner(f"t{n}") for n in range(50)} == set(members)
+            owners = data_plane.control_client.connections.owners
+            assert {owners.owner(f"t{n}") for n in range(50)} == set(members)
             nursery.cancel_scope.cancel()
             data_plane.datagrams.close()
 
--- a/wickspring/dataplane/control_client/client.py
+++ b/wickspring/dataplane/control_client/client.py
@@ -81,7 +81,7 @@
     @property
     def is_synchronized(self) -> bool:
         """Whether a configuration and the endpoints of most control-plane members are known."""
-        member_count = len(self.connections.members) or len(self._settings.seed_addrs)
+        member_count = len(self.connections.owners.members) or len(self._settings.seed_addrs)
         if not self.config.routing_table.version:
             return False
         return self.endpoint_sync.complete_from_majority(member_count)
--- a/wickspring/dataplane/control_client/connections.py
+++ b/wickspring/dataplane/control_client/connections.py
@@ -1,13 +1,11 @@
 """The connections to the nodes of the control plane.
 
-A data plane connects to the seeds of its settings and to every node that a node names. Each tenant's count
-and each service's load is kept by one node, its owner, which all processes choose alike by rendezvous hashing
-(Thaler and Ravishankar, 1998).
+A data plane connects to the seeds of its settings and to every node that a node names. `owners` says which of
+them keeps a tenant's count or a service's load.
 """
 
 from __future__ import annotations
 
-import hashlib
 from collections.abc import Iterator
 from dataclasses import dataclass
 from random import Random
@@ -21,6 +19,7 @@
 from wickspring.common.messages import CONTROL_PLANE_MESSAGES, ControlPlaneMessage
 from wickspring.common.seeds import SeedList
 from wickspring.common.settings import NodeSettings
+from wickspring.dataplane.control_client.owners import Owners
 from wickspring.net.clock import Clock
 
 FORGET_NODE_MS = 60_000.0  # out of reach, after which a node is forgotten that is neither seed nor member
@@ -57,7 +56,7 @@
 
 
 class ControlPlaneConnections:
-    """All connections of one data plane to the control plane, and the members that own counts."""
+    """All connections of one data plane to the control plane."""
 
     def __init__(
         self,
@@ -68,15 +67,13 @@
         handler: ConnectionHandler[ControlPlaneMessage],
     ) -> None:
         self.clients: dict[str, ReconnectingClient] = {}  # by IP
-        self.members: list[str] = []  # IPs of the replicas, by the view of the highest epoch
-        self.epoch = -1
+        self.owners = Owners()
         self._settings = settings
         self._clock = clock
         self._nursery = nursery
         self._random = random
         self._handler = handler
         self._seeds = SeedList(settings)
-        self._owners: dict[str, str] = {}
         self.connect(settings.seed_ips())
 
     # Connecting and forgetting.
@@ -105,7 +102,7 @@
 
     def forget_unreachable(self, now: float) -> None:
         """Close connections to nodes that are neither seeds nor members and have long been out of reach."""
-        keep = {*self._settings.seed_ips(), *self.members}
+        keep = {*self._settings.seed_ips(), *self.owners.members}
         for ip, client in list(self.clients.items()):
             if client.live:
                 client.last_attempt_at_ms = now
@@ -135,31 +132,16 @@
 
     def update_view(self, epoch: int, members: list[str]) -> bool:
         """Take up the members of a view; return False where its epoch is not higher than the present one."""
-        if epoch <= self.epoch:
+        if not self.owners.update_view(epoch, members):
             return False
-        self.epoch = epoch
-        self.members = members
         self.connect(members)  # whoever reports them may not have reached them all itself yet
-        self._owners.clear()
         return True
 
-    def owner(self, key: str) -> str:
-        """Return the IP of the member that owns a tenant's or service's count; "" where none is known."""
-        owner = self._owners.get(key)
-        if owner is None:
-            owner = max(self.members, key=lambda ip: _weight(key, ip), default="")
-            self._owners[key] = owner
-        return owner
-
     def owner_client(self, key: str) -> ReconnectingClient | None:
         """Return the client of a count's owner; None where it is not known."""
-        return self.clients.get(self.owner(key))
+        return self.clients.get(self.owners.owner(key))
 
     def live_owner_client(self, key: str) -> ReconnectingClient | None:
         """Return the client of a count's owner; None where it is not in reach."""
         client = self.owner_client(key)
         return client if client is not None and client.live else None
-
-
-def _weight(key: str, ip: str) -> bytes:
-    return hashlib.blake2b(f"{key} {ip}".encode(), digest_size=8).digest()
--- a/wickspring/dataplane/control_client/endpoint_sync.py
+++ b/wickspring/dataplane/control_client/endpoint_sync.py
@@ -87,7 +87,7 @@
 
     def complete_from_majority(self, member_count: int) -> bool:
         """Return whether a majority of so many members has sent all endpoints."""
-        return len(self.complete_from & set(self._connections.members)) > member_count // 2
+        return len(self.complete_from & set(self._connections.owners.members)) > member_count // 2
 
     def compare(self) -> None:
         """Ask one of the best connected nodes for all endpoints if its digest differs from ours."""
--- a/wickspring/dataplane/control_client/load_client.py
+++ b/wickspring/dataplane/control_client/load_client.py
@@ -44,7 +44,7 @@
 
     def request_started(self, service: str, endpoint_id: str) -> str:
         """Report an attempt as in flight; return the owner's IP for `request_finished`, "" if not sent."""
-        owner = self._connections.owner(service)
+        owner = self._connections.owners.owner(service)
         client = self._connections.clients.get(owner)
         if client is None or not client.send(RequestStarted(endpoint_id)):
             return ""
--- a/wickspring/dataplane/control_client/quota_client.py
+++ b/wickspring/dataplane/control_client/quota_client.py
@@ -54,7 +54,7 @@
             return 0
         number = next(self._numbers)
         self._pending[number] = _PendingAdd(client, handler)
-        client.send(AddQuota(number, tenant, is_retry, self._connections.epoch))
+        client.send(AddQuota(number, tenant, is_retry, self._connections.owners.epoch))
         return number
 
     def abandon(self, number: int, late_handler: QuotaReplyHandler) -> None:
@@ -103,7 +103,7 @@
 
     def send_usage_to_members(self) -> None:
         """Report all recent usage to all members of a new view."""
-        for ip in self._connections.members:
+        for ip in self._connections.owners.members:
             client = self._connections.clients.get(ip)
             if client is not None and client.connection is not None:
                 self.send_usage(client.connection)
--- a/wickspring/dataplane/policy/retry_budget.py
+++ b/wickspring/dataplane/policy/retry_budget.py
@@ -1,8 +1,8 @@
 """The retry budget: how many attempts beyond each request's first all data planes may send to a service.
 
 Each data plane earns a share of its own first attempts and has an even part of the rule's slack, so the sum
-over all data planes stays under the bound without any communication. `dataplane.request.hedging` keeps a
-budget for each service, with ratio and slack of the settings; a priority changes nothing. No I/O; times are
+over all data planes stays under the bound without any communication. `request.retry_budgets` keeps a budget
+for each service, with ratio and slack of the settings; a priority changes nothing. No I/O; times are
 milliseconds.
 """
 
--- a/wickspring/dataplane/request/forwarding.py
+++ b/wickspring/dataplane/request/forwarding.py
@@ -8,9 +8,10 @@
 from wickspring.dataplane.endpoint_table import KnownEndpoint
 from wickspring.dataplane.policy.attempts import FINAL_RESPONSE_MARGIN_MS, AttemptOutcome
 from wickspring.dataplane.policy.endpoint_selection import AttemptResult
-from wickspring.dataplane.request.hedging import Hedger, RetryBudgets
+from wickspring.dataplane.request.hedging import Hedger
 from wickspring.dataplane.request.model import Request, RequestContext
 from wickspring.dataplane.request.response import Responder
+from wickspring.dataplane.request.retry_budgets import RetryBudgets
 from wickspring.dataplane.upstream import BufferedResponse, Exchange
 from wickspring.interface import Status
 from wickspring.net.upstream.exchange import ExchangeResult
