--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -260,7 +260,7 @@
                 except DECODE_ERRORS:
                     refused += 1
             assert refused > 300
-            for candidate in data_plane.endpoints.candidates.values():
+            for candidate in data_plane.endpoints.by_id.values():
                 parse_address(candidate.endpoint.address)
             data_plane.endpoints.forget(data_plane.clock.now(), 1.0)
             data_plane.endpoints.digest()
--- a/tests/controlplane/test_isolated_endpoints.py
+++ b/tests/controlplane/test_isolated_endpoints.py
@@ -57,7 +57,7 @@
         data_plane = await system.start_data_plane(DATA_PLANES[0])
         for endpoint_id in ("unresponsive", "ended", "well"):
             assert (await send_heartbeat(isolated_node, endpoint_id, 40)).status == 200
-        await system.wait_until(lambda: len(data_plane.endpoints.candidates) == 3)
+        await system.wait_until(lambda: len(data_plane.endpoints.by_id) == 3)
         system.cut(isolated_node.settings.ip, reachable=DATA_PLANES)
         assert (await system.commit_config(CONTROL_PLANES[0], 2)).status == 200
         assert (await send_heartbeat(control_plane, "ended", 41, "draining")).status == 200
@@ -72,7 +72,7 @@
 
             monkeypatch.setattr(session.connection, "send", record)
         sequence = 41
-        while not data_plane.endpoints.candidates["unresponsive"].unresponsive:
+        while not data_plane.endpoints.by_id["unresponsive"].unresponsive:
             sequence += 1
             assert sequence < 60
             assert (await send_heartbeat(control_plane, "well", sequence)).status == 200
@@ -83,16 +83,16 @@
             sequence += 1
             await send_heartbeat(control_plane, "well", sequence)
             await trio.sleep(1.0)
-        assert data_plane.endpoints.candidates["unresponsive"].unresponsive
+        assert data_plane.endpoints.by_id["unresponsive"].unresponsive
         assert not data_plane.endpoints.accepts("ended")
-        assert not data_plane.endpoints.candidates["well"].unresponsive
+        assert not data_plane.endpoints.by_id["well"].unresponsive
         assert any(isinstance(message, EndpointSnapshot) for message in sent)
         assert not any(isinstance(message, EndpointsLost | QuotaTotal) for message in sent)
         system.heal()
         await system.wait_until(lambda: isolated_node.components.contact.observe() is QuorumContact.STABLE)
-        assert not data_plane.endpoints.candidates["well"].unresponsive
+        assert not data_plane.endpoints.by_id["well"].unresponsive
         assert not data_plane.endpoints.accepts("ended")
-        assert data_plane.endpoints.candidates["unresponsive"].unresponsive
+        assert data_plane.endpoints.by_id["unresponsive"].unresponsive
         assert (await send_heartbeat(isolated_node, "well", sequence + 1)).status == 200
         present = isolated_node.components.registry.present()
         assert [endpoint.id for endpoint in present if endpoint.state == READY] == ["well"]
@@ -105,17 +105,15 @@
     endpoints.update(0.0, ready_endpoint("i1", 4))
     endpoints.record_unresponsive(["i1"])
     assert (
-        not endpoints.update(1.0, ready_endpoint("i1", 9), fresh=False)
-        and endpoints.candidates["i1"].unresponsive
+        not endpoints.update(1.0, ready_endpoint("i1", 9), fresh=False) and endpoints.by_id["i1"].unresponsive
     )
     assert (
-        endpoints.update(1.0, ready_endpoint("i2", 9), fresh=False)
-        and not endpoints.candidates["i2"].unresponsive
+        endpoints.update(1.0, ready_endpoint("i2", 9), fresh=False) and not endpoints.by_id["i2"].unresponsive
     )
     endpoints.record_departures({"i2": GONE})
     endpoints.update(2.0, ready_endpoint("i2", 99))
     assert not endpoints.accepts("i2")
-    assert endpoints.update(3.0, ready_endpoint("i1", 10)) and not endpoints.candidates["i1"].unresponsive
+    assert endpoints.update(3.0, ready_endpoint("i1", 10)) and not endpoints.by_id["i1"].unresponsive
 
 
 def test_a_heartbeat_to_another_node_brings_an_endpoint_back() -> None:
--- a/tests/controlplane/test_load_tracker.py
+++ b/tests/controlplane/test_load_tracker.py
@@ -48,7 +48,7 @@
         while ends and ends[0][0] <= now:
             at, whose, id_ = heapq.heappop(ends)
             ratio = data_planes[whose].attempt_ended(
-                at, tables[whose].candidates[id_], round(at * 1e6), "r", AttemptResult.SUCCESS
+                at, tables[whose].by_id[id_], round(at * 1e6), "r", AttemptResult.SUCCESS
             )
             load_tracker.request_ended(at, f"p{whose}", id_, ratio)
         number = random.randrange(8)
@@ -103,7 +103,7 @@
 def test_an_overloaded_endpoint_is_not_taken_for_a_dead_one() -> None:
     table = endpoint_table(ready_endpoints(2))
     selector = EndpointSelector(table, "a", 1)
-    busy, dead = table.candidates["i0"], table.candidates["i1"]
+    busy, dead = table.by_id["i0"], table.by_id["i1"]
     for number, candidate in enumerate((busy, dead)):
         selector.attempt_started(10.0, candidate, number)
     selector.attempt_started(10.0, busy, 9)
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -144,15 +144,15 @@
     selector = EndpointSelector(table, "a", 2)
     for number in range(4):
         table.update(0.0, server(number))
-    for number, candidate in enumerate(table.candidates.values()):
+    for number, candidate in enumerate(table.by_id.values()):
         result = AttemptResult.SUCCESS if number else AttemptResult.FAILURE
         selector.attempt_started(0.0, candidate, number)
         selector.attempt_ended(100.0, candidate, number, "r", result)
-    unresponsive = table.candidates["i1"]
+    unresponsive = table.by_id["i1"]
     selector.attempt_started(100.0, unresponsive, 9)
     chosen = [selected.endpoint.id for _ in range(200) if (selected := selector.pick(600.0, "s", "r", set()))]
     assert chosen.count("i0") == 0 and chosen.count("i1") < 10
-    assert selector.pick(100.0, "s", "r", {"i1", "i2", "i3"}) is table.candidates["i0"]  # better than none
+    assert selector.pick(100.0, "s", "r", {"i1", "i2", "i3"}) is table.by_id["i0"]  # better than none
 
 
 def route(pure: bool, max_attempts: int = 2) -> Route:
--- a/wickspring/common/connection.py
+++ b/wickspring/common/connection.py
@@ -60,8 +60,8 @@
     @property
     def live(self) -> bool:
         """Tell whether the connection is open and something has arrived within `RECEIVE_TIMEOUT_MS`."""
-        silence_ms = self.clock.now() - self.last_received_at_ms
-        return not self.link.broken and silence_ms < RECEIVE_TIMEOUT_MS
+        since_received_ms = self.clock.now() - self.last_received_at_ms
+        return not self.link.broken and since_received_ms < RECEIVE_TIMEOUT_MS
 
     def send(self, message: Message) -> None:
         """Send a message; on a broken connection it is dropped."""
--- a/wickspring/common/errors.py
+++ b/wickspring/common/errors.py
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ErrorDetail:
-    """One error: its kind, and an explanation for whoever reads the answer or the log."""
+    """One error: its kind, and an explanation for readers of the answer or the log."""
 
     kind: ErrorKind
     reason: str = ""
--- a/wickspring/common/messages/from_control_plane.py
+++ b/wickspring/common/messages/from_control_plane.py
@@ -63,7 +63,7 @@
 
     epoch: int
     chain: list[IpAddress]
-    nodes: Annotated[list[IpAddress], msgspec.Meta(min_length=1)]  # in reach of the sender, itself first
+    nodes: Annotated[list[IpAddress], msgspec.Meta(min_length=1)]  # reachable from the sender, itself first
     data_plane_count: int
 
 
--- a/wickspring/common/messages/hello.py
+++ b/wickspring/common/messages/hello.py
@@ -22,7 +22,7 @@
 
 
 class Hello(Message, tag="hello", frozen=True):
-    """The first message on a connection to a control-plane node, sent by whoever connects.
+    """The first message on a connection to a control-plane node, sent by the process that connects.
 
     The receiver notes the caller's address and role. It answers a data plane with `ClusterView`,
     `DataPlanePeers`, `EndpointSnapshot` and, where the data plane's is older, `ConfigOffer`; it connects
--- a/wickspring/common/settings_file.py
+++ b/wickspring/common/settings_file.py
@@ -29,8 +29,8 @@
     """
     try:
         socket.inet_pton(socket.AF_INET, text)
-    except (OSError, ValueError, TypeError):
-        raise settings_error(f"not an address: {text!r}") from None
+    except (OSError, ValueError, TypeError) as error:
+        raise settings_error(f"not an address: {text!r}") from error
     return text
 
 
--- a/wickspring/dataplane/control_client/client.py
+++ b/wickspring/dataplane/control_client/client.py
@@ -70,7 +70,7 @@
 
     @property
     def in_contact(self) -> bool:
-        """Whether a node in reach is in contact with a quorum of the control plane."""
+        """Whether a reachable node is in contact with a quorum of the control plane."""
         return self.connections.best_contact() > QuorumContact.NONE
 
     @property
@@ -103,7 +103,7 @@
     # Messages.
 
     def on_message(self, connection: PeerConnection, message: ControlPlaneMessage) -> None:
-        """Take in a message of a node of the control plane."""
+        """Handle a message from a node of the control plane."""
         match message:
             case QuotaTotal():
                 self.quota.on_total(message)
@@ -127,7 +127,7 @@
                 assert_never(message)
 
     def on_peer_message(self, connection: PeerConnection, message: PeerReply) -> None:
-        """Take in a message of another data plane."""
+        """Handle a message from another data plane."""
         match message:
             case ConfigOffer():
                 self.config.offer(message, by_control_plane=False)
--- a/wickspring/dataplane/control_client/connections.py
+++ b/wickspring/dataplane/control_client/connections.py
@@ -22,7 +22,7 @@
 from wickspring.dataplane.control_client.owners import Owners
 from wickspring.net.clock import Clock
 
-FORGET_NODE_MS = 60_000.0  # out of reach, after which a node is forgotten that is neither seed nor member
+FORGET_NODE_MS = 60_000.0  # unreachable, after which a node that is neither seed nor member is forgotten
 
 
 class ConfigIdentity(NamedTuple):
@@ -101,7 +101,7 @@
         self.connect(self._seeds.ips(self._clock.now(), bool(self.live)))
 
     def forget_unreachable(self, now: float) -> None:
-        """Close connections to nodes that are neither seeds nor members and have long been out of reach."""
+        """Close connections to nodes that are neither seeds nor members and have long been unreachable."""
         keep = {*self._settings.seed_ips(), *self.owners.members}
         for ip, client in list(self.clients.items()):
             if client.live:
@@ -114,27 +114,27 @@
 
     @property
     def live(self) -> list[str]:
-        """The IPs of the nodes in reach."""
+        """The IPs of the reachable nodes."""
         return [ip for ip, client in self.clients.items() if client.live]
 
     def live_connections(self) -> Iterator[PeerConnection]:
-        """Return the connections to the nodes in reach."""
+        """Return the connections to the reachable nodes."""
         for client in self.clients.values():
             if client.live and client.connection is not None:
                 yield client.connection
 
     def best_contact(self) -> QuorumContact:
-        """Return the best contact with a quorum that any node in reach has reported."""
+        """Return the best contact with a quorum that any reachable node has reported."""
         contacts = (status_of(connection).contact for connection in self.live_connections())
         return max(contacts, default=QuorumContact.NONE)
 
     # Owners of counts.
 
     def update_view(self, epoch: int, members: list[str]) -> bool:
-        """Take up the members of a view; return False where its epoch is not higher than the present one."""
+        """Adopt the members of a view; return False where its epoch is not higher than the present one."""
         if not self.owners.update_view(epoch, members):
             return False
-        self.connect(members)  # whoever reports them may not have reached them all itself yet
+        self.connect(members)  # the node that reports them may not reach all of them itself yet
         return True
 
     def owner_client(self, key: str) -> ReconnectingClient | None:
@@ -142,6 +142,6 @@
         return self.clients.get(self.owners.owner(key))
 
     def live_owner_client(self, key: str) -> ReconnectingClient | None:
-        """Return the client of a count's owner; None where it is not in reach."""
+        """Return the client of a count's owner; None where it is not reachable."""
         client = self.owner_client(key)
         return client if client is not None and client.live else None
--- a/wickspring/dataplane/control_client/endpoint_sync.py
+++ b/wickspring/dataplane/control_client/endpoint_sync.py
@@ -42,7 +42,7 @@
         self._listener = listener
 
     def on_message(self, sender: str, message: EndpointMessage) -> None:
-        """Take in a message about endpoints; `sender` is the IP of the process that sent it."""
+        """Handle a message about endpoints; `sender` is the IP of the process that sent it."""
         match message:
             case EndpointsChanged():
                 self.on_changes(message.endpoints)
@@ -54,7 +54,7 @@
                 assert_never(message)
 
     def on_changes(self, records: list[EndpointRecord]) -> None:
-        """Take in changed endpoints, and have those passed on that were not known."""
+        """Update changed endpoints, and report the changes that were not known to the listener."""
         now = self._clock.now()
         changed = []
         for record in records:
@@ -65,28 +65,28 @@
             self._listener.on_new_endpoints(changed)
 
     def on_departures(self, departures: dict[str, int]) -> None:
-        """Take in endpoints that drain or are gone, and have those passed on that were not known."""
+        """Record endpoints that drain or are gone, and report the new ones to the listener."""
         changes = self._endpoints.record_departures(departures)
         if changes:
             self._listener.on_new_departures(changes)
 
     def on_unresponsive(self, endpoint_ids: list[str]) -> None:
-        """Take in endpoints whose heartbeats the control plane no longer receives."""
+        """Record endpoints whose heartbeats the control plane no longer receives."""
         self._endpoints.record_unresponsive(endpoint_ids)
 
     def _on_snapshot(self, sender: str, snapshot: EndpointSnapshot) -> None:
-        """Take in all endpoints that a process knows."""
+        """Update all endpoints that another process knows."""
         now = self._clock.now()
         fresh = snapshot.is_recent
         self._endpoints.record_departures(snapshot.departures)
-        if fresh or self._connections.best_contact() < QuorumContact.STABLE:  # else another knows better
+        if fresh or self._connections.best_contact() < QuorumContact.STABLE:  # else another node knows more
             for record in snapshot.endpoints:
                 self._endpoints.update(now, Endpoint.from_record(record, now), fresh)
         self.complete_from.add(sender)
         self._listener.on_state_received()
 
     def complete_from_majority(self, member_count: int) -> bool:
-        """Return whether a majority of so many members has sent all endpoints."""
+        """Return whether more than half of `member_count` members have sent all endpoints that they know."""
         return len(self.complete_from & set(self._connections.owners.members)) > member_count // 2
 
     def compare(self) -> None:
--- a/wickspring/dataplane/control_client/load_client.py
+++ b/wickspring/dataplane/control_client/load_client.py
@@ -22,7 +22,7 @@
     def request_advice(self, service: str, on_advice: AdviceHandler) -> int:
         """Ask for the best endpoints of a service.
 
-        Return a number to `cancel` the request by, or 0 where the owner is not in reach.
+        Return a number to `cancel` the request by, or 0 where the owner is not reachable.
         """
         client = self._connections.live_owner_client(service)
         if client is None:
@@ -37,7 +37,7 @@
         self._pending.pop(number, None)
 
     def on_advice(self, advice: EndpointAdvice) -> None:
-        """Hand advice over to whoever asked for it."""
+        """Pass advice on to the handler of its request."""
         on_advice = self._pending.pop(advice.request_number, None)
         if on_advice is not None:
             on_advice(advice)
--- a/wickspring/dataplane/control_client/owners.py
+++ b/wickspring/dataplane/control_client/owners.py
@@ -20,7 +20,7 @@
         self._by_key: dict[str, str] = {}
 
     def update_view(self, epoch: int, members: list[str]) -> bool:
-        """Take up the members of a view; return False where its epoch is not higher than the present one."""
+        """Adopt the members of a view; return False where its epoch is not higher than the present one."""
         if epoch <= self.epoch:
             return False
         self.epoch = epoch
--- a/wickspring/dataplane/control_client/quota_client.py
+++ b/wickspring/dataplane/control_client/quota_client.py
@@ -47,7 +47,7 @@
     def add(self, tenant: str, is_retry: bool, handler: QuotaReplyHandler) -> int:
         """Add a unit to a tenant's count.
 
-        Return a number to `abandon` the add by, or 0 where the owner is not in reach.
+        Return a number to `abandon` the add by, or 0 where the owner is not reachable.
         """
         client = self._connections.live_owner_client(tenant)
         if client is None:
@@ -64,7 +64,7 @@
             pending.handler = late_handler
 
     def on_total(self, reply: QuotaTotal) -> None:
-        """Hand over the reply to an add."""
+        """Pass the reply to an add on to its handler."""
         if reply.limit == NOT_OWNER_LIMIT:
             self.on_owner_moved(reply.request_number)
             return
@@ -73,7 +73,7 @@
             pending.handler.on_total(reply)
 
     def on_owner_moved(self, number: int) -> None:
-        """Hand over that an add went to a node that does not own the count."""
+        """Tell the handler of an add that the node asked does not own the count."""
         pending = self._pending.pop(number, None)
         if pending is not None:
             pending.handler.on_owner_moved()
--- a/wickspring/dataplane/endpoint_table.py
+++ b/wickspring/dataplane/endpoint_table.py
@@ -30,8 +30,8 @@
     """The endpoints of all services."""
 
     def __init__(self) -> None:
-        self.candidates: dict[str, KnownEndpoint] = {}  # by endpoint id
-        self.services: dict[str, dict[str, KnownEndpoint]] = {}  # the endpoints that accept new requests
+        self.by_id: dict[str, KnownEndpoint] = {}  # all that are known
+        self.accepting: dict[str, dict[str, KnownEndpoint]] = {}  # new requests, by service and id
         self.departures: dict[str, int] = {}  # endpoint id to DRAINING or GONE
 
     def update(self, now: float, endpoint: Endpoint, fresh: bool = True) -> bool:
@@ -40,9 +40,9 @@
         A report that is not fresh, from a control plane that may not know who has ended, brings no
         unresponsive endpoint back.
         """
-        known = self.candidates.get(endpoint.id)
+        known = self.by_id.get(endpoint.id)
         if known is None:
-            self.candidates[endpoint.id] = known = KnownEndpoint(endpoint, last_response_at=now)
+            self.by_id[endpoint.id] = known = KnownEndpoint(endpoint, last_response_at=now)
             self._place(known)
             return True
         previous = known.endpoint
@@ -51,7 +51,7 @@
             state = max(endpoint.state, previous.state)  # never back from draining or gone
             known.endpoint = endpoint if endpoint.state == state else replace(endpoint, state=state)
             if previous.service != endpoint.service:
-                self.services.get(previous.service, {}).pop(endpoint.id, None)
+                self.accepting.get(previous.service, {}).pop(endpoint.id, None)
         known.unresponsive = known.unresponsive and not fresh
         self._place(known)
         return changed
@@ -61,19 +61,19 @@
         known = self.departures
         changes = {name: state for name, state in departures.items() if known.get(name, READY) < state}
         known.update(changes)
-        for endpoint_id in changes.keys() & self.candidates.keys():
-            self._place(self.candidates[endpoint_id])
+        for endpoint_id in changes.keys() & self.by_id.keys():
+            self._place(self.by_id[endpoint_id])
         return changes
 
     def record_unresponsive(self, endpoint_ids: Iterable[str]) -> None:
         """Record endpoints whose heartbeats the control plane no longer receives."""
         for endpoint_id in endpoint_ids:
-            if endpoint_id in self.candidates:
-                self.candidates[endpoint_id].unresponsive = True
+            if endpoint_id in self.by_id:
+                self.by_id[endpoint_id].unresponsive = True
 
     def _place(self, candidate: KnownEndpoint) -> None:
         endpoint = candidate.endpoint
-        accepting = self.services.setdefault(endpoint.service, {})
+        accepting = self.accepting.setdefault(endpoint.service, {})
         if max(endpoint.state, self.departures.get(endpoint.id, READY)) == READY:
             accepting[endpoint.id] = candidate
         else:
@@ -81,20 +81,20 @@
 
     def accepts(self, endpoint_id: str) -> bool:
         """Return whether an endpoint accepts new requests."""
-        known = self.candidates.get(endpoint_id)
-        return known is not None and endpoint_id in self.services.get(known.endpoint.service, ())
+        known = self.by_id.get(endpoint_id)
+        return known is not None and endpoint_id in self.accepting.get(known.endpoint.service, ())
 
     def digest(self) -> int:
         """Return a number that two processes share if they know the same endpoints."""
-        known = self.candidates.items()
+        known = self.by_id.items()
         return endpoints_digest(
             state.endpoint for name, state in known if not state.unresponsive and self.accepts(name)
         )
 
     def forget(self, now: float, after_ms: float) -> None:
         """Forget departed and unresponsive endpoints that have nothing in flight."""
-        for endpoint_id, candidate in list(self.candidates.items()):
+        for endpoint_id, candidate in list(self.by_id.items()):
             unused = candidate.unresponsive or not self.accepts(endpoint_id)
             if unused and not candidate.in_flight and now - candidate.last_response_at > after_ms:
-                self.services.get(candidate.endpoint.service, {}).pop(endpoint_id, None)
-                del self.candidates[endpoint_id]
+                self.accepting.get(candidate.endpoint.service, {}).pop(endpoint_id, None)
+                del self.by_id[endpoint_id]
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -5,9 +5,9 @@
 that none of them reaches is suspected, and the suspicion is disseminated before it counts as failed.
 
 Each probe and ack carry the digest of the sender's state: the version of its configuration, how many departed
-endpoints it knows, a checksum of its endpoints. Changes of endpoints are sent to a few members at once;
-whoever finds itself behind fetches the rest over a connection (anti-entropy). So a data plane that reaches no
-control plane still learns what the others learn, and no version ever goes back.
+endpoints it knows, a checksum of its endpoints. Changes of endpoints are sent to a few members at once; one
+that finds itself behind fetches the rest over a connection (`dataplane.state_exchange`). So a data plane that
+reaches no control plane still learns what the others learn, and no version ever goes back.
 """
 
 from __future__ import annotations
@@ -171,7 +171,7 @@
                 continue  # not of this system, or damaged
 
     def on_datagram(self, message: Datagram) -> None:
-        """Take in a datagram whose sender is where it came from."""
+        """Handle a datagram whose sender has been compared with its source address."""
         match message:
             case GossipProbe():
                 self._on_probe(message)
--- a/wickspring/dataplane/local_state.py
+++ b/wickspring/dataplane/local_state.py
@@ -29,7 +29,7 @@
         now = self._clock.now()
         records = [
             known.endpoint.to_record(now)
-            for known in self._endpoints.candidates.values()
+            for known in self._endpoints.by_id.values()
             if not known.unresponsive
         ]
         in_contact = self._control_client.in_contact
@@ -44,15 +44,15 @@
             connection.send(ConfigOffer(own_version, config.compressed_document, own_digest, status))
 
     def on_peer_message(self, connection: PeerConnection, message: PeerReply) -> None:
-        """Take in what another data plane has sent in answer to a fetch."""
+        """Handle what another data plane has sent in answer to a fetch."""
         self._control_client.on_peer_message(connection, message)
 
     def on_endpoints(self, endpoints: list[EndpointRecord]) -> None:
-        """Take in endpoints that another data plane has passed on."""
+        """Update endpoints that another data plane has passed on."""
         self._control_client.endpoint_sync.on_changes(endpoints)
 
     def on_departures(self, states: dict[str, int]) -> None:
-        """Take in departures that another data plane has passed on, as states by endpoint id."""
+        """Record departures that another data plane has passed on, as states by endpoint id."""
         self._control_client.endpoint_sync.on_departures(states)
 
     def is_isolated(self) -> bool:
--- a/wickspring/dataplane/policy/config_adoption.py
+++ b/wickspring/dataplane/policy/config_adoption.py
@@ -1,9 +1,9 @@
 """Which configuration a data plane adopts, of the copies that it is offered.
 
 A data plane never goes back to a lower version. One that has a configuration adopts a higher version that is
-known to have been committed, whoever offers it. One that has none waits for what a process in contact with a
-quorum offers: other copies may be old, or never have been committed. Only where nobody in contact has said
-anything for `FALLBACK_AFTER_MS` it adopts the last known copy.
+known to have been committed, whichever process offers it. One that has none waits for an offer from a process
+in contact with a quorum: other copies may be old, or never have been committed. Only where no process in
+contact has reported any for `FALLBACK_AFTER_MS` it adopts the last known copy.
 
 Of its own version it adopts another text only where its own was never known to be committed, or where a
 control plane in contact says so. The second must not happen: it is a fence behind the replication protocol
@@ -17,7 +17,7 @@
 
 from wickspring.common.config_status import ConfigStatus
 
-FALLBACK_AFTER_MS = 1500.0  # without word from a process in contact, until the last known copy is adopted
+FALLBACK_AFTER_MS = 1500.0  # without a process in contact, until the last known copy is adopted
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,7 +34,7 @@
     """What to do with an offered copy."""
 
     IGNORE = "ignore"
-    WAIT = "wait"  # keep it until it is confirmed, or nothing better comes
+    WAIT = "wait"  # keep it until it is confirmed, or the fallback is due
     ADOPT = "adopt"
     REPLACE_UNCOMMITTED = "replace_uncommitted"  # own text of this version was never known to be committed
     FENCE = "fence"  # own text of this version was committed, and so is this one: must not happen
@@ -89,7 +89,7 @@
         return None
 
     def fallback(self, now: float) -> ConfigCopy | None:
-        """Return the copy to adopt for want of a better one, once that is due."""
+        """Return the pending copy once nobody in contact has reported any for `FALLBACK_AFTER_MS`."""
         due = not self.version and now - self._last_contact_at >= FALLBACK_AFTER_MS
         return self.pending if due else None
 
--- a/wickspring/dataplane/policy/endpoint_selection.py
+++ b/wickspring/dataplane/policy/endpoint_selection.py
@@ -88,7 +88,7 @@
 
         Of advised endpoints of equal cost the first is taken, of others one at random.
         """
-        accepting = self._table.services.get(service, {})
+        accepting = self._table.accepting.get(service, {})
         advised = self._pick_advised(now, accepting, tried, advice) if advice else None
         if advised is not None:
             return advised
--- a/wickspring/dataplane/pool_directory.py
+++ b/wickspring/dataplane/pool_directory.py
@@ -26,7 +26,7 @@
     def entry(self, server: api.ServerId) -> api.ServerEntry | None:
         """Return an endpoint's entry, made anew only where it has changed; None where it is forgotten."""
         endpoint_id = server.decode()
-        if endpoint_id not in self._endpoints.candidates:
+        if endpoint_id not in self._endpoints.by_id:
             self._entries.pop(endpoint_id, None)
             return None
         accepts = self._endpoints.accepts(endpoint_id)
--- a/wickspring/dataplane/readiness.py
+++ b/wickspring/dataplane/readiness.py
@@ -36,12 +36,12 @@
         if not self._is_complete and self._knows_enough():
             self._is_complete = True
             version = self._control_client.config.routing_table.version
-            logs.log_event("ready", version=version, endpoints=len(self._endpoints.candidates))
+            logs.log_event("ready", version=version, endpoints=len(self._endpoints.by_id))
         return self._is_complete
 
     def _knows_enough(self) -> bool:
         control_client = self._control_client
-        if not self._endpoints.services:
+        if not self._endpoints.accepting:
             return False
         if control_client.is_synchronized:
             return True
--- a/wickspring/dataplane/request/admission.py
+++ b/wickspring/dataplane/request/admission.py
@@ -34,7 +34,7 @@
         self._validator = RequestValidator(context)
 
     def admit(self, incoming: IncomingRequest) -> None:
-        """Admit a request and set out to forward it, or refuse it."""
+        """Admit a request and have it forwarded, or refuse it."""
         try:
             request = self._validator.validate(incoming)
         except RequestRefusedError as refusal:
@@ -55,7 +55,7 @@
         request.cancel_deadline = timer.cancel
 
     def _request_advice(self, request: Request) -> None:
-        """Ask the control plane which endpoints are best, for a moment."""
+        """Ask the control plane which endpoints are best, and wait `ADVICE_TIMEOUT_MS` at most."""
         context = self._context
         on_advice = partial(self._on_advice, request)
         number = context.load_client.request_advice(request.attempts.service, on_advice)
@@ -67,9 +67,9 @@
         request.cancel_advice_timeout = context.timers.at(due, timeout).cancel
 
     def _on_advice(self, request: Request, advice: EndpointAdvice) -> None:
-        """Take advice in, unless the control plane knows too few of the endpoints known here."""
+        """Use advice, unless the control plane knows too few of the endpoints known here."""
         request.cancel_advice_timeout()
-        accepting = self._context.endpoints.services.get(request.attempts.service, ())
+        accepting = self._context.endpoints.accepting.get(request.attempts.service, ())
         is_complete = advice.known_endpoints >= MIN_ADVISED_SHARE * len(accepting)
         request.advice = advice.offers if is_complete else []
         self._forwarder.send_if_ready(request)
--- a/wickspring/dataplane/request/model.py
+++ b/wickspring/dataplane/request/model.py
@@ -91,7 +91,7 @@
         self.host = ""
         self.id = ""
         self.tenant: Tenant | None = None
-        self.is_retry = False  # its client has been here before, by the time that it has left
+        self.is_retry = False  # the client has been refused before, to judge by how little time it has left
         self.advice: list[tuple[str, float]] | None = None  # endpoints and costs; None: not received yet
         self.quota_granted = False
         self.streaming_attempt = 0  # number of the attempt whose response is being streamed
@@ -148,4 +148,4 @@
 
     def can_route(self) -> bool:
         """Return whether a configuration and endpoints are known."""
-        return bool(self.config.routing_table.version and self.endpoints.services)
+        return bool(self.config.routing_table.version and self.endpoints.accepting)
--- a/wickspring/dataplane/request/quota_check.py
+++ b/wickspring/dataplane/request/quota_check.py
@@ -1,7 +1,7 @@
 """The quota check of one request: one unit is added to its tenant's count, whose total decides.
 
 The count's owner is a node of the control plane. While it does not answer, the data plane decides alone, and
-what it decided is put right with the owner once a late answer shows that the owner has counted otherwise.
+the count is corrected at the owner once a late answer shows that it differs from what was decided.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
         self._number = 0
 
     def send(self) -> None:
-        """Ask the owner; decide alone where none is in reach or none answers in time."""
+        """Ask the owner; decide alone where it is not reachable or does not answer in time."""
         context = self._context
         request = self._request
         self._number = context.quota_client.add(self._tenant.name, request.is_retry, self)
@@ -94,7 +94,7 @@
         self._checker.decide(self._request, decision)
 
     def _on_timeout(self) -> None:
-        """Decide alone; a late reply is put right."""
+        """Decide alone; a late reply corrects the count."""
         decision = self._decide_locally()
         quota_client = self._context.quota_client
         quota_client.abandon(self._number, _LateReply(quota_client, self._tenant.name, decision.allowed))
@@ -118,7 +118,7 @@
         self._was_allowed = was_allowed
 
     def on_total(self, reply: QuotaTotal) -> None:
-        """Put right what the owner has counted otherwise than was decided here."""
+        """Correct the owner's count where it differs from what was decided here."""
         is_counted = 0 <= reply.total <= reply.limit
         if self._was_allowed and not is_counted:
             self._quota_client.report_spent(self._tenant_name)
--- a/wickspring/dataplane/state_exchange.py
+++ b/wickspring/dataplane/state_exchange.py
@@ -38,13 +38,13 @@
         """Send all that is known; the configuration only if newer than, or of another text than, these."""
 
     def on_peer_message(self, connection: PeerConnection, message: PeerReply) -> None:
-        """Take in what another data plane has sent in answer to a fetch."""
+        """Handle what another data plane has sent in answer to a fetch."""
 
     def on_endpoints(self, endpoints: list[EndpointRecord]) -> None:
-        """Take in endpoints that another data plane has passed on."""
+        """Update endpoints that another data plane has passed on."""
 
     def on_departures(self, states: dict[str, int]) -> None:
-        """Take in departures that another data plane has passed on, as states by endpoint id."""
+        """Record departures that another data plane has passed on, as states by endpoint id."""
 
     def is_isolated(self) -> bool:
         """Return whether no control plane is reachable."""
--- a/wickspring/membership/anti_entropy.py
+++ b/wickspring/membership/anti_entropy.py
@@ -151,7 +151,7 @@
     # Rounds.
 
     def digest(self, limit: int = 0) -> Digest:
-        """Begin a round; with a `limit`, for a range of so many names, the next one with each round."""
+        """Begin a round; with a `limit`, for a range of that many names, the next range in each round."""
         names = list(self.entries)
         low = high = ""
         if limit and limit < len(self._names):
--- a/wickspring/membership/failure_detector.py
+++ b/wickspring/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""Phi-accrual failure detection (Hayashibara et al., 2004): suspicion grows with the silence of a member."""
+"""Phi-accrual failure detection (Hayashibara et al., 2004): suspicion grows while no heartbeat arrives."""
 
 from __future__ import annotations
 
@@ -36,7 +36,12 @@
         self.deviation_s = math.sqrt(variance)
 
     def phi(self, now: float, expected_s: float) -> float:
-        """Return -log10 of the probability that a heartbeat is still to come after so long a silence."""
+        """Return -log10 of the probability that a heartbeat is still to come at this time.
+
+        Args:
+            now: the time, in seconds.
+            expected_s: the interval at which the member sends heartbeats.
+        """
         mean_s = max(expected_s, self.mean_s)
         deviation_s = max(self.deviation_s, MIN_DEVIATION_RATIO * mean_s) if self.intervals else mean_s
         lateness = (now - self.last_heartbeat_at - mean_s) / deviation_s
--- a/wickspring/membership/swim.py
+++ b/wickspring/membership/swim.py
@@ -4,12 +4,13 @@
 one member is probed, in a shuffled order in which each has its turn. One that does not answer is probed
 indirectly through a few helpers, so that a path cut one way proves nothing; one that no helper reaches is
 suspected. The suspicion is piggybacked on later messages, and the suspect refutes it by a newer entry of its
-own, since whoever suspects it says so at the next exchange. A suspicion that is not refuted in time ends in
+own: a member that suspects it says so at the next exchange. A suspicion that is not refuted in time ends in
 "dead"; each further member that reports it shortens that time, and a member whose local health is poor
 (late, or unanswered by everybody) gives the others more.
 
-"Dead" withdraws nothing from a member: it says whom not to wait for. Rights and counts expire by their own
-times. Dead members are probed again now and then, so that the halves of a partition find each other.
+"Dead" withdraws nothing from a member: it only says that others do not wait for it. Leased shares and counts
+expire by their own times. Dead members are probed again now and then, so that the halves of a partition find
+each other.
 """
 
 from __future__ import annotations
@@ -102,7 +103,7 @@
         return self.now >= record.since + self._suspicion_timeout_s(len(record.suspected_by))
 
     def _restart_suspicions(self) -> None:
-        """Give suspects their full time again: this member was stopped, so its silence proves nothing."""
+        """Give suspects their full time again: this member was stopped, so missing answers prove nothing."""
         self._worsen_local_health()
         for record in self._records.values():
             if record.state is MemberState.SUSPECTED:
@@ -193,7 +194,7 @@
         self._pending_suspicions.add(suspicion, len(self.entries))
 
     def merge_suspicions(self, suspicions: Iterable[Suspicion]) -> None:
-        """Take in what others suspect; a suspicion of this member is refuted."""
+        """Merge what others suspect; a suspicion of this member is refuted."""
         for suspicion in suspicions:
             if suspicion.name == self.owner:
                 self.refute(suspicion.incarnation, suspicion.heartbeat)
