--- a/tests/dataplane/test_config_adoption.py
+++ b/tests/dataplane/test_config_adoption.py
@@ -67,7 +67,7 @@
     assert adoption.version <= newest or adoption.status is ConfigStatus.STORED
 
 
-def test_a_conflicting_text_is_taken_from_a_node_in_contact_and_logged(
+def test_a_conflicting_text_from_a_node_in_contact_is_adopted_and_logged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     events: list[str] = []
--- a/tests/dataplane/test_gossip.py
+++ b/tests/dataplane/test_gossip.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(("data_planes", "seed"), [(12, 1), (12, 2), (40, 3)])
-def test_all_know_who_is_there_and_what_one_was_told(data_planes: int, seed: int) -> None:
+def test_membership_and_a_new_version_reach_all_data_planes(data_planes: int, seed: int) -> None:
     found = measure(data_planes, seed)
     assert 0.0 <= found["all_know_all_s"] < 30.0
     assert found["wrongly_gone_most"] == 0 and found["bytes_s_most"] < LINK_SHARE_BYTES_S
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_sliding_span_passes_the_ceiling_with_owners_lost(seed: int) -> None:
+def test_no_sliding_span_exceeds_the_ceiling_while_owners_are_lost(seed: int) -> None:
     """Data planes add, or decide alone while there is no owner; new owners start from usage reports."""
     random = Random(seed)
     tenant = Tenant("t", 0, random.choice((7.0, 33.0, 63.0)), random.choice((0.0, 33.0, 63.0)))
@@ -77,7 +77,7 @@
     assert len(quiet) > 0.4 * tenant.rate * 20.0  # and what is owed goes
 
 
-def test_an_owner_gives_what_the_rate_brings_and_the_burst_once() -> None:
+def test_an_owner_allows_the_rate_and_the_burst_once() -> None:
     counter, granted = QuotaCounter(SPAN_S, EXCESS, SLACK), 0
     for step in range(10_000):  # ten times the rate, for ten seconds
         total, limit, _ = counter.acquire(float(step), "t", "p", 50.0, 50.0)
@@ -88,7 +88,7 @@
     assert total > limit and wait > 0.0
 
 
-def test_a_unit_that_was_not_used_comes_back() -> None:
+def test_an_unused_unit_is_refunded() -> None:
     counter = QuotaCounter(SPAN_S, EXCESS, SLACK)
     given = [counter.acquire(1000.0, "t", "p", 1.0, 0.0) for _ in range(10)]
     spent = sum(total <= limit for total, limit, _ in given)
@@ -124,7 +124,7 @@
     return Endpoint(f"i{number}", service, f"10.0.0.{number}:80", zone, 2, state, seq)
 
 
-def test_what_leaves_is_never_chosen_again_whatever_is_told_after() -> None:
+def test_a_departed_endpoint_is_never_selected_whatever_is_reported_later() -> None:
     table = EndpointTable()
     selector = EndpointSelector(table, "a", 1)
     for number in range(3):
@@ -139,7 +139,7 @@
     assert not table.accepts("i0") and not table.accepts("i1")
 
 
-def test_the_failing_and_the_silent_are_passed_over_while_others_do() -> None:
+def test_ejected_and_unresponsive_endpoints_are_selected_last() -> None:
     table = EndpointTable()
     selector = EndpointSelector(table, "a", 2)
     for number in range(4):
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_what_may_run_once_is_never_out_twice(seed: int) -> None:
+def test_a_non_idempotent_request_never_has_two_attempts_in_flight(seed: int) -> None:
     """Random outcomes: no second attempt unless the first is known not to have run, no false promise."""
     random = Random(seed)
     pure = random.random() < 0.5
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize(("reported", "kept"), [(True, True), (False, False)])
-def test_what_data_planes_cut_off_may_send_on_is_kept_back(reported: bool, kept: bool) -> None:
+def test_the_shares_of_unreachable_data_planes_are_reserved(reported: bool, kept: bool) -> None:
     """Half of a hot tenant's data planes are cut off; without the reservation the ceiling is passed."""
     random, tenant = Random(3), Tenant("t", 0, 63.0, 63.0)
     data_planes, owner = (
--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -32,8 +32,8 @@
 from wickspring.net.upstream.response_reader import ResponseReader
 
 
-def play(seeds: range, **how: Any) -> Counter[str]:
-    """Play seeds; what was seen in all of them together."""
+def run_seeds(seeds: range, **how: Any) -> Counter[str]:
+    """Run seeds; return what was counted in all of them together."""
     seen: Counter[str] = Counter()
     for seed in seeds:
         seen.update(Simulation(seed, **how).run().seen)
@@ -52,56 +52,56 @@
         (range(910, 1060), {"server_pairs": 2, "client_count": 2, "requests_per_client": 5, "drains": True}),
     ],
 )
-def test_no_mixture_of_tricks_breaks_a_rule(seeds: range, how: dict[str, Any]) -> None:
-    """Answers whole, own and sealed; once is once; no false refusal; no body but the client's; in time."""
-    seen = play(seeds, **how)
+def test_no_combination_of_faults_breaks_an_invariant(seeds: range, how: dict[str, Any]) -> None:
+    """Responses are complete, the request's own and signed; no second execution or false refusal; in time."""
+    seen = run_seeds(seeds, **how)
     assert set(FAULTS) <= set(seen)
     assert seen["told[200]"] > 1.5 * len(seeds) and seen["told[502]"] > 0.5 * len(seeds)
 
 
-def test_servers_that_keep_to_the_rules_are_passed_on_whole() -> None:
-    seen = play(range(20), fault_share=0.0)
+def test_responses_of_correct_endpoints_are_forwarded_complete() -> None:
+    seen = run_seeds(range(20), fault_share=0.0)
     assert seen["told[200]"] > 250 and set(seen) <= {"good", "told[200]", "told[504]"}
 
 
-def test_a_long_body_that_has_begun_to_go_out_goes_to_no_second_server() -> None:
-    seen = play(range(20), only_faults=("turned_away", "closes", "reset_unread"))
+def test_a_streamed_body_is_sent_to_no_second_endpoint() -> None:
+    seen = run_seeds(range(20), only_faults=("turned_away", "closes", "reset_unread"))
     assert seen["told[503]"] and seen["turned_away"] > 40
 
 
-def test_an_answer_that_flows_is_ended_by_its_own_try_alone() -> None:
-    seen = play(range(40), only_faults=("drips", "silent"))
+def test_a_streamed_response_is_ended_by_its_own_attempt_alone() -> None:
+    seen = run_seeds(range(40), only_faults=("drips", "silent"))
     assert seen["drips"] > 200 and not seen["reset to the client"]  # no server cuts one here
 
 
-def test_what_was_written_in_part_may_have_run() -> None:
-    seen = play(range(30), only_faults=("early", "silent"))  # servers that run by the head alone
+def test_a_partly_written_request_may_have_run() -> None:
+    seen = run_seeds(range(30), only_faults=("early", "silent"))  # servers that run by the head alone
     assert seen["early"] > 100 and seen["told[502]"]
 
 
 @pytest.mark.parametrize(
-    ("trick", "least"),
+    ("fault", "least"),
     [("to_the_end", 0), ("glued", 0), ("two_ids", 0), ("empty_seal", 0), ("hidden_seal", 240)],
 )
-def test_a_head_that_is_not_wholly_this_answers_own_is_not_believed(trick: str, least: int) -> None:
-    """Heads glued of two answers, two ids, no seal or one named as the connection's, no length told."""
-    seen = play(range(20), only_faults=(trick,))
-    assert seen[trick] > 150 and seen["told[200]"] > max(least, 100)
+def test_a_head_that_may_be_of_another_response_is_not_trusted(fault: str, least: int) -> None:
+    """Heads spliced of two responses, two ids, no signature or one for this hop only, no length."""
+    seen = run_seeds(range(20), only_faults=(fault,))
+    assert seen[fault] > 150 and seen["told[200]"] > max(least, 100)
     assert least or seen["told[502]"] > 75
 
 
-def test_a_refusal_by_a_server_that_has_run_it_is_not_passed_on_as_one() -> None:
-    seen = play(range(20), only_faults=("late_refusal",))  # 503, 429 and 408 without X-Not-Executed
+def test_a_refusal_that_does_not_say_not_executed_is_answered_502() -> None:
+    seen = run_seeds(range(20), only_faults=("late_refusal",))  # 503, 429 and 408 without X-Not-Executed
     assert seen["late_refusal"] > 150 and seen["told[502]"] > 100
 
 
-class Copied(Simulation):
-    """Each request that may run once is sent again while it is at work, after a pure one with its id."""
+class CopiedRequests(Simulation):
+    """Each non-idempotent request is sent again while in progress, after an idempotent one with its id."""
 
     def __post_init__(self) -> None:
         super().__post_init__()
         for number, peer in enumerate(self.faulty_servers.values()):
-            peer.fault_share = float(number % 2)  # those that do what may run once
+            peer.fault_share = float(number % 2)  # endpoints of the service that is not idempotent
             peer.only_faults = ("silent",)
 
     async def client(self, number: int) -> None:
@@ -122,13 +122,13 @@
     return "\r\n".join([*lines, *(f"X-Attempt-Id: {request_id}" for request_id in ids), "", ""]).encode()
 
 
-def test_a_copy_of_what_is_at_work_is_turned_away() -> None:
+def test_a_copy_of_a_request_in_progress_is_rejected() -> None:
     for seed in range(30):
-        seen = Copied(seed).run().seen
+        seen = CopiedRequests(seed).run().seen
         assert seen["still at work"] == 3 == seen["told[409]"] == seen["told[200]"]
 
 
-class Doubled(Simulation):
+class RequestsWithTwoIds(Simulation):
     """Requests with two ids, either of which an endpoint could go by."""
 
     async def client(self, number: int) -> None:
@@ -139,13 +139,13 @@
             await self.read(end, second, b"")
 
 
-def test_a_request_with_two_ids_is_turned_away() -> None:
-    ledger = Doubled(1, fault_share=0.0).run()
+def test_a_request_with_two_ids_is_rejected() -> None:
+    ledger = RequestsWithTwoIds(1, fault_share=0.0).run()
     assert ledger.seen == {"told[400]": 9} and not ledger.executions
 
 
-class Elder(Simulation):
-    """Clients that know no chunks."""
+class Http10Clients(Simulation):
+    """Clients of HTTP/1.0, which know no chunked encoding."""
 
     async def client(self, number: int) -> None:
         for step in range(self.requests_per_client):
@@ -155,34 +155,34 @@
             await self.read(end, request_id, b"")
 
 
-def test_a_client_that_knows_no_chunks_is_told_the_length() -> None:
+def test_a_client_without_chunked_encoding_gets_a_content_length() -> None:
     seen: Counter[str] = Counter()
     for seed in range(20):
-        seen.update(Elder(seed, fault_share=1.0, only_faults=("drips",)).run().seen)
+        seen.update(Http10Clients(seed, fault_share=1.0, only_faults=("drips",)).run().seen)
     assert seen["told[200]"] > 50 and seen["told[502]"] > 5
 
 
-class Half(Simulation):
-    """Long bodies that stop half way, at servers that run a request by its head."""
+class StoppedBodies(Simulation):
+    """Streamed bodies that stop half way, at endpoints that execute a request by its head."""
 
     async def client(self, number: int) -> None:
         request_id, end, length = f"a{number}", self.connect_client(), 3 * LONG_BODY_BYTES
         self.ledger.requests[request_id] = EFFECTFUL_PREFIX, length
-        told = head(EFFECTFUL_PREFIX, request_id).replace(
+        request_head = head(EFFECTFUL_PREFIX, request_id).replace(
             b"Content-Length: 0", f"Content-Length: {length}".encode()
         )
-        end.send(told + request_body(request_id, 2 * LONG_BODY_BYTES))
+        end.send(request_head + request_body(request_id, 2 * LONG_BODY_BYTES))
         await self.read(end, request_id, b"")
 
 
-def test_a_long_body_that_stops_half_way_is_not_refused() -> None:
+def test_a_request_whose_streamed_body_stops_is_not_refused() -> None:
     seen: Counter[str] = Counter()
     for seed in range(10):
-        seen.update(Half(seed, fault_share=1.0, only_faults=("early",), timeout_s=9.0).run().seen)
+        seen.update(StoppedBodies(seed, fault_share=1.0, only_faults=("early",), timeout_s=9.0).run().seen)
     assert seen["told[502]"] + seen["closed to the client"] == 30 and seen["closed to the client"] > 10
 
 
-def by_place(*_: object) -> bool:
+def always_true(*_: object) -> bool:
     return True
 
 
@@ -197,7 +197,7 @@
     return False
 
 
-def whole_whatever(front: Http1Connection, whole: bool) -> None:
+def end_as_complete(front: Http1Connection, whole: bool) -> None:
     if front.http.our_state is h11.SEND_BODY:
         front.link.send(front.http.send(h11.EndOfMessage()) or b"")
     front._answered(front._closes)
@@ -215,26 +215,37 @@
 
 
 REFUSES = (Attempts, "final_error", property(lambda _: ErrorKind.NO_SERVER))
-BY_PLACE, LEFT_OVER = (upstream, "answers_attempt", by_place), (ResponseReader, "start_next", left_over)
+MATCHED_BY_ORDER, LEFT_OVER = (
+    (upstream, "answers_attempt", always_true),
+    (ResponseReader, "start_next", left_over),
+)
 OTHER, TWICE, REFUSED = "not what a server said", "ran twice", "refused though it ran"
 DEFECTS: dict[str, tuple[int, str, list[Any]]] = {  # the seed that finds it, what is found, what is changed
-    "an answer matched by its place": (1, OTHER, [BY_PLACE]),
+    "a response matched by its order": (1, OTHER, [MATCHED_BY_ORDER]),
     "sent again after a reset": (0, TWICE, [(AttemptOutcome, "not_executed", property(resent))]),
-    "a cut answer that looks whole": (63, OTHER, [(Http1Connection, "end_response", whole_whatever)]),
+    "a truncated response that looks complete": (
+        63,
+        OTHER,
+        [(Http1Connection, "end_response", end_as_complete)],
+    ),
     "refused though it may have run": (0, "a request that may have run is not refused", [REFUSES]),
-    "refused, without the invariant": (0, REFUSED, [REFUSES, (response, "check_invariant", by_place)]),
-    "left over for the next": (0, "no bytes of an earlier response are unread", [LEFT_OVER, BY_PLACE]),
+    "refused, without the invariant": (0, REFUSED, [REFUSES, (response, "check_invariant", always_true)]),
+    "left over for the next": (
+        0,
+        "no bytes of an earlier response are unread",
+        [LEFT_OVER, MATCHED_BY_ORDER],
+    ),
     "left over, without the invariant": (
         0,
         OTHER,
-        [LEFT_OVER, BY_PLACE, (upstream, "check_invariant", by_place)],
+        [LEFT_OVER, MATCHED_BY_ORDER, (upstream, "check_invariant", always_true)],
     ),
     "unsent until all is written": (
         82,
         REFUSED,
         [(UpstreamConnection, "may_have_run", Http1ServerConnection.may_have_run)],
     ),
-    "a flowing answer ended by another try": (
+    "a streamed response ended by another attempt": (
         34,
         "Too little data",
         [(Forwarder, "_on_attempt_end", ended_by_any)],
@@ -242,7 +253,7 @@
     "a long body sent twice": (
         0,
         "a body that its client did not send",
-        [(Forwarder, "_start_body_stream", by_place)],
+        [(Forwarder, "_start_body_stream", always_true)],
     ),
 }
 
