--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -356,7 +356,7 @@
 
 def test_a_plan_s_attempts_at_once_are_held_over_both_ingresses() -> None:
     bounds = Bounds()
-    held = [shares(bounds, slot, plan={"most_open": 4}) for slot in range(2)]
+    held = [shares(bounds, slot, plan={"max_in_flight": 4}) for slot in range(2)]
     policies = [Policy(one.settings, one) for one in held]
     entries = tuple(api.ServerEntry(bytes([n]), 0, 0, api.Readiness.READY, 1.0, 0.0) for n in range(8))
     out = []
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -23,7 +23,7 @@
                 {},
                 {"rate": 1e-6, "burst": 1.0},
                 {"rate": 10.0, "burst": 1e6},
-                {"rate": 0.0, "most_open": 1},
+                {"rate": 0.0, "max_in_flight": 1},
                 {"ceiling_rate": 0.001, "ceiling_burst": 10.0, "ceiling_slack": 4.0},
             ]
         ),
--- a/tests/policy/test_one_of_many.py
+++ b/tests/policy/test_one_of_many.py
@@ -23,7 +23,7 @@
 
 
 def many(gateway: Build, number: int = 0, servers: int = SERVERS) -> Gateway:
-    return gateway(gateways=GATEWAYS, own_number=number, servers=servers, plan=ROOMY, most_attempts=1)
+    return gateway(gateways=GATEWAYS, own_number=number, servers=servers, plan=ROOMY, max_attempts=1)
 
 
 def answer(front: Gateway, send: api.Send, elapsed: float, status: Status = Status.OK) -> None:
@@ -146,7 +146,7 @@
 
 
 def test_a_window_is_no_deeper_than_what_may_be_out() -> None:
-    plan = make_settings(plan={"rate": 0.014, "burst": 35.0, "most_open": 5}).plans[0]
+    plan = make_settings(plan={"rate": 0.014, "burst": 35.0, "max_in_flight": 5}).plans[0]
     many, few = counting_window(plan, 25, 8.0), counting_window(plan, 3, 8.0)
     assert many.flat and 5.0 <= many.depth <= 5 * 4.0
     assert not few.flat and few.depth == 35.0  # few see the attempts of the others in their own
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -48,7 +48,7 @@
 
 
 def test_server_failing_fast_is_put_out_and_tried_with_one(gateway: Build) -> None:
-    front = gateway(servers=4, most_attempts=1, may_probe=False)
+    front = gateway(servers=4, max_attempts=1, may_probe=False)
     bad = front.entry(0).server
     for number in range(40):
         send = front.admitted(0.0, customer=number)
@@ -60,7 +60,7 @@
 
 
 def test_ejection_stops_when_most_servers_look_ill(gateway: Build) -> None:
-    front = gateway(servers=2, most_attempts=1)
+    front = gateway(servers=2, max_attempts=1)
     for number in range(12):
         front.outcome(front.admitted(0.0, customer=number), Status.ERROR)
     assert only(front.count(only(front.request(customer=99), api.Count).name, 1.0), api.Send)
--- a/tests/quota/test_ceiling.py
+++ b/tests/quota/test_ceiling.py
@@ -196,7 +196,7 @@
             gateways=gateways,
             own_number=number,
             seed=number + 1,
-            most_attempts=1,
+            max_attempts=1,
             may_probe=False,
             parallel_attempts=False,
             plans=(self.plan,),
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -159,7 +159,7 @@
 def test_cap_on_attempts_out_goes_by_where_requests_come_in(
     gateway: Build, elsewhere: float, least: int, most: int
 ) -> None:
-    front = gateway(servers=20, plan={"rate": 0.02, "burst": 1000.0, "most_open": 4})
+    front = gateway(servers=20, plan={"rate": 0.02, "burst": 1000.0, "max_in_flight": 4})
     sent, total = 0, 0.0
     for _ in range(30):
         front.now += 50
@@ -185,7 +185,7 @@
 
 
 def test_open_limit_without_a_rate(gateway: Build) -> None:
-    front = gateway(plan={"rate": 0.0, "burst": 0.0, "most_open": 4})
+    front = gateway(plan={"rate": 0.0, "burst": 0.0, "max_in_flight": 4})
     actions = [action for _ in range(5) for action in front.request()]
     assert len(every(actions, api.Send)) == 2
     assert len(every(actions, api.Refuse)) == 3
--- a/tests/support/policy_gateway.py
+++ b/tests/support/policy_gateway.py
@@ -14,7 +14,7 @@
 PLAN = api.PlanSettings(
     rate=0.002,
     burst=8.0,
-    most_open=0,
+    max_in_flight=0,
     ceiling_rate=0.0,
     ceiling_burst=0.0,
     ceiling_slack=0.0,
@@ -52,7 +52,7 @@
         may_probe=True,
         may_cancel=True,
         parallel_attempts=True,
-        most_attempts=4,
+        max_attempts=4,
         list_on_request=False,
         list_ask_within=10000.0,
         answer_slack=8.0,
--- a/wickspring/config.py
+++ b/wickspring/config.py
@@ -138,7 +138,7 @@
         may_probe=get.flag("Permissions.Probing"),
         may_cancel=get.flag("Permissions.Cancelling"),
         parallel_attempts=get.flag("Permissions.ParallelTries"),
-        most_attempts=get.whole("Permissions.MaxAttempts"),
+        max_attempts=get.whole("Permissions.MaxAttempts"),
         list_on_request=get.text("Discovery") == "on_request",
         list_ask_within=get.number("Obligations.AskWithin"),
         answer_slack=get.number("Obligations.AnswerSlack"),
@@ -175,7 +175,7 @@
     return api.PlanSettings(
         rate=get.number(f"{path}.UnitsPerS") / MS_PER_S,
         burst=get.number(f"{path}.PeakUnits"),
-        most_open=get.whole(f"{path}.MaxOut"),
+        max_in_flight=get.whole(f"{path}.MaxOut"),
         ceiling_rate=get.number(f"{path}.NeverOverRate") / MS_PER_S,
         ceiling_burst=get.number(f"{path}.NeverOverDepth"),
         ceiling_slack=get.number(f"{path}.HardSlack"),
--- a/wickspring/core/reducer.py
+++ b/wickspring/core/reducer.py
@@ -256,7 +256,7 @@
         self, now: float, pending: PendingRequest, number: int, entry: api.ServerEntry
     ) -> bool:
         """Hold an attempt to the rules: the module never asks for any other; should it err, none is made."""
-        if pending.answered or number >= self.settings.most_attempts or pending.body_committed:
+        if pending.answered or number >= self.settings.max_attempts or pending.body_committed:
             return False
         may_repeat = pending.may_repeat_on(entry, now, self.settings.parallel_attempts)
         if not check_invariant(may_repeat, "no forbidden copy"):
--- a/wickspring/interface.py
+++ b/wickspring/interface.py
@@ -1,6 +1,8 @@
-"""What a host and the decision module say to each other: settings, events and actions.
+"""The types between a host and the decision module: settings, events and actions.
 
-Times are milliseconds of the host's clock. Nothing in this file decides anything.
+Times are milliseconds of the host's clock, rates are per millisecond. Nothing in this file decides anything.
+A host is the ingress's reducer, or an outside simulator (`simwire.py`); values such as `MOOT` and the lists
+of fields follow the simulator's wire, and the settings those that operators give.
 """
 
 from __future__ import annotations
@@ -16,11 +18,11 @@
 
 
 class Effect(Enum):
-    """How often a request's effect may happen."""
+    """How often a request may be run."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # idempotent: any number of times
+    KEYED = "keyed"  # more than once where servers drop repeats by their key
+    UNSAFE = "unsafe"  # not idempotent: once
 
 
 class Group(Enum):
@@ -36,12 +38,12 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # turned away, before any work was done
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    MOOT = "moot"  # not sent: the request or the server was gone
 
     @property
     def never_ran(self) -> bool:
@@ -58,11 +60,11 @@
 
 
 class ListKind(Enum):
-    """What kind of news of the server list has come."""
+    """What a message about the server list contains."""
 
-    CACHED = "cached"
+    CACHED = "cached"  # a complete list that may be old
     CHANGES = "changes"
-    FAILED = "failed"
+    FAILED = "failed"  # the list could not be read
     COMPLETE = "complete"
 
 
@@ -72,11 +74,11 @@
 
     effect: Effect
     group: Group
-    repeat_window: float
-    target_latency: float
-    deadline: float
-    value: float
-    late_value: float
+    repeat_window: float  # ms for which servers drop the repeats of a keyed request
+    target_latency: float  # ms within which an answer has its full value
+    deadline: float  # ms after which an answer has none
+    value: float  # of an answer within the target latency
+    late_value: float  # of one within the deadline
     stream: bool
     name: str = ""
 
@@ -85,51 +87,51 @@
 class PlanSettings:
     """One plan: quota per customer over all gateways, and its hard ceiling (rate 0: none)."""
 
-    rate: float
-    burst: float
-    most_open: int
-    ceiling_rate: float
-    ceiling_burst: float
-    ceiling_slack: float
-    price: float
-    over_quota_value: float
+    rate: float  # units a ms
+    burst: float  # units
+    max_in_flight: int  # attempts at once; 0: any number
+    ceiling_rate: float  # units a ms
+    ceiling_burst: float  # units
+    ceiling_slack: float  # units by which the ceiling may be passed
+    price: float  # factor on the value of an answer
+    over_quota_value: float  # value of an answer beyond the quota
     over_quota_cost: float
     name: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a gateway is told when it starts."""
+    """All that a gateway is given when it starts."""
 
-    seed: int
-    own_number: int
+    seed: int  # of its random generator
+    own_number: int  # of this gateway among all of them, from 0
     gateways: int
-    zone: int
+    zone: int  # of this gateway
     classes: tuple[ClassSettings, ...]
     plans: tuple[PlanSettings, ...]
-    may_count: bool
-    count_timeout: float
-    largest_units: float
-    settles_later: bool
-    meter_period: float
+    may_count: bool  # there is a quota counter to call
+    count_timeout: float  # ms
+    largest_units: float  # of any request
+    settles_later: bool  # an answer tells the units that it has used
+    meter_period: float  # ms
     may_probe: bool
     may_cancel: bool
-    parallel_attempts: bool
-    most_attempts: int
-    list_on_request: bool
-    list_ask_within: float
-    answer_slack: float
-    drain_grace: float
-    cold_capacity: float
-    cold_time: float
-    overload_factor: float
-    overload_time: float
-    tick: float
-    load_fields: tuple[str, ...]
-    marks_repeats: bool = False
+    parallel_attempts: bool  # several attempts of a request may be in flight at once
+    max_attempts: int  # of one request
+    list_on_request: bool  # the server list has to be asked for
+    list_ask_within: float  # ms
+    answer_slack: float  # ms after the deadline within which a final answer still counts
+    drain_grace: float  # ms
+    cold_capacity: float  # part of its full capacity that a server has when it starts
+    cold_time: float  # ms until it has all of it
+    overload_factor: float  # times its present capacity that overload a server,
+    overload_time: float  # for as long, ms
+    tick: float  # ms, resolution of the host's timers
+    load_fields: tuple[str, ...]  # what the figures of a load report are
+    marks_repeats: bool = False  # clients mark the repeats of a request
     zones: tuple[str, ...] = ()
-    dial_timeout: float = 250.0
-    idle_close: float = 30_000.0
+    dial_timeout: float = 250.0  # ms
+    idle_close: float = 30_000.0  # ms
     streams_per_connection: int = 100
 
 
@@ -147,7 +149,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """News of the server list."""
+    """The server list, or changes to it."""
 
     kind: ListKind
     entries: tuple[ServerEntry, ...]
@@ -155,17 +157,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's try has come in; one final answer is owed from here on."""
+    """A client's request has come in; one final answer is owed from here on."""
 
-    request: int
+    request: int  # its number, unique at this gateway
     class_index: int
     plan_index: int
     customer: int
     deadline: float
-    units: float
-    spread: int
-    first_gateway: int
-    repeat: bool = False  # marked by the client as a try of a request made before
+    units: float  # of the customer's quota
+    spread: int  # gateways through which the customer's requests come in: its set
+    first_gateway: int  # number of the first one of the set
+    repeat: bool = False  # marked by the client as a repeat of an earlier request
 
 
 @dataclass(slots=True, frozen=True)
@@ -182,13 +184,13 @@
     """How one attempt ended. `over` says that the client has its final answer."""
 
     request: int
-    attempt: int
+    attempt: int  # number among those of its request, from 0
     server: ServerId
     status: Status
     over: bool
-    elapsed: float
-    load: tuple[float, ...]
-    settled_units: float
+    elapsed: float  # ms
+    load: tuple[float, ...]  # the server's load report, as `Settings.load_fields`
+    settled_units: float  # used in the end, where `Settings.settles_later`
     fleet_use: int
 
 
@@ -228,7 +230,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Words from another gateway, where a deployment has them."""
+    """A message from another gateway, where a deployment has them."""
 
     sender: int
     payload: bytes
@@ -236,44 +238,44 @@
 
 @dataclass(slots=True, frozen=True)
 class Avoid:
-    """Servers that others have found bad, to be shunned until these times."""
+    """Servers that peers have found failing, to be ejected until these times."""
 
     servers: tuple[tuple[ServerId, float], ...]
 
 
 class PeerState:
-    """What gateways share where they talk (`shared/shares.py`). This one shares and bounds nothing."""
+    """State that gateways share where they talk (`peer_state/shares.py`); none here."""
 
     def may_take(self, now: float, name: str) -> bool:
-        """Tell whether a right of a budget may be spent; without a budget of that name it may."""
+        """Tell whether a unit of a budget may be taken; without a budget of that name it may."""
         return True
 
     def take(self, now: float, name: str) -> bool:
-        """Spend one; False where there is none."""
+        """Take a unit of a budget; return False where none is left."""
         return True
 
     def release(self, now: float, name: str) -> None:
-        """Free one whose use is over."""
+        """Give a unit of a budget back."""
 
     def concurrency_budget(self, request: Request) -> str:
-        """Name the budget of a customer's attempts out at once; empty where they are not held by rights."""
+        """Return the name of the budget of a customer's concurrent attempts; empty where there is none."""
         return ""
 
     def record_usage(
         self, customer: int, window: int, units: float, until: float, first: int, spread: int
     ) -> None:
-        """Note units sent on in a customer's window, which ends then."""
+        """Record units forwarded in a customer's window, which ends at `until`."""
 
     def peer_usage(self, customer: int, window: int) -> float:
-        """Return the units that others have told to be sent on in a window."""
+        """Return the units that peers report as forwarded in a window."""
         return 0.0
 
     def receives_all_counts(self, now: float, first: int, spread: int) -> bool:
-        """Tell whether all the others of a customer's set of gateways have been heard of late."""
+        """Tell whether counts were lately received from all peers of a customer's set of gateways."""
         return False
 
     def record_outcome(self, now: float, server: ServerId, started: float, good: bool) -> None:
-        """Note how an attempt at a server ended."""
+        """Record how an attempt at a server ended."""
 
 
 Event = (
@@ -332,7 +334,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Ask a server for a sign of life and its load."""
+    """Ask a server whether it is up, and for its load."""
 
     server: ServerId
 
--- a/wickspring/peer_state/budget_rights.py
+++ b/wickspring/peer_state/budget_rights.py
@@ -101,7 +101,7 @@
         if len(numbers) != 4 or not all(number.isascii() and number.isdigit() for number in numbers):
             return None
         plan = int(numbers[0])
-        rights = self.settings.plans[plan].most_open if plan < len(self.settings.plans) else 0
+        rights = self.settings.plans[plan].max_in_flight if plan < len(self.settings.plans) else 0
         return _terms(self.bounds, rights, self._deadline)
 
     def part(self, name: str, terms: Terms, slot: int) -> int:
@@ -116,7 +116,7 @@
 
     def concurrency_budget(self, request: api.Request) -> str:
         """Name the budget of a customer's concurrent attempts; empty where its plan has none by rights."""
-        if not self.bounds.capped_plans or self.settings.plans[request.plan_index].most_open <= 0:
+        if not self.bounds.capped_plans or self.settings.plans[request.plan_index].max_in_flight <= 0:
             return ""
         return f"cap {request.plan_index} {request.customer} {request.first_gateway} {request.spread}"
 
--- a/wickspring/policy.py
+++ b/wickspring/policy.py
@@ -250,7 +250,7 @@
     def _send(self, active: ActiveRequest) -> None:
         """Make the next attempt, or have the request wait for a server."""
         budget = active.quota.concurrency_budget
-        more = len(active.attempted) < self.settings.most_attempts
+        more = len(active.attempted) < self.settings.max_attempts
         server = None
         if more and self.peer_state.may_take(self.now, budget):
             server = self.selector.choose(self.now, active, len(self.attempts))
@@ -352,7 +352,7 @@
     def _retry(self, active: ActiveRequest, status: Status) -> None:
         """Try once more where class, budget and time allow; else give the final answer."""
         late = self.now >= active.request.deadline - DEADLINE_MARGIN_MS
-        if late or len(active.attempted) >= self.settings.most_attempts:
+        if late or len(active.attempted) >= self.settings.max_attempts:
             self._give_up(active)
         elif status is Status.CONNECT_FAILED or self._take_retry():  # a failed connection loads no server
             self._send(active)
--- a/wickspring/quota/counting_windows.py
+++ b/wickspring/quota/counting_windows.py
@@ -51,11 +51,11 @@
     fillings = min(max(FLAT_FILLINGS, FILLINGS_PER_SPREAD / spread), MAX_FILLINGS)
     flat = fillings <= 1.0
     depth = plan.burst
-    if flat and plan.most_open > 0:
+    if flat and plan.max_in_flight > 0:
         middle_units = math.sqrt(
             max(1.0, largest_units)
         )  # geometric mean of one unit and the largest request
-        depth = min(depth, plan.most_open * middle_units)
+        depth = min(depth, plan.max_in_flight * middle_units)
     if plan.rate <= 0:
         return CountingWindow(MAX_LENGTH_MS, depth, depth, 0.0, flat)
     length = min(max(fillings * depth / plan.rate, MIN_LENGTH_MS), MAX_LENGTH_MS)
--- a/wickspring/quota/customer_quota.py
+++ b/wickspring/quota/customer_quota.py
@@ -178,10 +178,10 @@
 
     def at_concurrency_cap(self, now: float) -> bool:
         """Tell whether as many attempts are in flight, at all gateways, as the plan allows."""
-        if self.plan.most_open <= 0:
+        if self.plan.max_in_flight <= 0:
             return False
         remote_ratio = self.remote_usage / self.local_usage if self.plan.rate > 0 else None
-        return self.in_flight.at_cap(now, self.plan.most_open, self.spread, remote_ratio)
+        return self.in_flight.at_cap(now, self.plan.max_in_flight, self.spread, remote_ratio)
 
 
 def new_quota(
