--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -385,7 +385,7 @@
 def test_the_maintenance_set_is_kept_beside_the_socket(folder: Path) -> None:
     path, held = folder / "a.sock", Maintenance()
     assert maintenance_store.load(path) == ([], {})
-    held.listed(listed(1, 2))
+    held.apply(listed(1, 2))
     held.exclude(Gateway.entry(1).server)
     maintenance_store.save(path, held)
     assert maintenance_store.load(path) == ([Gateway.entry(1).server], {})
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -36,46 +36,46 @@
 
 def test_a_server_taken_out_drains_whatever_discovery_lists() -> None:
     held = Maintenance()
-    held.listed(listed(1, 2))
+    held.apply(listed(1, 2))
     (change,) = held.exclude(name(1))
     assert states(change) == [Readiness.DRAINING]
-    assert states(held.listed(listed(1, 2))) == [Readiness.DRAINING, Readiness.READY]
-    assert states(held.listed(listed(1, kind=ListKind.CHANGES, started_at=5.0))) == [Readiness.DRAINING]
+    assert states(held.apply(listed(1, 2))) == [Readiness.DRAINING, Readiness.READY]
+    assert states(held.apply(listed(1, kind=ListKind.CHANGES, started_at=5.0))) == [Readiness.DRAINING]
     gone = listed(1, kind=ListKind.CHANGES, readiness=Readiness.GONE)
-    assert states(held.listed(gone)) == [Readiness.GONE]
-    assert states(held.listed(listed(1, kind=ListKind.CHANGES))) == [Readiness.DRAINING]
+    assert states(held.apply(gone)) == [Readiness.GONE]
+    assert states(held.apply(listed(1, kind=ListKind.CHANGES))) == [Readiness.DRAINING]
 
 
 def test_two_calls_out_need_one_back_and_the_return_is_cold_and_new() -> None:
     held = Maintenance()
-    held.listed(listed(1, started_at=3.0))
+    held.apply(listed(1, started_at=3.0))
     assert held.exclude(name(1)) and not held.exclude(name(1))
     gone, ready = held.include(name(1), 1000.0)
     assert states(gone) == [Readiness.GONE] and states(ready) == [Readiness.READY]
     assert ready.entries[0].started_at == 1000.0
-    assert held.listed(listed(1, started_at=3.0)).entries[0].started_at == 1000.0
-    assert held.listed(listed(1, started_at=2000.0)).entries[0].started_at == 2000.0
+    assert held.apply(listed(1, started_at=3.0)).entries[0].started_at == 1000.0
+    assert held.apply(listed(1, started_at=2000.0)).entries[0].started_at == 2000.0
     assert not held.include(name(1), 3000.0)  # it was not out: nothing grows cold
-    assert held.listed(listed(1, started_at=3.0)).entries[0].started_at == 1000.0
+    assert held.apply(listed(1, started_at=3.0)).entries[0].started_at == 1000.0
 
 
 def test_put_back_while_discovery_drains_or_has_removed_it() -> None:
     held = Maintenance()
-    held.listed(listed(1, 2))
+    held.apply(listed(1, 2))
     held.exclude(name(1))
-    held.listed(listed(1, kind=ListKind.CHANGES, readiness=Readiness.DRAINING))
+    held.apply(listed(1, kind=ListKind.CHANGES, readiness=Readiness.DRAINING))
     assert states(held.include(name(1), 10.0)[1]) == [Readiness.DRAINING]
     held.exclude(name(2))
-    held.listed(listed(2, kind=ListKind.CHANGES, readiness=Readiness.GONE))
+    held.apply(listed(2, kind=ListKind.CHANGES, readiness=Readiness.GONE))
     assert held.knows(name(2)) and not held.include(name(2), 20.0)
-    back = held.listed(listed(2, kind=ListKind.CHANGES)).entries[0]
+    back = held.apply(listed(2, kind=ListKind.CHANGES)).entries[0]
     assert (back.readiness, back.started_at) == (Readiness.READY, 20.0)
 
 
 def test_ids_that_nobody_has_are_not_known_and_those_lately_removed_are() -> None:
     held = Maintenance()
-    held.listed(listed(1, 2))
-    held.listed(listed(2))
+    held.apply(listed(1, 2))
+    held.apply(listed(2))
     assert held.knows(name(1)) and held.knows(name(2)) and not held.knows(name(3))
 
 
@@ -83,18 +83,18 @@
     for first in (True, False):
         held, news = Maintenance(), listed(1, 2, 3)
         if first:
-            held.listed(news)
-        changes = held.adopt([name(1)], {name(2): 50.0})
+            held.apply(news)
+        changes = held.take_over([name(1)], {name(2): 50.0})
         seen = {entry.server: entry for change in changes for entry in change.entries}
         if not first:
-            seen = {entry.server: entry for entry in held.listed(news).entries}
+            seen = {entry.server: entry for entry in held.apply(news).entries}
         assert seen[name(1)].readiness is Readiness.DRAINING
         assert (seen[name(2)].readiness, seen[name(2)].started_at) == (Readiness.READY, 50.0)
 
 
 def test_the_module_forgets_what_it_knew_of_a_server_put_back() -> None:
     front, held = Gateway(make_settings(may_count=False)), Maintenance()
-    front.feed(held.listed(listed(1, 2)))
+    front.feed(held.apply(listed(1, 2)))
     server = front.policy.server_table.servers[name(1)]
     server.failures, server.ejected_until = 5, front.now + 60_000.0
     for change in [*held.exclude(name(1)), *held.include(name(1), front.now)]:
--- a/wickspring/net/ingress_process.py
+++ b/wickspring/net/ingress_process.py
@@ -71,7 +71,7 @@
             out, back = maintenance_store.load(self.path)
         else:
             return
-        for change in self.runtime.maintenance.adopt(out, back):
+        for change in self.runtime.maintenance.take_over(out, back):
             self.runtime.dispatch(change)
         if out:
             log.info("maintenance_kept", extra=kv(out=" ".join(s.decode("utf-8", "replace") for s in out)))
@@ -81,7 +81,7 @@
     def welcome(self) -> tuple[Welcome, list[int]]:
         """Return the first answer to a successor, and the descriptors of the listening sockets."""
         maintenance = self.runtime.maintenance
-        message = Welcome(VERSION, list(maintenance.out), dict(maintenance.back))
+        message = Welcome(VERSION, list(maintenance.excluded), dict(maintenance.included_at))
         return message, [front.listener.fileno() for front in self.fronts]
 
     def pause(self, paused: bool) -> None:
--- a/wickspring/net/maintenance_store.py
+++ b/wickspring/net/maintenance_store.py
@@ -32,7 +32,7 @@
     file = _file(path)
     fresh = file.with_suffix(f".{os.getpid()}.new")
     try:
-        fresh.write_bytes(msgspec.msgpack.encode(Kept(list(maintenance.out), maintenance.back)))
+        fresh.write_bytes(msgspec.msgpack.encode(Kept(list(maintenance.excluded), maintenance.included_at)))
         fresh.replace(file)
     except OSError as error:
         log.warning("maintenance_not_kept", extra=kv(reason=error))
--- a/wickspring/net/runtime.py
+++ b/wickspring/net/runtime.py
@@ -182,7 +182,7 @@
 
     def on_server_list(self, news: api.ServerList) -> None:
         """Take in what discovery sends, without the servers that operators have taken out."""
-        self.dispatch(self.maintenance.listed(news))
+        self.dispatch(self.maintenance.apply(news))
 
     def exclude(self, server: api.ServerId) -> bool:
         """Take a server out; False where nobody has such an id."""
--- a/wickspring/routing/maintenance.py
+++ b/wickspring/routing/maintenance.py
@@ -1,8 +1,8 @@
-"""Ticket servers that operators have taken out, laid over what discovery says; no I/O and no clock.
+"""Servers that operators have excluded for maintenance, laid over the list of discovery. No I/O, no clock.
 
-To the core a server taken out is one that drains. It stays so whatever discovery lists meanwhile, until it is
-put back. Operators restart it in between, which discovery may tell late or never; so it is back as one that
-has just started, and what was known of it before is forgotten.
+To the reducer an excluded server is one that drains. It stays so whatever discovery lists meanwhile, until
+it is included again. Operators restart it in between, which discovery may report late or never; so it comes
+back as one that has just started, and what was known of it before is forgotten.
 """
 
 from __future__ import annotations
@@ -11,71 +11,72 @@
 
 from wickspring.interface import ListKind, Readiness, ServerEntry, ServerId, ServerList
 
-LATELY_MOST = 1024  # ids kept that discovery has removed: a server in its restart may be one of them
+MAX_REMOVED = 1024  # ids kept that discovery has removed: a server that restarts may be one of them
 
 
 class Maintenance:
-    """The set of servers taken out, and when others were put back."""
+    """The set of excluded servers, and when others were included again."""
 
     def __init__(self) -> None:
-        self.out: dict[ServerId, None] = {}  # a set that keeps the order of coming
-        self.back: dict[ServerId, float] = {}  # Unix ms of the last return of those still listed
-        self._told: dict[ServerId, ServerEntry] = {}  # as discovery has told them
-        self._lately: dict[ServerId, None] = {}
+        self.excluded: dict[ServerId, None] = {}  # a set that keeps the order of insertion
+        self.included_at: dict[ServerId, float] = {}  # Unix ms, of those still listed
+        self._listed: dict[ServerId, ServerEntry] = {}  # as discovery lists them
+        self._removed: dict[ServerId, None] = {}  # by discovery, the latest ones
 
     def knows(self, server: ServerId) -> bool:
-        """Tell whether there is such a server: listed, removed lately, or taken out."""
-        return server in self._told or server in self.out or server in self._lately
+        """Tell whether there is such a server: listed, removed lately, or excluded."""
+        return server in self._listed or server in self.excluded or server in self._removed
 
-    def listed(self, event: ServerList) -> ServerList:
-        """Take in what discovery says, and return what the core is to hold."""
+    def apply(self, event: ServerList) -> ServerList:
+        """Take in a list of discovery, and return it as the reducer is to see it."""
         if event.kind in (ListKind.CACHED, ListKind.COMPLETE):
-            named = {entry.server for entry in event.entries}
-            for server in [server for server in self._told if server not in named]:
+            listed = {entry.server for entry in event.entries}
+            for server in [server for server in self._listed if server not in listed]:
                 self._remove(server)
         for entry in event.entries:
             if entry.readiness is Readiness.GONE:
                 self._remove(entry.server)
             else:
-                self._told[entry.server] = entry
-                self._lately.pop(entry.server, None)
-        return ServerList(event.kind, tuple(map(self._seen, event.entries)))
+                self._listed[entry.server] = entry
+                self._removed.pop(entry.server, None)
+        return ServerList(event.kind, tuple(map(self._overlay, event.entries)))
 
     def _remove(self, server: ServerId) -> None:
-        if self._told.pop(server, None) is not None:
-            self.back.pop(server, None)
-            self._lately[server] = None
-            while len(self._lately) > LATELY_MOST:
-                del self._lately[next(iter(self._lately))]
+        if self._listed.pop(server, None) is not None:
+            self.included_at.pop(server, None)
+            self._removed[server] = None
+            while len(self._removed) > MAX_REMOVED:
+                del self._removed[next(iter(self._removed))]
 
-    def _seen(self, entry: ServerEntry) -> ServerEntry:
-        if entry.server in self.out and entry.readiness is Readiness.READY:
+    def _overlay(self, entry: ServerEntry) -> ServerEntry:
+        if entry.server in self.excluded and entry.readiness is Readiness.READY:
             entry = replace(entry, readiness=Readiness.DRAINING)
-        since = self.back.get(entry.server, 0.0)
-        return replace(entry, started_at=since) if since > entry.started_at else entry
+        included_at = self.included_at.get(entry.server, 0.0)
+        return replace(entry, started_at=included_at) if included_at > entry.started_at else entry
 
     def exclude(self, server: ServerId) -> list[ServerList]:
-        """Take a server out; return the news for the core. Twice is as good as once."""
-        if server in self.out:
+        """Exclude a server; return the changes for the reducer, none if it is excluded already."""
+        if server in self.excluded:
             return []
-        self.out[server] = None
-        told = self._told.get(server)
-        return [] if told is None else [ServerList(ListKind.CHANGES, (self._seen(told),))]
+        self.excluded[server] = None
+        entry = self._listed.get(server)
+        return [] if entry is None else [ServerList(ListKind.CHANGES, (self._overlay(entry),))]
 
     def include(self, server: ServerId, now: float) -> list[ServerList]:
-        """Put a server back, cold at `now`; nothing changes for one that is not out."""
-        if server not in self.out:
+        """Include a server again, as started at `now`; nothing changes for one that is not excluded."""
+        if server not in self.excluded:
             return []
-        del self.out[server]
-        self.back[server], told = now, self._told.get(server)
-        if told is None:
-            return []  # not listed at present: it is cold when it comes
-        gone = replace(told, readiness=Readiness.GONE)
-        return [ServerList(ListKind.CHANGES, (entry,)) for entry in (gone, self._seen(told))]
+        del self.excluded[server]
+        self.included_at[server] = now
+        entry = self._listed.get(server)
+        if entry is None:
+            return []  # not listed at present: it warms up when it comes
+        gone = replace(entry, readiness=Readiness.GONE)
+        return [ServerList(ListKind.CHANGES, (change,)) for change in (gone, self._overlay(entry))]
 
-    def adopt(self, out: list[ServerId], back: dict[ServerId, float]) -> list[ServerList]:
-        """Take over what the process before this one knew."""
-        news = [change for server in out for change in self.exclude(server)]
-        self.back.update(back)
-        again = [self._seen(entry) for entry in self._told.values() if entry.server in back]
-        return [*news, ServerList(ListKind.CHANGES, tuple(again))] if again else news
+    def take_over(self, excluded: list[ServerId], included_at: dict[ServerId, float]) -> list[ServerList]:
+        """Take over what the process before this one knew; return the changes for the reducer."""
+        changes = [change for server in excluded for change in self.exclude(server)]
+        self.included_at.update(included_at)
+        again = [self._overlay(entry) for entry in self._listed.values() if entry.server in included_at]
+        return [*changes, ServerList(ListKind.CHANGES, tuple(again))] if again else changes
