--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -227,7 +227,7 @@
                 await nursery.start(before.run)
                 after = Successor(path, new)
                 assert await after.begin()
-                assert after.welcome is not None and after.welcome.out == [b"s1"]
+                assert after.welcome is not None and after.welcome.excluded == [b"s1"]
                 assert after.listeners[0].getsockname() == old.listener.getsockname()
                 late = Successor(path, Side())
                 assert not await late.begin()  # one successor at a time
--- a/wickspring/core/effects.py
+++ b/wickspring/core/effects.py
@@ -1,6 +1,7 @@
-"""What the reducer is told beside the module's own events, and the effects that it asks for.
+"""The reducer's events beside those of the decision module, and the effects that it asks for.
 
-Probes, counts, timers and the following of the list are the module's own actions, passed on as they are.
+Probes, counts, timers and subscriptions to the server list are the module's own actions, passed on as they
+are.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    REJECTED = "rejected"  # it should not have been asked: nothing was done for it
+    REJECTED = "rejected"  # its id is that of another request under way: nothing was done for it
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestBodyCommitted:
-    """An attempt is about to take what is not held of a body: no other can follow it."""
+    """An attempt is about to take what is not buffered of a body: no other attempt can follow."""
 
     request: int
     attempt: int
@@ -38,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestBodySent:
-    """The last byte of a long body has come and is written; the client's time runs from here."""
+    """The last byte of a long body has been written; the deadline counts from here."""
 
     request: int
     deadline: float
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseStreamReady:
-    """A good answer longer than what is held has come as far as that."""
+    """The buffer is full of a successful answer, the rest of which is to be streamed."""
 
     request: int
     attempt: int
@@ -72,12 +73,12 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Send the request to a server; give up at `until`."""
+    """Send the request to a server; give up at the deadline."""
 
     request: int
     attempt: int
     server: api.ServerId
-    until: float
+    deadline: float  # ms
 
 
 @dataclass(slots=True, frozen=True)
@@ -90,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartStreamedResponse:
-    """Begin the final answer with what has come of an attempt's, and pass on the rest as it comes."""
+    """Begin the final answer with what is buffered of an attempt's, and stream the rest."""
 
     request: int
     attempt: int
@@ -98,7 +99,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndStreamedResponse:
-    """The answer that was passed on has ended, whole or not; the client must see which."""
+    """The streamed answer has ended, complete or not; the client must see which."""
 
     request: int
     complete: bool
--- a/wickspring/core/succession.py
+++ b/wickspring/core/succession.py
@@ -1,7 +1,7 @@
-"""What the serving process tells the one that follows it: messages, and how state is taken out and put in.
+"""Hot restart: messages between the serving process and its successor, export and import of state.
 
-Free of I/O and clock. Times are Unix milliseconds, which both processes read alike. What cannot be told apart
-(an attempt that is out, a call to the counter that is not answered) stays with the process that made it.
+No I/O, no clock. Times are Unix milliseconds, which both processes read alike. What cannot be handed over (an
+attempt in flight, a call to the counter that is not answered) stays with the process that made it.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from wickspring.routing.latency_estimate import LatencyEstimate
 from wickspring.routing.server_table import Server
 
-VERSION = 1  # of the messages; another is answered with a plain start
-BATCH = 256  # accounts, servers or ids in one message, so that none is longer than a socket takes
+VERSION = 1  # of the messages; a peer of another version is followed by a start without its state
+BATCH = 256  # quotas, servers or ids in one message, so that none is longer than a socket takes
 
 
 class Hello(msgspec.Struct, tag="hello", array_like=True, frozen=True):
-    """The successor's first word."""
+    """The successor's first message."""
 
     version: int
 
@@ -35,8 +35,8 @@
     """The serving process's answer; with it come its listening sockets, the clients' first."""
 
     version: int
-    out: list[bytes] = []  # ticket servers taken out
-    back: dict[bytes, float] = {}  # and when others were put back
+    excluded: list[bytes] = []  # servers, for maintenance
+    included_at: dict[bytes, float] = {}  # when others were included again
 
 
 class Serving(msgspec.Struct, tag="serving", array_like=True, frozen=True):
@@ -94,7 +94,7 @@
 
 
 class State(msgspec.Struct, tag="state", array_like=True, frozen=True):
-    """A part of the state; with the last one it is whole."""
+    """A part of the state; the last one says that all parts have been sent."""
 
     quotas: list[QuotaState] = []
     servers: list[ServerState] = []
@@ -111,10 +111,10 @@
 
 
 class MaintenanceChanged(msgspec.Struct, tag="moved", array_like=True, frozen=True):
-    """A ticket server has been taken out, or put back at a time."""
+    """A server has been excluded for maintenance, or included again at a time."""
 
     server: bytes
-    back: float | None = None
+    included_at: float | None = None
 
 
 class DescriptorsHeld(msgspec.Struct, tag="held", array_like=True, frozen=True):
--- a/wickspring/lab/simulation/ingress_site/virtual_ingress.py
+++ b/wickspring/lab/simulation/ingress_site/virtual_ingress.py
@@ -136,14 +136,14 @@
             effect.server,
             ("", 0),
             self._site.scenario.shape.kind[scheduled.kind].effect == "once",
-            effect.until,
+            effect.deadline,
             request=effect.request,
             number=effect.attempt,
             scheduled=scheduled,
         )
         self._attempts[effect.request, effect.attempt] = attempt
         time_out = partial(self.connections.stop, attempt, api.Status.TIMEOUT)
-        self._site.timeline.at(effect.until - EPOCH_MS, time_out)
+        self._site.timeline.at(effect.deadline - EPOCH_MS, time_out)
         self.connections.start(attempt)
 
     def _on_ended(self, attempt: Attempt, status: api.Status | None, body: bytes) -> None:
--- a/wickspring/net/attempts.py
+++ b/wickspring/net/attempts.py
@@ -56,7 +56,7 @@
             self.ended(start.request, start.attempt, ExchangeResult(api.Status.CONNECT_FAILED))
             return
         call = open_request.call
-        remaining_ms = max(1, int(start.until - self._clock.now()))
+        remaining_ms = max(1, int(start.deadline - self._clock.now()))
         headers = [("X-Call-Id", call.call_id), ("X-Budget-Ms", str(remaining_ms))]
         if call.key:
             headers.append(("Idempotency-Key", call.key))
@@ -64,7 +64,7 @@
             start.server,
             address,
             self._settings.classes[call.class_index].effect is api.Effect.UNSAFE,
-            start.until,
+            start.deadline,
             method=call.method,
             target=call.target,
             headers=headers,
--- a/wickspring/net/handover.py
+++ b/wickspring/net/handover.py
@@ -233,7 +233,7 @@
                 nursery.start_soon(self._give, channel)
                 log.info("succeeded")
             elif isinstance(message, succession.MaintenanceChanged):
-                self.ingress.apply_maintenance(message.server, message.back)
+                self.ingress.apply_maintenance(message.server, message.included_at)
 
     async def _give(self, channel: Channel) -> None:
         """Hand client connections over, as they fall idle, to the end of this process."""
@@ -336,7 +336,7 @@
                     if message.last:
                         self._whole.set()
                 elif isinstance(message, succession.MaintenanceChanged):
-                    self.ingress.apply_maintenance(message.server, message.back)
+                    self.ingress.apply_maintenance(message.server, message.included_at)
                 elif isinstance(message, succession.DescriptorsHeld):
                     self.ingress.on_peer_descriptors(message.descriptors)
                 for sock in socks:
--- a/wickspring/net/ingress_process.py
+++ b/wickspring/net/ingress_process.py
@@ -66,7 +66,7 @@
         """Take out the servers that were out, by the process before this one or by what it left in a file."""
         welcome = self.successor.welcome if self.successor is not None else None
         if welcome is not None:
-            out, back = welcome.out, welcome.back
+            out, back = welcome.excluded, welcome.included_at
         elif self.path is not None:
             out, back = maintenance_store.load(self.path)
         else:
