--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -12,7 +12,7 @@
 Build = Callable[..., Gateway]
 
 
-def test_silent_fleet_still_gets_every_request_answered_before_its_deadline(gateway: Build) -> None:
+def test_every_request_is_answered_before_its_deadline_by_an_unresponsive_fleet(gateway: Build) -> None:
     front = gateway(may_probe=False)
     front.admitted()
     front.run(3980)
@@ -24,14 +24,14 @@
     assert only(gateway().request(deadline=0.0), api.Refuse)
 
 
-def test_no_server_holds_then_refuses(gateway: Build) -> None:
+def test_without_servers_a_request_is_queued_then_refused(gateway: Build) -> None:
     front = gateway(servers=0)
     call = only(front.request(), api.Count)
     assert not every(front.count(call.name, 1.0), api.Refuse)
     assert only(front.run(600), api.Refuse)
 
 
-def test_hold_ends_at_each_requests_own_time(gateway: Build) -> None:
+def test_each_request_leaves_the_queue_at_its_own_time(gateway: Build) -> None:
     # The look at a second request was set to the end of the first one's hold, and found nothing due yet.
     front = gateway(servers=0)
     for _ in range(2):
@@ -41,7 +41,7 @@
     assert len(every(front.done, api.Refuse)) == 2
 
 
-def test_server_that_comes_takes_what_waits(gateway: Build) -> None:
+def test_a_new_server_gets_the_queued_request(gateway: Build) -> None:
     front = gateway(servers=0)
     front.count(only(front.request(), api.Count).name, 1.0)
     front.list_servers(front.entry(3), kind=api.ListKind.CHANGES)
@@ -78,7 +78,7 @@
     assert not every(front.done, api.Refuse)
 
 
-def test_one_attempt_at_a_time_where_copies_are_not_allowed(gateway: Build) -> None:
+def test_one_attempt_at_a_time_without_parallel_attempts(gateway: Build) -> None:
     front = gateway(parallel_attempts=False)
     send = front.admitted()
     front.run(1200)
@@ -87,14 +87,14 @@
     assert only(front.outcome(send, Status.CANCELLED, attempt=cancel.attempt), api.Send).server != send.server
 
 
-def test_silent_server_is_left_and_its_request_copied(gateway: Build) -> None:
+def test_request_at_an_unresponsive_server_is_hedged(gateway: Build) -> None:
     front = gateway()
     first = front.admitted()
     front.run(600)
     assert {send.server for send in every(front.done, api.Send)} - {first.server}
 
 
-def test_failures_do_not_feed_themselves(gateway: Build) -> None:
+def test_retries_keep_to_the_retry_budget(gateway: Build) -> None:
     front = gateway(plan={"rate": 1.0, "burst": 1000.0}, servers=20)
     for _ in range(200):
         send, attempt = front.admitted(0.0), 0
@@ -113,7 +113,7 @@
     assert not every(front.done, api.Cancel)
 
 
-def test_events_for_what_is_no_longer_held(gateway: Build) -> None:
+def test_events_of_an_ended_request_are_ignored(gateway: Build) -> None:
     front = gateway()
     send = front.admitted()
     front.outcome(send, Status.OK)
--- a/tests/policy/test_cold_servers.py
+++ b/tests/policy/test_cold_servers.py
@@ -18,7 +18,7 @@
 GATEWAYS, SERVERS, REPLACED = 40, 60, 36
 CORES, WORK_MS = 2, 200.0  # so a warm server does ten requests a second
 COLD, WARM_MS = 0.2, 10_000.0  # part of that of a new one, and the time until it has all
-FALL, FALL_MS = 4.0, 1500.0  # times its present capacity, for so long, that push a server over
+FALL, FALL_MS = 4.0, 1500.0  # times its present capacity, for so long, that overload a server
 FIRST_MS, SPREAD_MS, LATE_MS, END_MS = 3000.0, 7000.0, (500.0, 3000.0), 16_000.0
 
 
@@ -49,14 +49,14 @@
 
 
 class Site:
-    """Forty policies that hear of what they should, each a little later."""
+    """Forty policies that receive each list a little later."""
 
     def __init__(self, rate: float, seed: int) -> None:
         self.timeline, self.random, self.rate, self.served = Timeline(), Random(seed), rate, 0
         self.servers = {Gateway.entry(n).server: Server(self, n) for n in range(SERVERS)}
         plan = {"rate": 1.0, "burst": 1000.0}
-        told = {"plan": plan, "cold_capacity": COLD, "cold_time": WARM_MS}
-        self.gateways = fleet(GATEWAYS, SERVERS, gateways=GATEWAYS, zone=0, **told)
+        changes = {"plan": plan, "cold_capacity": COLD, "cold_time": WARM_MS}
+        self.gateways = fleet(GATEWAYS, SERVERS, gateways=GATEWAYS, zone=0, **changes)
         self.start = self.gateways[0].now
         for number in range(REPLACED):
             self.timeline.at(FIRST_MS + SPREAD_MS * self.random.random(), partial(self.replace, number))
@@ -72,9 +72,9 @@
         fresh.born = now
         for front in self.gateways:
             late = self.random.uniform(*LATE_MS)
-            self.timeline.at(now + late, partial(self.told, front, gone, new))
+            self.timeline.at(now + late, partial(self.receive_list, front, gone, new))
 
-    def told(self, front: Gateway, *entries: api.ServerEntry) -> None:
+    def receive_list(self, front: Gateway, *entries: api.ServerEntry) -> None:
         front.now = self.start + self.timeline.now
         front.list_servers(*entries, kind=api.ListKind.CHANGES)
 
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 4])
-def test_no_new_server_is_pushed_over_while_six_in_ten_are_replaced(seed: int) -> None:
+def test_no_new_server_is_overloaded_while_six_in_ten_are_replaced(seed: int) -> None:
     site = Site(rate=0.9 * SERVERS * CORES / WORK_MS * 1000.0, seed=seed)
     site.timeline.run(END_MS)
     peaks = [site.servers[Gateway.entry(number + 100).server].peak for number in range(REPLACED)]
--- a/tests/policy/test_many_policies.py
+++ b/tests/policy/test_many_policies.py
@@ -42,13 +42,13 @@
     return sent
 
 
-def test_equal_servers_are_spread_over_and_not_taken_in_list_order() -> None:
+def test_equal_servers_share_the_requests_whatever_their_order() -> None:
     chosen = Counter(sends(front)[0].server for front in fleet())
     assert len(chosen) > 50
     assert max(chosen.values()) < 4 * FLEET / 60
 
 
-def test_cold_server_gets_a_small_part_of_the_fleets_sends() -> None:
+def test_slow_start_gives_a_server_a_small_part_of_the_fleets_requests() -> None:
     # A floor of one send each would have been 330 in the same moment.
     gateways = fleet()
     for front in gateways:
@@ -58,7 +58,7 @@
     assert chosen[Gateway.entry(5).server] <= 2.5 * share
 
 
-def test_fleet_of_cold_servers_is_not_pushed_over() -> None:
+def test_fleet_of_cold_servers_is_not_overloaded() -> None:
     gateways = fleet(servers=0)
     for front in gateways:
         front.list_servers(*(front.entry(n, started_at=front.now) for n in range(60)))
@@ -68,13 +68,13 @@
     )  # under a usual load well below four times what they can do
 
 
-def test_first_room_is_a_part_of_the_fleets() -> None:
+def test_initial_concurrency_limit_is_a_part_of_the_fleets() -> None:
     gateways = fleet(plan={"rate": 1.0, "burst": 1000.0})
     sent = sum(len(sends(front, customer=n)) for n in range(20) for front in gateways)
     assert sent <= INITIAL_PER_SERVER * 60 + FLEET  # a part of 1.45 each is met by odds, two at most
 
 
-def test_own_parts_of_a_quota_hold_one_request_each_then_their_share() -> None:
+def test_local_shares_of_a_quota_admit_one_request_each_then_their_part() -> None:
     gateways = fleet(may_count=False, plan={"rate": 0.3, "burst": 600.0})
     sent = sum(len(served(front)) for front in gateways[:300] for _ in range(9))
     assert sent <= 3 * 600  # three shares each
@@ -82,7 +82,7 @@
     assert sum(len(served(front)) for front in small[:300] for _ in range(3)) == 300
 
 
-def test_probes_go_to_quiet_servers_alone() -> None:
+def test_probes_go_to_unresponsive_servers_alone() -> None:
     gateways = fleet(count=20, parallel_attempts=False)
     for front in gateways:
         front.run(2000)
@@ -117,7 +117,7 @@
     assert sends(front)
 
 
-def test_own_stall_does_not_look_like_silent_servers() -> None:
+def test_a_stall_of_this_process_does_not_look_like_unresponsive_servers() -> None:
     # Seen where gateways stand still for two seconds: what had been answered meanwhile was copied.
     front = fleet(count=1, gateways=2)[0]
     send = sends(front)[0]
@@ -126,12 +126,12 @@
     assert not every(front.outcome(send, Status.OK), api.Send)
 
 
-def test_full_told_to_one_plan_is_met_elsewhere_and_keeps_the_room() -> None:
+def test_full_answers_for_one_plan_keep_the_concurrency_limit() -> None:
     plans = (make_settings().plans[0],) * 2
     front = fleet(count=1, gateways=2, servers=20, plans=plans)[0]
-    room = 0.0
+    limit = 0.0
     bad = {front.entry(n).server for n in range(10)}
-    told = Counter[api.ServerId]()
+    full_answers = Counter[api.ServerId]()
     for number in range(60):
         front.now += 100
         plan, request = number % 2, front.next_id
@@ -143,15 +143,15 @@
         while queue:
             send = queue.pop()
             full = plan == 0 and send.server in bad
-            told[send.server] += full
+            full_answers[send.server] += full
             queue = every(front.outcome(send, Status.FULL if full else Status.OK, attempt), api.Send)
             attempt += 1
-        room = room or front.policy.concurrency_limit.limit
-    assert front.policy.concurrency_limit.limit >= room
-    assert max(told.values()) <= 2
+        limit = limit or front.policy.concurrency_limit.limit
+    assert front.policy.concurrency_limit.limit >= limit
+    assert max(full_answers.values()) <= 2
 
 
-def test_class_left_unanswered_by_a_server_is_copied_and_shunned_there() -> None:
+def test_class_unanswered_by_a_server_is_hedged_and_ejected_there() -> None:
     kinds = (make_settings().classes[0],) * 2
     front = fleet(count=1, gateways=2, servers=4, classes=kinds)[0]
     first = sends(front)[0]
@@ -163,7 +163,7 @@
     assert first.server not in later
 
 
-def test_busy_server_is_not_taken_for_a_silent_one() -> None:
+def test_busy_server_is_not_taken_for_an_unresponsive_one() -> None:
     front = fleet(count=1, gateways=2, servers=1)[0]
     slow, quick = sends(front)[0], sends(front, customer=8)[0]
     front.run(100)
@@ -181,7 +181,7 @@
     assert int.from_bytes(again.server, "big") // 2 == int.from_bytes(send.server, "big") // 2
 
 
-def test_marked_repeat_does_not_wait_for_room() -> None:
+def test_marked_repeat_does_not_wait_for_a_server() -> None:
     # Clients that repeat at once would fill the line, and first tries would come late.
     front = fleet(count=1, gateways=2, servers=0)[0]
     for number, repeat in ((1, False), (2, True)):
@@ -190,7 +190,7 @@
         assert bool(every(answer, api.Refuse)) is repeat
 
 
-def test_attempts_that_outlast_the_clients_time_shrink_the_room() -> None:
+def test_attempts_beyond_the_deadline_cut_the_concurrency_limit() -> None:
     # Clients that come with little time left: no answer came at all, and a jam looked like quick answers.
     front = fleet(count=1, gateways=2, servers=20)[0]
     for number in range(30):
--- a/tests/policy/test_one_of_many.py
+++ b/tests/policy/test_one_of_many.py
@@ -22,7 +22,7 @@
 ROOMY = {"rate": 1.0, "burst": 1000.0}
 
 
-def many(gateway: Build, number: int = 0, servers: int = SERVERS) -> Gateway:
+def gateway_of_many(gateway: Build, number: int = 0, servers: int = SERVERS) -> Gateway:
     return gateway(gateways=GATEWAYS, own_number=number, servers=servers, plan=ROOMY, max_attempts=1)
 
 
@@ -30,44 +30,44 @@
     front.outcome(send, status, elapsed=elapsed)
 
 
-def test_every_server_is_near_to_as_many_gateways_as_any_other(gateway: Build) -> None:
-    near = Counter(s.entry.server for n in range(GATEWAYS) for s in many(gateway, n).subset)
-    assert len(near) == SERVERS
-    assert max(near.values()) - min(near.values()) <= 1
+def test_every_server_is_in_as_many_subsets_as_any_other(gateway: Build) -> None:
+    servers = Counter(s.entry.server for n in range(GATEWAYS) for s in gateway_of_many(gateway, n).subset)
+    assert len(servers) == SERVERS
+    assert max(servers.values()) - min(servers.values()) <= 1
 
 
-def test_a_server_that_goes_moves_edges_and_no_more(gateway: Build) -> None:
+def test_a_removed_server_moves_the_edges_of_subsets_alone(gateway: Build) -> None:
     for number in range(GATEWAYS):
-        front = many(gateway, number)
+        front = gateway_of_many(gateway, number)
         before = {s.entry.server for s in front.subset}
         front.list_servers(front.entry(17, readiness=Readiness.GONE), kind=ListKind.CHANGES)
         gone = before - {s.entry.server for s in front.subset}
         assert len(gone - {front.entry(17).server}) <= 1
 
 
-def test_few_gateways_keep_to_all_servers(gateway: Build) -> None:
+def test_few_gateways_use_all_servers(gateway: Build) -> None:
     front = gateway(gateways=4, servers=14)
     assert len(front.subset) == 14
 
 
-def test_one_of_many_keeps_to_its_near_servers_and_leaves_them_when_they_fail(gateway: Build) -> None:
-    front = many(gateway)
-    near = {s.entry.server for s in front.subset}
+def test_one_of_many_uses_its_subset_and_leaves_it_when_it_fails(gateway: Build) -> None:
+    front = gateway_of_many(gateway)
+    subset = {s.entry.server for s in front.subset}
     sent = []
     for customer in range(200):
         sent.append(front.admitted(0.0, customer=customer))
         answer(front, sent[-1], 100.0)
         front.now += 20.0
-    assert sum(send.server in near for send in sent) >= 195
+    assert sum(send.server in subset for send in sent) >= 195
     for customer in range(200, 280):
         send = front.admitted(0.0, customer=customer)
-        answer(front, send, 100.0, Status.RESET if send.server in near else Status.OK)
+        answer(front, send, 100.0, Status.RESET if send.server in subset else Status.OK)
     late = [send.server for send in every(front.done, api.Send)[-40:]]
-    assert sum(server in near for server in late) <= 4
+    assert sum(server in subset for server in late) <= 4
 
 
-def test_a_slow_server_is_remembered_though_nothing_of_the_own_is_out_there(gateway: Build) -> None:
-    front = many(gateway)
+def test_a_slow_server_is_avoided_though_no_attempt_is_in_flight_there(gateway: Build) -> None:
+    front = gateway_of_many(gateway)
     slow = front.subset[3].entry.server
     sent: Counter[api.ServerId] = Counter()
     for customer in range(300):
@@ -79,8 +79,8 @@
     assert 0 < sent[slow] < usual / 3  # less, but looked at again: it may have become well
 
 
-def test_most_near_servers_cold_leaves_the_warm_ones_further_off(gateway: Build) -> None:
-    front = many(gateway)
+def test_a_cold_subset_is_left_for_warm_servers_outside(gateway: Build) -> None:
+    front = gateway_of_many(gateway)
     cold = [s.entry for s in front.subset]
     for entry in cold:
         front.list_servers(replace(entry, started_at=front.now), kind=ListKind.CHANGES)
@@ -93,7 +93,7 @@
 
 
 def test_cold_servers_get_their_part_where_most_are_cold(gateway: Build) -> None:
-    front = many(gateway, servers=60)
+    front = gateway_of_many(gateway, servers=60)
     young = [front.entry(n, started_at=front.now) for n in range(42)]
     front.list_servers(*young, kind=ListKind.CHANGES)
     names, sent = {entry.server for entry in young}, Counter[api.ServerId]()
@@ -106,7 +106,7 @@
     assert 0.4 * part < cold / 400 < 2.0 * part
 
 
-def test_a_new_window_is_asked_for_though_the_last_was_spent(gateway: Build) -> None:
+def test_the_counter_is_asked_in_a_new_window_though_the_last_was_spent(gateway: Build) -> None:
     front = gateway(gateways=GATEWAYS)
     ask = api.Request(1, 0, 0, 7, front.now + 4000.0, 4.0, 20, 0)
     name = only(front.feed(ask), api.Count).name
@@ -145,22 +145,22 @@
     assert admitted >= 0.85 * min(asks, 1.0) * rate * 100_000.0
 
 
-def test_a_window_is_no_deeper_than_what_may_be_out() -> None:
+def test_a_window_is_no_deeper_than_the_concurrency_cap() -> None:
     plan = make_settings(plan={"rate": 0.014, "burst": 35.0, "max_in_flight": 5}).plans[0]
     many, few = counting_window(plan, 25, 8.0), counting_window(plan, 3, 8.0)
     assert many.flat and 5.0 <= many.depth <= 5 * 4.0
     assert not few.flat and few.depth == 35.0  # few see the attempts of the others in their own
 
 
-def test_only_the_overspent_get_no_more_than_their_rate_owes() -> None:
+def test_only_after_overspent_windows_the_limit_is_the_refill() -> None:
     one = counting_window(make_settings(plan={"rate": 0.005, "burst": 20.0}).plans[0], 25, 8.0)
     assert one.limit(10, -(2**62)) == 20.0
     assert one.limit(10, 9) == one.refill < 20.0
     assert one.limit(20, 9) == 20.0
 
 
-def test_a_server_that_does_not_answer_is_left_before_its_answer(gateway: Build) -> None:
-    front = many(gateway)
+def test_a_server_is_avoided_before_its_late_answer(gateway: Build) -> None:
+    front = gateway_of_many(gateway)
     for customer in range(30):
         answer(front, front.admitted(0.0, customer=customer), 100.0)
     stuck, front.policy.concurrency_limit.limit = front.subset[3].entry.server, 1000.0
@@ -175,11 +175,11 @@
 
 
 @pytest.mark.parametrize("odds", [0.8, 0.4])
-def test_the_count_tells_of_all_tries_though_few_are_told_to_it(odds: float) -> None:
+def test_the_count_stands_for_all_requests_though_few_call_the_counter(odds: float) -> None:
     gateways = [
         Gateway(make_settings(gateways=GATEWAYS, own_number=n, seed=n, plan=ROOMY)) for n in range(30)
     ]
-    told = asked = large = 0.0
+    counted = asked = large = 0.0
     calls = Counter[float]()
     for customer in range(40):
         for number, front in enumerate(gateways):
@@ -188,9 +188,9 @@
             request = api.Request(customer + 1, 0, 0, customer, front.now + 4000.0, units, 30, 0)
             made = every(front.feed(request), api.Count)
             asked, large = asked + units, large + (units > 1.0)
-            told += sum(call.amount for call in made)
+            counted += sum(call.amount for call in made)
             calls[units] += len(made)
-    assert told == pytest.approx(asked, rel=0.15)
+    assert counted == pytest.approx(asked, rel=0.15)
     assert calls[6.0] > 0.75 * large  # what says most is seldom left out
     assert calls.total() <= 1.15 * odds * 40 * 30  # the first ones know no mean yet
 
@@ -207,7 +207,7 @@
 
 
 def test_odd_lists_do_no_harm_in_a_large_fleet(gateway: Build) -> None:
-    front = many(gateway)
+    front = gateway_of_many(gateway)
     before = {server.entry.server for server in front.subset}
     twice = [front.entry(n) for n in range(SERVERS)] * 2
     front.list_servers(*twice)
@@ -225,8 +225,8 @@
     answer(front, front.admitted(0.0, customer=6), 100.0)
 
 
-def test_a_server_back_under_its_id_is_cold(gateway: Build) -> None:
-    front = many(gateway)
+def test_a_server_back_under_its_id_is_in_slow_start(gateway: Build) -> None:
+    front = gateway_of_many(gateway)
     back = front.subset[2].entry
     front.list_servers(replace(back, readiness=Readiness.GONE), kind=ListKind.CHANGES)
     front.list_servers(replace(back, started_at=front.now), kind=ListKind.CHANGES)
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("number", [-1, 40, 10_000])
-def test_an_own_number_out_of_the_fleet_still_keeps_to_some_servers(gateway: Build, number: int) -> None:
-    front = many(gateway, number)
+def test_a_gateway_number_out_of_range_still_gets_a_subset(gateway: Build, number: int) -> None:
+    front = gateway_of_many(gateway, number)
     assert 0 < len(front.subset) < SERVERS
     answer(front, front.admitted(0.0, customer=1), 100.0)
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -19,7 +19,7 @@
     assert front.entry(0).server not in sent
 
 
-def test_server_left_out_of_a_whole_list_gets_nothing(gateway: Build) -> None:
+def test_server_missing_from_a_complete_list_gets_nothing(gateway: Build) -> None:
     front = gateway()
     front.list_servers(front.entry(1))
     assert {front.admitted(0.0, customer=n).server for n in range(3)} == {front.entry(1).server}
@@ -47,7 +47,7 @@
     assert span.count(front.entry(5).server) <= 0.2 * 2.5 * 100 / 5
 
 
-def test_server_failing_fast_is_put_out_and_tried_with_one(gateway: Build) -> None:
+def test_failing_server_is_ejected_and_tried_with_one_request(gateway: Build) -> None:
     front = gateway(servers=4, max_attempts=1, may_probe=False)
     bad = front.entry(0).server
     for number in range(40):
@@ -59,14 +59,14 @@
     assert late.count(bad) <= 1
 
 
-def test_ejection_stops_when_most_servers_look_ill(gateway: Build) -> None:
+def test_ejected_servers_are_used_where_all_are_ejected(gateway: Build) -> None:
     front = gateway(servers=2, max_attempts=1)
     for number in range(12):
         front.outcome(front.admitted(0.0, customer=number), Status.ERROR)
     assert only(front.count(only(front.request(customer=99), api.Count).name, 1.0), api.Send)
 
 
-def test_quiet_server_is_probed_only_when_asked_and_unheard(gateway: Build) -> None:
+def test_server_is_probed_only_while_an_attempt_is_unanswered(gateway: Build) -> None:
     front = gateway(servers=2, parallel_attempts=False)
     send = front.admitted()
     front.feed(api.Outcome(send.request, 0, send.server, Status.OK, True, 90.0, (1.0,), 0.0, 0))
@@ -75,7 +75,7 @@
     assert every(front.run(500), api.Probe)
 
 
-def test_when_all_servers_are_under_suspicion_trials_do_not_stop_the_traffic(gateway: Build) -> None:
+def test_requests_go_on_when_all_servers_are_suspected(gateway: Build) -> None:
     front = gateway(servers=4)
     front.run(1200)  # probes go unanswered everywhere
     sent = [front.admitted(0.0, customer=n).server for n in range(8)]
--- a/tests/quota/test_ceiling.py
+++ b/tests/quota/test_ceiling.py
@@ -20,25 +20,31 @@
 
 # The real transitions of a small fleet, explored exhaustively.
 
-PART = {2: 2.0, 3: 1.0}  # units that each of so many gateways' parts holds; one fills by one unit a tick
-Told = tuple[tuple[float, float, bool], ...]  # of each gateway: part, whole, whether it is behind
-State = tuple[float, Told, tuple[float, ...]]  # C, what each goes by, what others have sent on unseen by it
+CAPACITY = {2: 2.0, 3: 1.0}  # units that each of so many gateways' parts holds; one fills by one unit a tick
+Shares = tuple[
+    tuple[float, float, bool], ...
+]  # of each gateway: share, headroom, whether the previous window is unread
+State = tuple[
+    float, Shares, tuple[float, ...]
+]  # C, what each gateway knows, what others have forwarded unseen by it
 
 
 def steps(kind: type[CeilingShare], state: State) -> Iterator[State]:
-    """Yield what one tick, one unit sent on, a look, a new window or counts lost make of a state."""
-    store, told, unseen = state
-    spread = len(told)
-    most = PART[spread] * spread
+    """Yield what one tick, one unit forwarded, a read, a new window or counts lost make of a state."""
+    store, shares, unseen = state
+    spread = len(shares)
+    most = CAPACITY[spread] * spread
 
     def at(number: int) -> CeilingShare:
-        part, whole, behind = told[number]
-        return kind(float(spread), PART[spread], spread, part, whole, 0.0, behind)
+        share, headroom, unread = shares[number]
+        return kind(float(spread), CAPACITY[spread], spread, share, headroom, 0.0, unread)
 
-    def put(ones: list[CeilingShare]) -> Told:
-        return tuple((one.share, max(one.headroom, PART[spread] - most), one.previous_unread) for one in ones)
+    def put(ones: list[CeilingShare]) -> Shares:
+        return tuple(
+            (one.share, max(one.headroom, CAPACITY[spread] - most), one.previous_unread) for one in ones
+        )
 
-    def every_one(do: Callable[[CeilingShare], None]) -> Told:
+    def every_one(do: Callable[[CeilingShare], None]) -> Shares:
         ones = [at(number) for number in range(spread)]
         for one in ones:
             do(one)
@@ -59,7 +65,7 @@
                 news = tuple(min(units + (each != number), most) for each, units in enumerate(news))
                 yield store - 1.0, put(ones), news
             elif seen:
-                yield store, put(ones), news  # a look, and a refusal
+                yield store, put(ones), news  # a read, and a refusal
         ones = [at(each) for each in range(spread)]
         ones[number].finish_previous(unseen[number], 0.0)
         yield store, put(ones), seen_by_it
@@ -69,16 +75,16 @@
 
 
 def broken(kind: type[CeilingShare], spread: int) -> tuple[bool, bool]:
-    """Tell whether the ceiling can be passed, and whether one gateway can ever send past its even part."""
-    full = PART[spread]
+    """Tell whether the ceiling can be passed, and whether a gateway can forward more than its share."""
+    full = CAPACITY[spread]
     start: State = (full * spread, ((full, full, False),) * spread, (0.0,) * spread)
     numbers, queue = {start: 0}, [start]
     edges, marks = list[tuple[int, int]](), dict[int, set[str]]()
     while queue:
         state = queue.pop()
-        here, (store, told, _) = numbers[state], state
+        here, (store, shares, _) = numbers[state], state
         passed = store < 0.0
-        more = any(whole >= 1.0 > part and not behind for part, whole, behind in told)
+        more = any(headroom >= 1.0 > share and not unread for share, headroom, unread in shares)
         marks[here] = {word for word, true in (("passed", passed), ("more", more)) if true}
         if passed:
             edges.append((here, here))
@@ -94,30 +100,30 @@
     return 0 not in modelcheck(kripke, never), 0 in modelcheck(kripke, once)
 
 
-class FillsWhole(CeilingShare):
-    """A part that fills as the whole does."""
+class RefillsAtFullRate(CeilingShare):
+    """A share that refills at the full rate."""
 
     def refill(self, elapsed_ms: float) -> None:
         self.share = self.headroom = min(self.capacity, self.share + self.rate * elapsed_ms)
 
 
-class Blind(CeilingShare):
+class IgnoresOthers(CeilingShare):
     """Others' adds pass unnoticed."""
 
     def charge_others(self, units: float, follows: bool) -> None:
         super().charge_others(0.0, follows)
 
 
-class Uncut(CeilingShare):
-    """The whole may hold what all hold together."""
+class HoldsFullCeiling(CeilingShare):
+    """The headroom may hold what all shares hold together."""
 
     def refill(self, elapsed_ms: float) -> None:
         self.share = min(self.capacity, self.share + self.rate * elapsed_ms / self.spread)
         self.headroom = min(self.capacity * self.spread, self.headroom + self.rate * elapsed_ms)
 
 
-class Unpaid(CeilingShare):
-    """What is sent on by the whole leaves the own part as it is."""
+class SpendsUnpaid(CeilingShare):
+    """What is forwarded by the headroom leaves the share as it is."""
 
     def spend(self, units: float, counted: bool) -> None:
         kept = self.share
@@ -125,28 +131,28 @@
         self.share = kept if self.headroom >= 0.0 else self.share
 
 
-class Unlooked(CeilingShare):
-    """What is sent on without a look leaves the part as it is, as if others had been seen to leave enough."""
+class SpendsUnread(CeilingShare):
+    """What is forwarded without a read leaves the share as it is, as if others had left enough."""
 
     def spend(self, units: float, counted: bool) -> None:
         super().spend(units, True)
 
 
-class Forgetful(CeilingShare):
+class SkipsPreviousWindow(CeilingShare):
     """A new window leaves out what was added late in the old one."""
 
     def start_window(self, previous_total: float, follows: bool) -> None:
         pass
 
 
-class Hasty(CeilingShare):
-    """Where totals do not follow, the own part is taken for what the others leave."""
+class AssumesNoOthers(CeilingShare):
+    """Where totals do not follow, the share is taken for what the others leave."""
 
     def reset_headroom(self) -> None:
         self.headroom, self.previous_unread = self.share, False
 
 
-class Trusting(CeilingShare):
+class UsesOldTotals(CeilingShare):
     """Without the counter's answer the last total is taken to hold."""
 
     def available(self, counted: bool) -> float:
@@ -158,8 +164,20 @@
     assert not broken(CeilingShare, 3)[0]
 
 
-@pytest.mark.parametrize("defect", [FillsWhole, Blind, Uncut, Unpaid, Unlooked, Forgetful, Hasty, Trusting])
-def test_a_defect_in_the_rights_is_found(defect: type[CeilingShare]) -> None:
+@pytest.mark.parametrize(
+    "defect",
+    [
+        RefillsAtFullRate,
+        IgnoresOthers,
+        HoldsFullCeiling,
+        SpendsUnpaid,
+        SpendsUnread,
+        SkipsPreviousWindow,
+        AssumesNoOthers,
+        UsesOldTotals,
+    ],
+)
+def test_a_defect_in_the_shares_is_found(defect: type[CeilingShare]) -> None:
     assert broken(defect, 2)[0]
 
 
@@ -169,7 +187,7 @@
 START = 1_000_000.0  # ms
 
 
-class Shop:
+class Site:
     """One customer's requests through a set of gateways, its counter, and the ceiling's store."""
 
     def __init__(self, ceiling: float, gateways: int = 3, seed: int = 1) -> None:
@@ -260,10 +278,10 @@
     ceiling: float, weights: tuple[float, ...]
 ) -> None:
     # By even parts alone one gateway of three could send on 0.53 to 0.85 of the quota.
-    shop = Shop(ceiling)
-    shop.play(60.0, weights)
-    assert shop.least >= -SLACK
-    assert shop.inside >= 0.95 * (BURST + RATE * 60_000.0)
+    site = Site(ceiling)
+    site.play(60.0, weights)
+    assert site.least >= -SLACK
+    assert site.inside >= 0.95 * (BURST + RATE * 60_000.0)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -271,38 +289,38 @@
 def test_no_fault_passes_a_ceiling(ceiling: float, seed: int) -> None:
     # Crashes, counts lost in whole or in part, a silent counter that comes back empty, and requests that
     # gather on one gateway and move to another, each at a time when the ceiling is what holds them.
-    shop = Shop(ceiling, seed=seed)
+    site = Site(ceiling, seed=seed)
     random = Random(seed)
     for _ in range(12):
         weights = random.choice([(5.0, 2.0, 1.0), (1.0, 0.0, 0.0), (0.0, 0.0, 1.0), (1.0, 1.0, 1.0)])
-        shop.play(random.uniform(0.3, 4.0), weights, times=random.choice((1.0, 4.0, 7.0)))
+        site.play(random.uniform(0.3, 4.0), weights, times=random.choice((1.0, 4.0, 7.0)))
         fault = random.randrange(4)
         if fault == 0:
             for number in random.sample(range(3), 2):
-                shop.crash(number)
+                site.crash(number)
         elif fault == 1:
-            shop.lose(random.choice((0.3, 0.6, 1.0)))
+            site.lose(random.choice((0.3, 0.6, 1.0)))
         elif fault == 2:
-            shop.up = False
-            shop.play(random.uniform(0.5, 4.0), random.choice([(1.0, 0.0, 0.0), (0.0, 1.0, 1.0)]), times=7.0)
-            shop.up, shop.totals = True, {}
-    assert shop.sent > BURST
-    assert shop.least >= -SLACK
+            site.up = False
+            site.play(random.uniform(0.5, 4.0), random.choice([(1.0, 0.0, 0.0), (0.0, 1.0, 1.0)]), times=7.0)
+            site.up, site.totals = True, {}
+    assert site.sent > BURST
+    assert site.least >= -SLACK
 
 
 @pytest.mark.parametrize("total", [0.0, 2.0])
 def test_a_total_without_the_own_adds_tells_of_counts_lost(total: float) -> None:
-    shop = Shop(2.0)
-    shop.play(1.0, (1.0, 0.0, 0.0), times=1.0)
-    account = shop.fronts[0].policy.quotas[7]
+    site = Site(2.0)
+    site.play(1.0, (1.0, 0.0, 0.0), times=1.0)
+    account = site.fronts[0].policy.quotas[7]
     account.confirmed, account.total = 6.0, 6.0
-    account.record_total(shop.now, 1.0, total)
+    account.record_total(site.now, 1.0, total)
     assert account.ceiling.headroom < account.ceiling.share  # nothing is known of the others
 
 
-def test_one_of_many_goes_by_its_part_and_reads_nothing() -> None:
+def test_one_of_many_goes_by_its_share_and_reads_nothing() -> None:
     # Its totals are estimates: an add past the part would be refused after it, and stay in the count.
-    settings = Shop(2.0, gateways=12).fronts[0].policy.settings
+    settings = Site(2.0, gateways=12).fronts[0].policy.settings
     request = api.Request(1, 0, 0, 7, START + 4000.0, 4.0, 12, 0)
     one = new_quota(request, settings, START)
     assert one.windows.flat
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -20,7 +20,7 @@
     assert every(front.count(only(actions, api.Count).name, 2.0), api.Send)
 
 
-def test_total_past_the_limit_is_refused_at_once_with_advice(gateway: Build) -> None:
+def test_total_beyond_the_limit_is_refused_at_once_with_retry_after(gateway: Build) -> None:
     front = gateway()
     front.admitted()
     front.now += 10
@@ -35,7 +35,7 @@
     assert [type(action) for action in front.request()] == [api.Refuse]
 
 
-def test_heap_of_requests_at_once_costs_no_more_calls_than_the_store_has_units(gateway: Build) -> None:
+def test_burst_of_requests_costs_no_more_calls_than_there_are_tokens(gateway: Build) -> None:
     front = gateway()
     actions = [action for _ in range(300) for action in front.request()]
     assert len(every(actions, api.Count)) == 8
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("status", [Status.TIMEOUT, Status.FULL, Status.CONNECT_FAILED])
-def test_without_the_counter_the_own_part_is_granted_and_no_more(gateway: Build, status: Status) -> None:
+def test_without_the_counter_the_local_share_is_granted_and_no_more(gateway: Build, status: Status) -> None:
     front = gateway()
     sent = 0
     for _ in range(30):
@@ -56,7 +56,7 @@
     assert 1 <= sent <= 8
 
 
-def test_calls_of_a_fleet_fall_with_a_crowded_counter_and_come_back(gateway: Build) -> None:
+def test_calls_of_a_fleet_fall_with_an_overloaded_counter_and_come_back(gateway: Build) -> None:
     # Five calls a second from each of 300 gateways were more than the whole counter served.
     front = gateway(servers=20, gateways=300, plan={"rate": 1.0, "burst": 1000.0})
 
@@ -75,7 +75,7 @@
     assert asked(Status.OK, 60) > 0.9
 
 
-def test_spoilt_answers_tell_of_no_crowd(gateway: Build) -> None:
+def test_resets_are_not_taken_for_overload(gateway: Build) -> None:
     front = gateway(servers=20)
     for customer in range(40):
         front.now += 100
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(("elsewhere", "least", "most"), [(0.0, 6, 8), (9.0, 1, 4)])
-def test_own_part_without_the_counter_goes_by_where_requests_come_in(
+def test_local_share_without_the_counter_follows_where_requests_come_in(
     gateway: Build, elsewhere: float, least: int, most: int
 ) -> None:
     front = gateway(servers=20, plan={"rate": 0.0002, "burst": 8.0})
@@ -105,7 +105,7 @@
     assert least <= sent <= most
 
 
-def test_own_part_without_the_counter_has_room_for_a_large_request_after_small_ones(gateway: Build) -> None:
+def test_local_share_admits_a_large_request_after_small_ones(gateway: Build) -> None:
     # Cut to what a small one needs, a part of a quarter refused every large request of a calm customer.
     front = gateway(servers=20, plan={"rate": 0.002, "burst": 8.0})
     front.count(only(front.request(), api.Count).name, 1.0)
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize(("elsewhere", "least", "most"), [(0.0, 3, 4), (9.0, 1, 2)])
-def test_cap_on_attempts_out_goes_by_where_requests_come_in(
+def test_concurrency_cap_follows_where_requests_come_in(
     gateway: Build, elsewhere: float, least: int, most: int
 ) -> None:
     front = gateway(servers=20, plan={"rate": 0.02, "burst": 1000.0, "max_in_flight": 4})
@@ -169,7 +169,7 @@
     assert least <= sent <= most
 
 
-def test_ceiling_holds_with_a_lying_counter(gateway: Build) -> None:
+def test_ceiling_holds_with_a_counter_that_answers_zero(gateway: Build) -> None:
     ceiling = {"ceiling_rate": 0.003, "ceiling_burst": 16.0, "ceiling_slack": 4.0}
     front = gateway(plan=ceiling, servers=20)
     sent = 0.0
@@ -184,7 +184,7 @@
     assert sent <= 0.003 * 300 * 40 / 2 + (16.0 - 8.0) / 2  # own half, from what is held beyond a burst
 
 
-def test_open_limit_without_a_rate(gateway: Build) -> None:
+def test_concurrency_cap_without_a_rate(gateway: Build) -> None:
     front = gateway(plan={"rate": 0.0, "burst": 0.0, "max_in_flight": 4})
     actions = [action for _ in range(5) for action in front.request()]
     assert len(every(actions, api.Send)) == 2
@@ -205,7 +205,7 @@
     assert 1 <= len(every(actions, api.Send)) <= 8
 
 
-def test_late_and_unknown_counter_answers_are_passed_over(gateway: Build) -> None:
+def test_late_and_unknown_counter_answers_are_ignored(gateway: Build) -> None:
     front = gateway()
     call = only(front.request(), api.Count)
     front.feed(api.Withdrawn(1))
--- a/tests/routing/test_concurrency_limit.py
+++ b/tests/routing/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""How many attempts are let out, by answer times."""
+"""The concurrency limit, by latencies."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from wickspring.routing.concurrency_limit import INITIAL_PER_SERVER, MIN_PER_SERVER, ConcurrencyLimit
 
 
-def test_two_slow_servers_of_ten_do_not_close_the_room() -> None:
+def test_two_slow_servers_of_ten_do_not_cut_the_limit() -> None:
     limit, now = ConcurrencyLimit(), 0.0
     for number in range(3000):
         now += 10.0
@@ -19,7 +19,7 @@
     assert limit.limit >= INITIAL_PER_SERVER * 2.0 and not limit.slow
 
 
-def test_answers_slow_in_the_main_close_it_to_its_least() -> None:
+def test_mostly_slow_answers_cut_the_limit_to_its_minimum() -> None:
     limit, now = ConcurrencyLimit(), 0.0
     for _ in range(3000):
         now += 10.0
@@ -29,7 +29,7 @@
     assert limit.slow and limit.limit == MIN_PER_SERVER * 2.0
 
 
-def test_a_server_put_back_is_tried_while_it_is_cold() -> None:
+def test_a_server_included_again_is_used_in_slow_start() -> None:
     front = Gateway(make_settings(gateways=2, may_count=False))
     front.list_servers(*(front.entry(number) for number in range(8)))
     back = replace(front.entry(8), started_at=front.now)
--- a/tests/routing/test_lost_responses.py
+++ b/tests/routing/test_lost_responses.py
@@ -1,4 +1,4 @@
-"""Attempts whose answers are lost, told from slow ones; and who goes first when there is no room."""
+"""Lost responses, told from slow ones, and the order of the queue while the concurrency limit is reached."""
 
 from __future__ import annotations
 
@@ -24,9 +24,7 @@
 
 
 @pytest.mark.parametrize("parallel", [False, True])
-def test_an_answer_that_is_lost_while_others_come_is_asked_for_elsewhere(
-    gateway: Build, parallel: bool
-) -> None:
+def test_a_lost_response_is_asked_for_at_another_server(gateway: Build, parallel: bool) -> None:
     # The server answers others, so it is not silent; until the client's time was over nothing was done.
     front = gateway(servers=2, plan=ROOMY, parallel_attempts=parallel, may_probe=False)
     answered(front, 1.0, 40.0, 10)
@@ -59,7 +57,7 @@
     front.outcome(large, Status.OK, elapsed=800.0)
 
 
-def test_one_that_none_has_overtaken_waits_in_a_line(gateway: Build) -> None:
+def test_an_attempt_that_none_has_overtaken_waits(gateway: Build) -> None:
     front = gateway(servers=1, plan=ROOMY, parallel_attempts=False, may_probe=False)
     answered(front, 1.0, 40.0, 10)
     first, second = front.admitted(), front.admitted()
@@ -69,14 +67,14 @@
     assert not any(cancel.request == second.request for cancel in every(front.done, api.Cancel))
 
 
-def test_order_marks_what_was_sent_before_and_forgets_what_has_ended() -> None:
+def test_send_order_marks_overtaken_attempts_and_forgets_ended_ones() -> None:
     order = SendOrder()
     for number in range(4):
         order.add((number, 0))
     order.remove((1, 0), answered=False)
     order.remove((2, 0), answered=True)
     assert [order.is_overtaken((number, 0)) for number in range(4)] == [True, False, False, False]
-    order.remove((9, 9), answered=True)  # not known: nothing is told by it
+    order.remove((9, 9), answered=True)  # unknown: it overtakes nothing
     assert not order.is_overtaken((3, 0))
     assert set(order.work_by_attempt) == {(0, 0), (3, 0)}
     assert order.work == 2.0
@@ -85,7 +83,7 @@
     assert not order.work_by_attempt and not order.overtaken and order.work == 0.0
 
 
-def test_sizes_are_told_apart_and_bounded() -> None:
+def test_latencies_by_size_are_separate_and_bounded() -> None:
     sizes = LatencyBySize()
     assert not sizes.overdue(1.0, 1e9)
     sizes.record(1.0, 10.0)
@@ -122,8 +120,8 @@
     assert all(send.server != large.server for send in small)
 
 
-def test_what_waits_for_room_goes_by_worth_and_the_rest_is_refused(gateway: Build) -> None:
-    # In a lost room's seconds a third of the requests found none; the cheapest went as often as the dearest.
+def test_the_queue_is_served_by_value_and_the_rest_is_refused(gateway: Build) -> None:
+    # While a room was lost a third of the requests found no server, the cheapest as often as the dearest.
     kinds = (replace(KIND, value=1.0), replace(KIND, value=3.0))
     front = gateway(servers=1, gateways=1, plan=ROOMY, classes=kinds, may_probe=False)
     sends: list[api.Send] = []
@@ -146,7 +144,7 @@
     assert dear not in refused
 
 
-def test_a_stream_that_begins_leaves_its_room_to_who_waits(gateway: Build) -> None:
+def test_a_stream_leaves_its_part_of_the_limit_to_the_queue(gateway: Build) -> None:
     # Nineteen long bodies at once: eight flowed, and the last to wait was refused though none was out.
     front = gateway(servers=1, gateways=1, plan=ROOMY, may_probe=False)
     sends: list[api.Send] = []
@@ -161,7 +159,7 @@
     assert waiting in {send.request for send in every(begun, api.Send)}
 
 
-def test_what_flows_is_no_work_of_its_server(gateway: Build) -> None:
+def test_a_stream_is_no_work_of_its_server(gateway: Build) -> None:
     front = gateway(servers=1, plan=ROOMY, may_probe=False)
     send = front.admitted()
     order = front.policy.server_table.servers[send.server].send_order
