--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -200,7 +200,7 @@
 def end_as_complete(front: Http1Connection, whole: bool) -> None:
     if front.http.our_state is h11.SEND_BODY:
         front.link.send(front.http.send(h11.EndOfMessage()) or b"")
-    front._answered(front._closes)
+    front._response_ended(front._closes_after_stream)
 
 
 def ended_by_any(
--- a/tests/net/test_http1.py
+++ b/tests/net/test_http1.py
@@ -310,7 +310,7 @@
             assert flood.cancelled_caught  # what sockets hold, and no more
             (connection,) = here.runtime.connections
             assert isinstance(connection, http1_front.Http1Connection)
-            assert len(connection.http.trailing_data[0]) <= http1_front.MOST_AHEAD + 65536
+            assert len(connection.http.trailing_data[0]) <= http1_front.MAX_READ_AHEAD + 65536
             go.set()
             assert (await client.answer())[0] == 200
 
--- a/tests/net/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -249,7 +249,7 @@
 def test_garbage_of_http1_is_a_400_and_the_end(data: bytes, sizes: list[int]) -> None:
     host, front = front1()
     for piece in pieces(b"\xff" + data + b"\r\n\r\n", sizes):
-        if not front.ending:
+        if not front.closing:
             front.http.receive_data(piece)
             front.advance()
     assert host.asked == []
@@ -273,7 +273,7 @@
 def test_requests_of_http2_however_cut(sizes: list[int]) -> None:
     host, front = front2()
     for piece in pieces(three_streams(), sizes):
-        front.feed(piece)
+        front.receive(piece)
     assert host.asked == ASKED
     assert front.streams == {}
     assert not host.ended
@@ -285,12 +285,12 @@
     host, front = front2()
     good = three_streams()
     for piece in pieces(good[:at] + data + good[at:], sizes):
-        if not front.ending:
-            front.feed(piece)
+        if not front.closing:
+            front.receive(piece)
     assert all(asked[0] == "POST" for asked in host.asked)
-    assert host.ended == front.ending
+    assert host.ended == front.closing
     wrong, broken = front2()
-    broken.feed(b"\xff" * 24)
+    broken.receive(b"\xff" * 24)
     assert wrong.ended
     assert wrong.asked == []
 
--- a/wickspring/controlplane/api/server.py
+++ b/wickspring/controlplane/api/server.py
@@ -18,12 +18,12 @@
 )
 from wickspring.net.body_stream import BodyStream
 from wickspring.net.calls import Client
-from wickspring.net.http1_front import Http1Connection, Patience
+from wickspring.net.http1_front import FrontLimits, Http1Connection
 from wickspring.net.http_server import HttpRequest, HttpServer
 from wickspring.net.link import Link
 
 MAX_BODY_BYTES = 4 << 20  # of one call; a configuration is the largest
-_PATIENCE = Patience(silent=10_000.0, head=5_000.0, body=10_000.0, idle=30_000.0)  # ms
+_CLIENT_LIMITS = FrontLimits(first_byte_ms=10_000.0, head_ms=5_000.0, body_ms=10_000.0, idle_ms=30_000.0)
 
 
 class ApiServer(HttpServer):
@@ -87,4 +87,4 @@
 
 async def serve_http(link: Link, server: HttpServer) -> None:
     """Serve one HTTP connection."""
-    await server.serve(Http1Connection(link, server, patience=_PATIENCE), link)
+    await server.serve(Http1Connection(link, server, limits=_CLIENT_LIMITS), link)
--- a/wickspring/dataplane/limits.py
+++ b/wickspring/dataplane/limits.py
@@ -6,7 +6,7 @@
 
 from wickspring.common.routing_table import ClientLimits, RoutingTable
 from wickspring.connections.limits import ConnectionLimits
-from wickspring.net.http1_front import Patience
+from wickspring.net.http1_front import FrontLimits
 
 CONNECTION_SHARE = 0.9  # of an endpoint's connections that all data planes together open
 MIN_CONNECTIONS = 3  # to one endpoint
@@ -23,14 +23,14 @@
 )
 
 
-def client_timeouts(limits: ClientLimits) -> Patience:
+def client_timeouts(limits: ClientLimits) -> FrontLimits:
     """Return the timeouts and sizes that connections of clients are held to."""
-    return Patience(
-        silent=1000.0 * limits.idle_timeout_s,
-        head=1000.0 * limits.header_timeout_s,
-        idle=1000.0 * limits.idle_timeout_s,
-        most_head=limits.max_head_bytes,
-        most_body=limits.max_body_bytes,
+    return FrontLimits(
+        first_byte_ms=1000.0 * limits.idle_timeout_s,
+        head_ms=1000.0 * limits.header_timeout_s,
+        idle_ms=1000.0 * limits.idle_timeout_s,
+        max_head_bytes=limits.max_head_bytes,
+        max_body_bytes=limits.max_body_bytes,
     )
 
 
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -37,7 +37,7 @@
 from wickspring.dataplane.upstream import ConnectionDefaults, UpstreamConnection
 from wickspring.net.calls import Client
 from wickspring.net.datagrams import Udp
-from wickspring.net.http1_front import Patience
+from wickspring.net.http1_front import FrontLimits
 from wickspring.net.http_server import HttpRequest, HttpServer
 from wickspring.net.upstream.manager import UpstreamManager
 
@@ -57,7 +57,7 @@
         self.settings = settings
         self.random = Random(seed)
         self.limits = INITIAL_LIMITS
-        self.patience = Patience()
+        self.front_limits = FrontLimits()
         self.endpoints = EndpointTable()
         self.endpoint_selector = EndpointSelector(
             self.endpoints, settings.zone, self.random.getrandbits(32), self._has_idle_connection
@@ -156,7 +156,7 @@
 
     def on_routing_table(self, routing_table: RoutingTable) -> None:
         """Adapt timeouts and connection limits to a new configuration."""
-        self.patience = client_timeouts(routing_table.client_limits)
+        self.front_limits = client_timeouts(routing_table.client_limits)
         self.limits = connection_limits(routing_table, self.data_plane_count())
         self.upstream.limits = self.limits
         self.upstream.pools.settings.limits = self.limits
--- a/wickspring/dataplane/readiness.py
+++ b/wickspring/dataplane/readiness.py
@@ -11,7 +11,7 @@
 from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.net.calls import Client
 from wickspring.net.clock import Clock
-from wickspring.net.http1_front import Http1Connection, Patience
+from wickspring.net.http1_front import FrontLimits, Http1Connection
 from wickspring.net.http_server import HttpRequest, HttpServer
 from wickspring.net.link import Link
 
@@ -87,4 +87,4 @@
 
 async def serve_readiness(link: Link, probe: ReadinessProbe) -> None:
     """Serve one connection of the platform."""
-    await probe.serve(Http1Connection(link, probe, patience=Patience(idle=PROBE_IDLE_MS)), link)
+    await probe.serve(Http1Connection(link, probe, limits=FrontLimits(idle_ms=PROBE_IDLE_MS)), link)
--- a/wickspring/dataplane/request/model.py
+++ b/wickspring/dataplane/request/model.py
@@ -104,7 +104,7 @@
     def waiting_client(self) -> Client | None:
         """Return the client while it waits for this very request; its connection may be ending."""
         client = self.client
-        if isinstance(client, Http1Connection) and client.number != self.number:
+        if isinstance(client, Http1Connection) and client.request_number != self.number:
             return None
         return client
 
--- a/wickspring/dataplane/request/response.py
+++ b/wickspring/dataplane/request/response.py
@@ -38,7 +38,7 @@
         """Pass a part of the body on."""
         if not self._is_current():
             return
-        is_waiting = self.client.number == self.request.number
+        is_waiting = self.client.request_number == self.request.number
         if check_invariant(is_waiting, "a streamed response goes to the client that waits for it"):
             self.client.write_body(data)
 
--- a/wickspring/dataplane/server.py
+++ b/wickspring/dataplane/server.py
@@ -22,7 +22,7 @@
 
 async def serve(link: Link, data_plane: DataPlane) -> None:
     """Serve one client's connection."""
-    await data_plane.serve(Http1Connection(link, data_plane, patience=data_plane.patience), link)
+    await data_plane.serve(Http1Connection(link, data_plane, limits=data_plane.front_limits), link)
 
 
 async def run(started: Bootstrap, seed: int, ended: trio.Event) -> None:
--- a/wickspring/net/calls.py
+++ b/wickspring/net/calls.py
@@ -1,4 +1,4 @@
-"""What a client's request says, read the same way for every front, and what a final answer looks like."""
+"""What a client's request says, the same for both fronts, and where its response goes."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from wickspring.net.sockets import DEFER_S as DEFER_S
 from wickspring.tenants import PlanBook
 
-MOST_BODY = 64 * 1024  # bytes of a body that are held; a longer one goes on as it comes
-MOST_LONG = 64 << 20  # bytes of any body
+MAX_BUFFERED_BODY = 64 * 1024  # bytes of a body; a longer one is passed on as it arrives
+MAX_BODY_BYTES = 64 << 20
 READY_PATH = "/up"
 CALL_PATH = "/api"
 # What is passed on unchanged must stay one token there too: HTTP/2 lets more through than HTTP/1.1 may say.
@@ -24,9 +24,9 @@
 _WHOLE = re.compile(r"[0-9]{1,4}")
 _CUSTOMER = re.compile(r"[0-9A-Fa-f]{16}")
 _LENGTH = re.compile(r"[0-9]{1,18}")
-MOST_BUDGET_MS = 3_600_000
-# Said twice, each of these could be read in two ways, here and further on.
-_ONCE = frozenset(
+MAX_BUDGET_MS = 3_600_000
+# Given twice, each of these could be read in two ways, here and by servers (RFC 9110, section 5.3).
+_SINGLE_FIELDS = frozenset(
     {
         "host",
         "content-length",
@@ -43,11 +43,12 @@
     }
 )
 # How long a client may take, in ms. None waits longer than 3 s; what is idle may end after 2 s, not sooner.
-SILENT_MS = 2600.0  # until a new connection says its first word
-HEAD_MS = 2600.0  # from connecting, or from its first byte, until a request's head has come
-BODY_MS, BODY_LEAST = 2500.0, 32.0  # for a body, and 1 ms more for so many bytes: half of a good rate
+FIRST_BYTE_MS = 2600.0  # until the first byte of a new connection
+HEAD_MS = 2600.0  # from connecting, or from its first byte, until a request's head has arrived
+BODY_MS = 2500.0  # for a body, and 1 ms more
+BODY_BYTES_PER_MS = 32.0  # for so many bytes of it: half of a good rate
 IDLE_MS = 5000.0  # between two requests
-IDLE_LEAST_MS = 2000.0  # the same where room is short
+MIN_IDLE_MS = 2000.0  # the same where room is short
 
 
 class CallError(ValueError):
@@ -88,25 +89,25 @@
 
 
 class Client(Protocol):
-    """The place of one request in a front, where its final answer goes."""
+    """The place of one request in a front, where its response goes."""
 
     def request_accepted(self, number: int, budget: float) -> None:
-        """Note the number under which the request is taken, and the client's milliseconds for it."""
+        """Note the number of the request, and the milliseconds that its client waits."""
 
     def respond(self, status: int, retry_after: str, body: bytes) -> None:
-        """Give the final answer."""
+        """Give a complete response; `retry_after` is the header's value, or empty."""
 
     def begin_response(self, length: int | None) -> None:
-        """Begin a good final answer, to be passed on as it comes; its length may be known."""
+        """Begin a good response that is passed on as it arrives; None where its length is not declared."""
 
     def write_body(self, data: bytes) -> None:
-        """Pass on a piece."""
+        """Pass a piece of the body on."""
 
     async def wait_writable(self) -> bool:
         """Wait until the client has read what was passed on; False where it has gone."""
 
     def end_response(self, complete: bool) -> None:
-        """End the answer; one that is not whole must be seen to be so."""
+        """End a streamed response; an incomplete one must not pass for complete."""
 
 
 STATUS = {
@@ -126,15 +127,15 @@
     """Fold the headers of a request, checking all that says where its body ends before any of that comes."""
     headers: dict[str, str] = {}
     for name, value in pairs:
-        if name in _ONCE and name in headers:
+        if name in _SINGLE_FIELDS and name in headers:
             raise CallError(name)
         headers[name] = value
     length = headers.get("content-length")
     if length is not None:
-        # With both, whoever reads the one sees another request where the other still sees a body.
+        # RFC 9112, section 6.3: with both, one reader sees a request where another still sees a body.
         if "transfer-encoding" in headers or not _LENGTH.fullmatch(length):
             raise CallError("content-length")
-        if int(length) > MOST_LONG:
+        if int(length) > MAX_BODY_BYTES:
             raise TooLargeError("content-length: over 64 MiB")
     return headers
 
@@ -209,7 +210,7 @@
 
 
 def _budget(text: str) -> float:
-    if not text.isascii() or not text.isdigit() or len(text) > 9 or int(text) > MOST_BUDGET_MS:
+    if not text.isascii() or not text.isdigit() or len(text) > 9 or int(text) > MAX_BUDGET_MS:
         raise CallError("X-Budget-Ms")
     return float(text)
 
--- a/wickspring/net/http1_front.py
+++ b/wickspring/net/http1_front.py
@@ -1,4 +1,4 @@
-"""The platform's front: HTTP/1.1 from clients, one request at a time on each connection."""
+"""The front for HTTP/1.1 (RFC 9112): requests of clients, one at a time on each connection."""
 
 from __future__ import annotations
 
@@ -12,42 +12,51 @@
 
 from wickspring.net.body_stream import BodyStream
 from wickspring.net.calls import (
-    BODY_LEAST,
+    BODY_BYTES_PER_MS,
     BODY_MS,
     DEFER_S,
+    FIRST_BYTE_MS,
     HEAD_MS,
     IDLE_MS,
-    MOST_BODY,
-    MOST_LONG,
-    SILENT_MS,
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY,
     CallError,
     read_head,
 )
 from wickspring.net.http_server import HttpRequest, HttpServer
 from wickspring.net.link import Link
 
-MOST_HEAD = 16 * 1024
-MOST_AHEAD = MOST_HEAD + MOST_BODY  # bytes of the next request, taken in while an answer is owed
-LINGER_MS = 1000.0  # for the client to close once the last answer has left
-READ_MS = 15_000.0  # for a client that reads nothing of its last answer
-MOST_DROPPED = 32 << 20  # bytes read and dropped after an early answer; who has more to send is cut off
-NO_ROOM_S = 1.0  # after which a long request that found no room may come again
-MOST_AT_ONCE = 8  # requests taken from one connection before others have their turn
-_LENGTH = re.compile(rb"^content-length[ \t]*:[ \t]*([^\r\n]*)", re.IGNORECASE | re.MULTILINE)
+MAX_HEAD_BYTES = 16 * 1024
+MAX_READ_AHEAD = (
+    MAX_HEAD_BYTES + MAX_BUFFERED_BODY
+)  # bytes of further requests, read while a response is owed
+LINGER_MS = 1000.0  # for the client to close once the last response has left (RFC 9112, section 9.6)
+READ_TIMEOUT_MS = 15_000.0  # for a client that reads nothing of its last response
+MAX_DISCARDED = 32 << 20  # bytes read and dropped after an early response; who has more to send is cut off
+STREAM_RETRY_S = 1.0  # after which a long request that found no room may come again
+MAX_PIPELINED_AT_ONCE = 8  # requests handled of one connection before others have their turn
+NO_CONTENT_STATUSES = (204, 304)  # RFC 9110, section 6.4.1
+TOO_MANY_REQUESTS = 429
+MAX_LENGTH_STATUSES = (413, 431)  # that h11 gives for what is too long
 
+_CONTENT_LENGTH = re.compile(rb"^content-length[ \t]*:[ \t]*([^\r\n]*)", re.IGNORECASE | re.MULTILINE)
+_ABSOLUTE_FORM = re.compile(r"https?://[^/?#]*", re.IGNORECASE)
 
-def length_is_odd(head: bytes) -> bool:
-    """Tell whether a head gives its body's length twice, even as one number; h11 folds those into one."""
-    lengths = _LENGTH.findall(head)
-    return len(lengths) > 1 or any(not length.strip().isdigit() for length in lengths)
+HeaderPairs = Sequence[tuple[str, str]]
 
 
-_ABSOLUTE = re.compile(r"https?://[^/?#]*", re.IGNORECASE)
+def has_ambiguous_length(head: bytes) -> bool:
+    """Tell whether a head gives its body's length twice, even as one number, or not in digits.
+
+    RFC 9112, section 6.3, lets a recipient fold equal ones, as h11 does; here they are refused.
+    """
+    lengths = _CONTENT_LENGTH.findall(head)
+    return len(lengths) > 1 or (len(lengths) == 1 and not lengths[0].strip().isdigit())
 
 
 def origin_form(target: str) -> str:
-    """Return a target as ticket servers know it: who speaks as to a proxy puts scheme and host ahead."""
-    absolute = _ABSOLUTE.match(target)
+    """Return a request target without scheme and host (RFC 9112, section 3.2.2), as servers know it."""
+    absolute = _ABSOLUTE_FORM.match(target)
     if absolute is None:
         return target
     rest = target[absolute.end() :]
@@ -55,241 +64,303 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Patience:
-    """What a client may send, and how long it may take; milliseconds and bytes."""
+class FrontLimits:
+    """What a client may send, and how long it may take."""
 
-    silent: float = SILENT_MS
-    head: float = HEAD_MS
-    body: float = BODY_MS
-    idle: float = IDLE_MS
-    most_head: int = MOST_HEAD
-    most_body: int = MOST_LONG
+    first_byte_ms: float = FIRST_BYTE_MS
+    head_ms: float = HEAD_MS
+    body_ms: float = BODY_MS  # and 1 ms more for each `BODY_BYTES_PER_MS` bytes
+    idle_ms: float = IDLE_MS
+    max_head_bytes: int = MAX_HEAD_BYTES
+    max_body_bytes: int = MAX_BODY_BYTES
 
 
-USUAL = Patience()
+DEFAULT_LIMITS = FrontLimits()
 
 
 class Http1Connection:
-    """One client connection."""
+    """One client connection, and the place where the response to its present request goes."""
 
     def __init__(
-        self, link: Link, server: HttpServer, ahead: bytes | None = None, patience: Patience = USUAL
+        self,
+        link: Link,
+        server: HttpServer,
+        read_ahead: bytes | None = None,
+        limits: FrontLimits = DEFAULT_LIMITS,
     ) -> None:
-        self.link, self.server, self.patience = link, server, patience
-        self.ahead = ahead  # what the process before this one had read; None for a new connection
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=patience.most_head)
+        self.link, self.server, self.limits = link, server, limits
+        self.read_ahead = read_ahead  # by the process before this one; None for a new connection
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.max_head_bytes)
         self.request: h11.Request | None = None
         self.headers: dict[str, str] = {}
         self.body = bytearray()
-        self.body_stream: BodyStream | None = None  # for the rest of a long body, while it comes
-        self.body_at, self.body_size = 0.0, 0  # when a body began, put off by what held it up here; its bytes
-        self.number: int | None = None  # of the request that waits for its answer
-        self.begun_at = self.heard_at = server.clock.now()  # begun: connecting, or a request's first byte
-        self.served = ahead is not None  # a request has come whole
-        self.advancing = False
-        self.ending = False
-        self._closes = False  # with the long answer that has begun
-        self._turn: trio.Event | None = None  # of who has sent much before its answer
+        self.body_stream: BodyStream | None = None  # for the rest of a long body, while it arrives
+        self.body_started_at = 0.0  # put off by the time in which the client was not read
+        self.body_size = 0
+        self.request_number: int | None = None  # of the request that waits for its response
+        self.last_received_at = server.clock.now()
+        self.started_at = self.last_received_at  # of the connection, or of the present request
+        self.has_received_request = read_ahead is not None
+        self.closing = False
+        self._advancing = False
+        self._handled_at_once = 0  # requests, by the present call of `advance`
+        self._closes_after_stream = False  # the connection, with the streamed response that has begun
+        self._resumed: trio.Event | None = None  # where reading pauses until a response is given
+
+    # Reading.
 
     async def run(self) -> None:
-        """Read until the client leaves or this side has said its last."""
-        dropped = 0
-        if self.ahead:
-            self._heard(self.ahead)
-        elif self.ahead is None and self.link.peek() is None:  # it has been silent since it connected
-            self.begun_at = self.heard_at = self.begun_at - 1000.0 * DEFER_S
-        while dropped < MOST_DROPPED and not self.link.broken:
-            body_stream = self.body_stream
-            if body_stream is not None and body_stream.is_full:
-                full_at = self.server.clock.now()
-                await body_stream.wait_writable()
-                self.body_at += self.server.clock.now() - full_at  # no fault of the client's
-                continue
-            if (
-                self.number is not None
-                and body_stream is None
-                and len(self.http.trailing_data[0]) > MOST_AHEAD
-            ):
-                self._turn = trio.Event()  # what comes before its turn waits with the client
-                await self._turn.wait()
+        """Read until the client leaves or this side has written its last response."""
+        self._begin_reading()
+        discarded = 0
+        while discarded < MAX_DISCARDED and not self.link.broken:
+            if self._must_pause():
+                await self._pause()
                 continue
             data = await self.link.receive()
             if not data:
                 break
-            if self.ending:
-                dropped += len(data)  # read, so that closing does not reset the answer
+            if self.closing:
+                discarded += len(data)  # read, so that closing does not reset the response
                 continue
-            if not self._heard(data):
+            if not self._receive(data):
                 break
-        self.ending = True
-
-    def _heard(self, data: bytes) -> bool:
-        """Take bytes in; False where the connection is to end at once."""
-        self.heard_at = self.server.clock.now()
-        if self.served and self.is_idle():
-            self.begun_at = self.heard_at
+        self.closing = True
+
+    def _begin_reading(self) -> None:
+        if self.read_ahead:
+            self._receive(self.read_ahead)
+        elif self.read_ahead is None and self.link.peek() is None:  # silent since it connected
+            self.last_received_at = self.started_at = self.started_at - 1000.0 * DEFER_S
+
+    def _must_pause(self) -> bool:
+        """Tell whether the client is not to be read for now."""
+        if self.body_stream is not None:
+            return self.body_stream.is_full
+        return self.request_number is not None and len(self.http.trailing_data[0]) > MAX_READ_AHEAD
+
+    async def _pause(self) -> None:
+        """Wait until the client may be read again."""
+        if self.body_stream is None:
+            self._resumed = trio.Event()
+            await self._resumed.wait()
+            return
+        paused_at = self.server.clock.now()
+        await self.body_stream.wait_writable()
+        self.body_started_at += self.server.clock.now() - paused_at  # no fault of the client's
+
+    def _receive(self, data: bytes) -> bool:
+        """Process bytes; False where the connection is to be closed at once."""
+        self.last_received_at = self.server.clock.now()
+        if self.has_received_request and self.is_idle():
+            self.started_at = self.last_received_at
         self.http.receive_data(data)
-        if self.number is None or self.body_stream is not None:
+        if self.request_number is None or self.body_stream is not None:
             self.advance()
-        ahead = len(self.http.trailing_data[0])
-        size = ahead + (len(self.body) if self.request is not None else 0)
-        if not self.server.record_buffered(self, size) and not self.ending:
-            if self.number is not None:
+        size = len(self.http.trailing_data[0])
+        if self.request is not None:
+            size += len(self.body)
+        if not self.server.record_buffered(self, size) and not self.closing:
+            if self.request_number is not None:
                 return False
             self.respond(503, "", b"too much is being sent at once\n")
         return True
 
+    def advance(self) -> None:
+        """Process what has been read, up to the end of one request; a request that follows waits."""
+        self._advancing = True
+        self._handled_at_once = 0
+        try:
+            while not self.closing and (self.request_number is None or self.body_stream is not None):
+                read = self.http.trailing_data[0] if self.request is None else b""
+                event = self.http.next_event()
+                if event is h11.NEED_DATA or event is h11.PAUSED:
+                    return
+                if isinstance(event, h11.Request):
+                    self._on_head(event, read)
+                elif isinstance(event, h11.Data):
+                    self._on_body(event.data)
+                elif isinstance(event, h11.EndOfMessage) and not self._on_end():
+                    return
+        except CallError as error:  # the connection ends: where the next request begins is not certain
+            self.respond(error.status, "", f"bad {error}\n".encode())
+        except h11.RemoteProtocolError as error:
+            code = error.error_status_hint
+            self.respond(code if code in MAX_LENGTH_STATUSES else 400, "", f"{error}\n".encode())
+        finally:
+            self._advancing = False
+
+    def _on_head(self, request: h11.Request, read: bytes) -> None:
+        """Take a request's head; `read` is what had been read before it was parsed."""
+        self.request, self.body = request, bytearray()
+        self.body_started_at, self.body_size = self.server.clock.now(), 0
+        if has_ambiguous_length(read[: len(read) - len(self.http.trailing_data[0])]):
+            raise CallError("content-length")
+        self.headers = read_head(self.pairs())
+        if self.http.they_are_waiting_for_100_continue:
+            go_on = h11.InformationalResponse(status_code=100, headers=[])
+            self.link.send(self.http.send(go_on) or b"")
+
+    def _on_body(self, data: bytes) -> None:
+        self.body_size += len(data)
+        if self.body_stream is None:
+            self.body += data
+            if len(self.body) > MAX_BUFFERED_BODY and self.request is not None:
+                self._start_streaming(self.request)
+        elif self.body_size <= self.limits.max_body_bytes:
+            self.body_stream.write(bytes(data))
+        else:
+            self.cancel_requests()
+            self.respond(413, "", b"body too large\n")
+
+    def _on_end(self) -> bool:
+        """Take a request's end; False where no further request is to be processed now."""
+        if self.body_stream is not None:
+            body_stream, self.body_stream, self.request = self.body_stream, None, None
+            body_stream.write_eof()
+            return False
+        if self.request is None:
+            return True
+        self._handle(self.request)
+        self._handled_at_once += 1
+        if self._handled_at_once == MAX_PIPELINED_AT_ONCE and self.http.trailing_data[0]:
+            self.server.call_later(0.0, self.advance)  # the turn of other connections comes first
+            return False
+        return True
+
+    def _handle(self, request: h11.Request, body_stream: BodyStream | None = None) -> None:
+        """Pass a request on with what is buffered of its body; a stream brings the rest."""
+        method, target = request.method.decode("latin-1"), origin_form(request.target.decode("latin-1"))
+        self.has_received_request = True
+        self.server.handle_request(
+            self, HttpRequest(method, target, self.headers, bytes(self.body), body_stream)
+        )
+
+    def _start_streaming(self, request: h11.Request) -> None:
+        """Pass a request on whose body is longer than what is buffered."""
+        if not self.server.can_stream:
+            self.server.closed_counts["no_room_to_flow"] += 1
+            self.respond(503, f"{STREAM_RETRY_S:.3f}", b"too many long requests at once\n")
+            return
+        length = self.headers.get("content-length")
+        self.body_stream = BodyStream(int(length) if length is not None else None)
+        self.body_stream.write(bytes(self.body[MAX_BUFFERED_BODY:]))
+        del self.body[MAX_BUFFERED_BODY:]
+        self._handle(request, self.body_stream)
+        self.body = bytearray()
+        if self.request_number is None:  # answered at once
+            self.body_stream = None
+
+    def pairs(self) -> list[tuple[str, str]]:
+        """Return the headers of the present request, in order, their names in lower case."""
+        if self.request is None:
+            return []
+        return [(k.decode("latin-1"), v.decode("latin-1")) for k, v in self.request.headers]
+
+    # The connection.
+
     def detach(self) -> tuple[socket.socket, bytes] | None:
-        """Give the connection away, with what has been read ahead; None while a request is under way."""
-        ahead, closed = self.http.trailing_data
-        if self.number is not None or self.request is not None or self.ending or self.advancing or closed:
+        """Hand the connection over, with what has been read ahead; None while a request is in progress."""
+        read_ahead, closed = self.http.trailing_data
+        if self.request_number is not None or self.request is not None or self._advancing:
+            return None
+        if self.closing or closed:
             return None
         sock = self.link.detach()
         if sock is None:
             return None
-        self.ending = True
-        return sock, ahead
+        self.closing = True
+        return sock, read_ahead
 
     def cancel_requests(self) -> None:
-        """Withdraw the request that is out, if any: the client has left."""
-        number, self.number = self.number, None
+        """Withdraw the request that waits for its response, if any: the client has left."""
+        number, self.request_number = self.request_number, None
         if number is not None:
             self.server.client_disconnected(number)
 
     def is_idle(self) -> bool:
-        """Tell whether no request is under way."""
-        return self.number is None and self.request is None and not self.http.trailing_data[0]
+        """Tell whether no request is in progress."""
+        return self.request_number is None and self.request is None and not self.http.trailing_data[0]
 
     def idle_since(self) -> float | None:
-        """Return when it was last heard of; None while an answer is owed on it."""
-        return self.heard_at if self.number is None else None
+        """Return when bytes were last received (ms); None while a response is owed."""
+        return self.last_received_at if self.request_number is None else None
 
     def close_if_unread(self) -> None:
-        """End it now, unless something has come that is not read yet."""
+        """Close it now, unless bytes have arrived that are not read yet."""
         if self.link.peek() is None:
             self.link.close()
 
     def expire(self, now: float) -> None:
-        """End the connection where it has been silent, or a request has been on its way, for too long."""
+        """Close the connection where it has been silent, or a request has been arriving, for too long."""
         body_stream = self.body_stream
-        if self.ending or (self.number is not None and (body_stream is None or body_stream.is_full)):
+        waits_for_server = self.request_number is not None and (body_stream is None or body_stream.is_full)
+        if self.closing or waits_for_server or now < self._expires_at():
             return
+        if self.link.peek() is not None:
+            return  # what has arrived and is not read yet may be a whole request
         idle = self.is_idle()
-        since, most = self.begun_at, self.patience.silent
-        if self.served:
-            since, most = self.heard_at, self.patience.idle
-        if self.request is not None:
-            since, most = self.body_at, self.patience.body + self.body_size / BODY_LEAST
-        elif not idle:
-            since, most = self.begun_at, self.patience.head
-        if now - since < most or self.link.peek() is not None:
-            return  # what has come and is not read yet may be a whole request
-        self.server.closed_counts["half_sent" if not idle else "idle" if self.served else "silent"] += 1
+        reason = "half_sent" if not idle else "idle" if self.has_received_request else "silent"
+        self.server.closed_counts[reason] += 1
         if idle:
             self.link.close()
-        elif self.number is not None and self.server.executes_partial_requests:
+        elif self.request_number is not None and self.server.executes_partial_requests:
             self.cancel_requests()
             self.end_response(False)
         else:
             self.cancel_requests()  # of a long body: what began is given up
             self.respond(408, "", b"the request did not come whole in time\n")
 
-    def advance(self) -> None:
-        """Take in what has been read, up to the end of one request."""
-        self.advancing, taken = True, 0
-        try:
-            while not self.ending and (self.number is None or self.body_stream is not None):
-                ahead = self.http.trailing_data[0] if self.request is None else b""
-                event = self.http.next_event()
-                if event is h11.NEED_DATA or event is h11.PAUSED:
-                    return
-                if isinstance(event, h11.Request):
-                    self.request, self.body = event, bytearray()
-                    self.body_at, self.body_size = self.server.clock.now(), 0
-                    if length_is_odd(ahead[: len(ahead) - len(self.http.trailing_data[0])]):
-                        raise CallError("content-length")
-                    pairs = ((k.decode("latin-1"), v.decode("latin-1")) for k, v in event.headers)
-                    self.headers = read_head(pairs)
-                    if self.http.they_are_waiting_for_100_continue:
-                        go_on = h11.InformationalResponse(status_code=100, headers=[])
-                        self.link.send(self.http.send(go_on) or b"")
-                elif isinstance(event, h11.Data):
-                    self.body_size += len(event.data)
-                    if self.body_stream is not None:
-                        if self.body_size > self.patience.most_body:
-                            self.cancel_requests()
-                            self.respond(413, "", b"body too large\n")
-                            return
-                        self.body_stream.write(bytes(event.data))
-                        continue
-                    self.body += event.data
-                    if len(self.body) > MOST_BODY and self.request is not None:
-                        self._take_long(self.request)
-                elif isinstance(event, h11.EndOfMessage) and self.body_stream is not None:
-                    body_stream, self.body_stream, self.request = self.body_stream, None, None
-                    body_stream.write_eof()
-                    return
-                elif isinstance(event, h11.EndOfMessage) and self.request is not None:
-                    self._take(self.request)
-                    taken += 1
-                    if taken == MOST_AT_ONCE and self.http.trailing_data[0]:
-                        self.server.call_later(0.0, self.advance)  # the others' turn comes first
-                        return
-        except CallError as error:  # the end: where the next request would begin is not certain
-            self.respond(error.status, "", f"bad {error}\n".encode())
-        except h11.RemoteProtocolError as error:
-            code = error.error_status_hint
-            self.respond(code if code in (413, 431) else 400, "", f"{error}\n".encode())
-        finally:
-            self.advancing = False
+    def _expires_at(self) -> float:
+        """Return until when the client may take for what it is about."""
+        limits = self.limits
+        if self.request is not None:
+            return self.body_started_at + limits.body_ms + self.body_size / BODY_BYTES_PER_MS
+        if not self.is_idle():
+            return self.started_at + limits.head_ms
+        if self.has_received_request:
+            return self.last_received_at + limits.idle_ms
+        return self.started_at + limits.first_byte_ms
 
-    def _take(self, request: h11.Request, body_stream: BodyStream | None = None) -> None:
-        """Take a request with what is held of its body; a stream brings the rest."""
-        method, target = request.method.decode("latin-1"), origin_form(request.target.decode("latin-1"))
-        self.served = True
-        self.server.handle_request(
-            self, HttpRequest(method, target, self.headers, bytes(self.body), body_stream)
-        )
+    def drain(self) -> None:
+        """Say nothing: `Connection: close` goes out with the next response."""
 
-    def _take_long(self, request: h11.Request) -> None:
-        """Take a request whose body is longer than what is held; the rest flows."""
-        if not self.server.can_stream:
-            self.server.closed_counts["no_room_to_flow"] += 1
-            self.respond(503, f"{NO_ROOM_S:.3f}", b"too many long requests at once\n")
-            return
-        length = self.headers.get("content-length")
-        self.body_stream = BodyStream(int(length) if length is not None else None)
-        self.body_stream.write(bytes(self.body[MOST_BODY:]))
-        del self.body[MOST_BODY:]
-        self._take(request, self.body_stream)
+    def finish(self) -> None:
+        """Close the connection after what has been written."""
+        self.closing = True
         self.body = bytearray()
-        if self.number is None:  # answered at once
-            self.body_stream = None
+        self.server.record_buffered(self, 0)
+        self.link.finish()
+        self._linger(self.link.taken, self.server.clock.now())
 
-    def pairs(self) -> list[tuple[str, str]]:
-        """Return the headers of the request that is being taken, in order, their names in lower case."""
-        if self.request is None:
-            return []
-        return [(k.decode("latin-1"), v.decode("latin-1")) for k, v in self.request.headers]
+    def _linger(self, taken: int, moved_at: float) -> None:
+        """Close a while after all has left; a client that reads slowly gets its response whole."""
+        if self.link.flushed or self.link.broken:
+            self.server.call_later(LINGER_MS, self.link.close)
+            return
+        now = self.server.clock.now()
+        if self.link.taken > taken:
+            taken, moved_at = self.link.taken, now
+        if now - moved_at > READ_TIMEOUT_MS:
+            self.link.close()
+        else:
+            self.server.call_later(LINGER_MS, lambda: self._linger(taken, moved_at))
+
+    # The response.
 
     def request_accepted(self, number: int, budget: float) -> None:
-        """Note that an answer is owed."""
-        self.number = number
+        """Note that a response is owed."""
+        self.request_number = number
 
-    def respond(
-        self, status: int, retry_after: str, body: bytes, more: Sequence[tuple[str, str]] = ()
-    ) -> None:
-        """Write the final answer, and go on to the next request where there may be one."""
-        headers = [*more]
-        if status >= 200 and status not in (204, 304):
+    def respond(self, status: int, retry_after: str, body: bytes, extra_headers: HeaderPairs = ()) -> None:
+        """Write a complete response, and go on to the next request where there may be one."""
+        headers = [*extra_headers]
+        if status >= 200 and status not in NO_CONTENT_STATUSES:
             headers.append(("Content-Length", str(len(body))))
         if retry_after:
             headers.append(("Retry-After", retry_after))
-        # Who errs is not heard on and on; `ahead` is of requests sent without waiting for this answer.
-        ahead = self.http.trailing_data[0]
-        errs = bool(ahead) and 400 <= status < 500 and status != 429
-        ends = self._ends() or errs
-        if ends or self.http.their_state is not h11.DONE:
+        closes = self._closes_connection() or self._is_pipelined_error(status)
+        if closes or self.http.their_state is not h11.DONE:
             headers.append(("Connection", "close"))
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             data = self.http.send(h11.Response(status_code=status, headers=headers)) or b""
@@ -297,40 +368,44 @@
                 data += self.http.send(h11.Data(data=body)) or b""
             data += self.http.send(h11.EndOfMessage()) or b""
             self.link.send(data)
-        self._answered(ends)
-
-    def _ends(self) -> bool:
-        """Tell whether the connection is to end with the present answer."""
-        return self.server.near_connection_limit or (self.server.draining and not self.server.handing_over)
-
-    def _answered(self, ends: bool) -> None:
-        if self._turn is not None:
-            self._turn.set()
-        self.number = self.request = self.body_stream = None
-        if self.http.our_state is self.http.their_state is h11.DONE and not ends:
-            ahead = self.http.trailing_data[0]
+        self._response_ended(closes)
+
+    def _is_pipelined_error(self, status: int) -> bool:
+        """Tell whether a client has erred and sent on: it is not read on and on."""
+        return bool(self.http.trailing_data[0]) and 400 <= status < 500 and status != TOO_MANY_REQUESTS
+
+    def _closes_connection(self) -> bool:
+        """Tell whether the connection is to end with the present response."""
+        server = self.server
+        return server.near_connection_limit or (server.draining and not server.handing_over)
+
+    def _response_ended(self, closes: bool) -> None:
+        """Go on to the next request, or close the connection."""
+        if self._resumed is not None:
+            self._resumed.set()
+        self.request_number = self.request = self.body_stream = None
+        if self.http.our_state is self.http.their_state is h11.DONE and not closes:
+            has_read_ahead = bool(self.http.trailing_data[0])
             self.http.start_next_cycle()
-            self.begun_at = self.heard_at = self.server.clock.now()
-            if ahead and not self.advancing:  # else the loop that brought this request goes on
+            self.started_at = self.last_received_at = self.server.clock.now()
+            if has_read_ahead and not self._advancing:  # else the loop that handled this request goes on
                 self.advance()
         else:
             self.finish()
 
-    def begin_response(
-        self, length: int | None, status: int = 200, more: Sequence[tuple[str, str]] = ()
-    ) -> None:
-        """Begin a good answer that is passed on as it comes."""
-        headers = [*more]
+    def begin_response(self, length: int | None, status: int = 200, extra_headers: HeaderPairs = ()) -> None:
+        """Begin a response that is passed on as it arrives."""
+        headers = [*extra_headers]
         if length is not None:
             headers.append(("Content-Length", str(length)))
-        self._closes = self._ends()
-        if self._closes or self.http.their_state is not h11.DONE:
+        self._closes_after_stream = self._closes_connection()
+        if self._closes_after_stream or self.http.their_state is not h11.DONE:
             headers.append(("Connection", "close"))
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self.link.send(self.http.send(h11.Response(status_code=status, headers=headers)) or b"")
 
     def write_body(self, data: bytes) -> None:
-        """Pass on a piece."""
+        """Pass a piece of the body on."""
         if data and self.http.our_state is h11.SEND_BODY:
             self.link.send(self.http.send(h11.Data(data=data)) or b"")
 
@@ -339,41 +414,17 @@
         return await self.link.room()
 
     def end_response(self, complete: bool) -> None:
-        """End the answer; one that is not complete ends with its connection, in no good order."""
+        """End a response; an incomplete one ends with a reset, so that it cannot pass for complete."""
         if not complete or self.http.our_state is not h11.SEND_BODY:
-            self.number, self.ending = None, True
-            if self._turn is not None:
-                self._turn.set()
+            self.request_number, self.closing = None, True
+            if self._resumed is not None:
+                self._resumed.set()
             self.link.abort()
             return
         self.link.send(self.http.send(h11.EndOfMessage()) or b"")
-        self._answered(self._closes)
-
-    def drain(self) -> None:
-        """Say nothing: `Connection: close` goes out with the next answer."""
-
-    def finish(self) -> None:
-        """End the connection after what has been written."""
-        self.ending = True
-        self.body = bytearray()
-        self.server.record_buffered(self, 0)
-        self.link.finish()
-        self._linger(self.link.taken, self.server.clock.now())
-
-    def _linger(self, taken: int, moved_at: float) -> None:
-        """Close a while after all has left; a client that reads slowly gets its answer whole."""
-        if self.link.flushed or self.link.broken:
-            self.server.call_later(LINGER_MS, self.link.close)
-            return
-        now = self.server.clock.now()
-        if self.link.taken > taken:
-            taken, moved_at = self.link.taken, now
-        if now - moved_at > READ_MS:
-            self.link.close()
-        else:
-            self.server.call_later(LINGER_MS, lambda: self._linger(taken, moved_at))
+        self._response_ended(self._closes_after_stream)
 
 
-async def serve(link: Link, server: HttpServer, ahead: bytes | None = None) -> None:
+async def serve(link: Link, server: HttpServer, read_ahead: bytes | None = None) -> None:
     """Serve one client connection, of which another process may have read something ahead."""
-    await server.serve(Http1Connection(link, server, ahead), link)
+    await server.serve(Http1Connection(link, server, read_ahead), link)
--- a/wickspring/net/http_server.py
+++ b/wickspring/net/http_server.py
@@ -14,7 +14,7 @@
 
 from wickspring.logs import kv
 from wickspring.net.body_stream import BodyStream
-from wickspring.net.calls import IDLE_LEAST_MS, Client
+from wickspring.net.calls import MIN_IDLE_MS, Client
 from wickspring.net.clock import Clock
 from wickspring.net.link import Link
 from wickspring.net.timers import Timers
@@ -151,7 +151,7 @@
 
         None is closed before its time: a request may be on its way, and new clients can wait to be accepted.
         """
-        latest = self.clock.now() - IDLE_LEAST_MS
+        latest = self.clock.now() - MIN_IDLE_MS
         idle = [(since, c) for c in self.connections if (since := c.idle_since()) is not None]
         for since, connection in sorted(idle, key=lambda pair: pair[0])[:CLOSE_AT_ONCE]:
             if since < latest:
--- a/wickspring/net/upstream/response_reader.py
+++ b/wickspring/net/upstream/response_reader.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from wickspring.net.calls import MOST_LONG
+from wickspring.net.calls import MAX_BODY_BYTES
 from wickspring.net.upstream.exchange import MAX_BUFFERED_RESPONSE, ServerExchange
 
 MAX_HEAD_BYTES = 16 * 1024
@@ -42,7 +42,7 @@
         return None
     if response.status_code != 200 and int(length) > MAX_BUFFERED_RESPONSE:
         raise h11.RemoteProtocolError("a refusal over 64 KiB")
-    if int(length) > MOST_LONG:
+    if int(length) > MAX_BODY_BYTES:
         raise h11.RemoteProtocolError("an answer over 64 MiB")
     return int(length)
 
