--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from tests.support.fleet import NOW, RULES, record
-from wickspring.fleet.views import Content, Health, View
+from wickspring.fleet.views import AgentContent, FleetView, Health
 
 
-def spread(views: list[View], now: float, rounds: int, cut: tuple[str, ...] = ()) -> float:
+def gossip(views: list[FleetView], now: float, rounds: int, cut: tuple[str, ...] = ()) -> float:
     for _ in range(rounds):
         now += RULES.gossip_s
         for view in views:
@@ -14,49 +14,49 @@
                 continue
             own = view.entries[view.agent].content
             assert own is not None
-            view.tick(own)
-            for name in view.peers():
+            view.publish(own)
+            for name in view.choose_peers():
                 other = next(one for one in views if one.agent == name)
                 if other.agent in cut:
                     continue
-                news = other.delta(view.digest())
-                view.hear(news, now)
-                other.hear(view.requested_entries(news.requested), now)
+                delta = other.delta(view.digest())
+                view.receive(delta, now)
+                other.receive(view.requested_entries(delta.requested), now)
     return now
 
 
 def test_a_change_reaches_all_and_a_dead_agent_is_told_from_a_slow_one() -> None:
     names = [f"a{n}" for n in range(20)]
-    views = [View(name, names, NOW, RULES, seed) for seed, name in enumerate(names)]
-    assert not views[0].quorum(NOW)
-    views[7].tick(Content((record("n0"),)))
-    now = spread(views, NOW, 8)
+    views = [FleetView(name, names, NOW, RULES, seed) for seed, name in enumerate(names)]
+    assert not views[0].has_quorum(NOW)
+    views[7].publish(AgentContent((record("n0"),)))
+    now = gossip(views, NOW, 8)
     assert all("n0" in view.records() for view in views)
-    assert all(view.quorum(now) for view in views)
+    assert all(view.has_quorum(now) for view in views)
     before = views[0].records()
-    now = spread(views, now, 20, cut=("a3",))
+    now = gossip(views, now, 20, cut=("a3",))
     assert views[0].health("a3", now) is Health.DEAD
     assert views[0].health("a4", now) is Health.ALIVE
-    assert views[0].dead(now) == {"a3"}
-    assert before["n0"].name == "n0"  # a reader keeps the whole that it has
+    assert views[0].dead_agents(now) == {"a3"}
+    assert before["n0"].name == "n0"  # a reader keeps the map that it has
     for turn in range(30):
-        now = spread(views, now, 1, cut=() if turn % 4 == 0 else ("a5",))
+        now = gossip(views, now, 1, cut=() if turn % 4 == 0 else ("a5",))
     assert views[0].health("a5", now) in (Health.SLOW, Health.SUSPECT, Health.ALIVE)
     now += 60.0  # cut off itself: it hears nobody
-    assert not views[0].quorum(now)
+    assert not views[0].has_quorum(now)
 
 
-def test_older_words_are_passed_over_and_a_new_life_outdoes_an_old_one() -> None:
-    one, other = View("a0", ["a0", "a1"], NOW, RULES), View("a1", ["a0", "a1"], NOW, RULES)
-    other.tick(Content((record("n0"),)))
+def test_older_entries_are_ignored_and_a_later_incarnation_supersedes_an_earlier_one() -> None:
+    one, other = FleetView("a0", ["a0", "a1"], NOW, RULES), FleetView("a1", ["a0", "a1"], NOW, RULES)
+    other.publish(AgentContent((record("n0"),)))
     old = other.delta(one.digest())
-    one.hear(old, NOW)
-    other.tick(Content(()))
-    one.hear(other.delta(one.digest()), NOW + 1.0)
+    one.receive(old, NOW)
+    other.publish(AgentContent(()))
+    one.receive(other.delta(one.digest()), NOW + 1.0)
     assert not one.records()
-    one.hear(old, NOW + 2.0)
+    one.receive(old, NOW + 2.0)
     assert not one.records()
-    again = View("a1", ["a0", "a1"], NOW + 9.0, RULES)
-    again.tick(Content((record("n1"),)))
-    one.hear(again.delta(one.digest()), NOW + 9.0)
+    again = FleetView("a1", ["a0", "a1"], NOW + 9.0, RULES)
+    again.publish(AgentContent((record("n1"),)))
+    one.receive(again.delta(one.digest()), NOW + 9.0)
     assert list(one.records()) == ["n1"]
--- a/wickspring/agent/context.py
+++ b/wickspring/agent/context.py
@@ -9,7 +9,7 @@
 
 from wickspring.agent.store import Store
 from wickspring.fleet.file import Fleet, FleetAgent
-from wickspring.fleet.views import View
+from wickspring.fleet.views import FleetView
 from wickspring.settings.errors import ConfigError
 
 MAX_SOCKET_PATH = 100  # bytes; the kernel takes 108 for a local socket (unix(7))
@@ -23,7 +23,7 @@
     agent: FleetAgent  # this one, as of its start
     folder: Path  # for the store, sockets, logs and pid files
     store: Store
-    view: View
+    view: FleetView
     now: Callable[[], float]
 
     @property
@@ -55,5 +55,5 @@
         raise ConfigError(f"agent {name}: state: the path is too long for a socket: {folder}")
     store = Store(folder / "agent.db")
     agents = [other.name for other in fleet.file.agent]
-    view = View(name, agents, now(), fleet.file.rules, os.getpid())
+    view = FleetView(name, agents, now(), fleet.file.rules, os.getpid())
     return AgentContext(fleet, agent, folder, store, view, now)
--- a/wickspring/agent/gossip.py
+++ b/wickspring/agent/gossip.py
@@ -10,7 +10,7 @@
 from wickspring.agent.local_instances import LocalInstances
 from wickspring.agent.operation_runner import OperationRunner
 from wickspring.agent.peer_client import PeerClient
-from wickspring.fleet.views import Content
+from wickspring.fleet.views import AgentContent
 from wickspring.wire import WireError
 
 LEAVE_PEERS = 3  # agents that are told when this one leaves
@@ -36,31 +36,31 @@
         """Begin a round every `Rules.gossip_s` seconds, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                self.context.view.tick(self._content())
-                for peer in self.context.view.peers():
+                self.context.view.publish(self._content())
+                for peer in self.context.view.choose_peers():
                     nursery.start_soon(self._exchange_with, peer)
                 await trio.sleep(self.context.fleet.file.rules.gossip_s)
 
     async def leave(self) -> None:
         """Let some others know that this agent ends on purpose."""
-        self.context.view.tick(self._content(left=True))
-        for peer in self.context.view.peers(LEAVE_PEERS):
+        self.context.view.publish(self._content(left=True))
+        for peer in self.context.view.choose_peers(LEAVE_PEERS):
             with trio.move_on_after(LEAVE_TIMEOUT_S):
                 await self._exchange_with(peer)
 
-    def _content(self, left: bool = False) -> Content:
+    def _content(self, left: bool = False) -> AgentContent:
         """Return what this agent publishes of itself."""
         records = sorted(self.instances.owner_state.records.values(), key=lambda record: record.name)
         operations = self.operations.reported()
-        return Content(tuple(records), operations, __version__, wire.HIGHEST, left)
+        return AgentContent(tuple(records), operations, __version__, wire.HIGHEST, left)
 
     async def _exchange_with(self, peer: str) -> None:
         view = self.context.view
         try:
-            delta = (await self.peers.exchange(peer, wire.Gossip(view.digest()))).news
+            delta = (await self.peers.exchange(peer, wire.Gossip(view.digest()))).delta
             if delta is None:
                 return
-            view.hear(delta, self.context.now())
+            view.receive(delta, self.context.now())
             if delta.requested:
                 await self.peers.exchange(peer, wire.Push(view.requested_entries(delta.requested)))
         except WireError:
--- a/wickspring/agent/local_instances.py
+++ b/wickspring/agent/local_instances.py
@@ -110,7 +110,7 @@
     def handle_request(self, request: owner_messages.Request) -> owner_messages.Reply:
         """Carry out a coordinator's request."""
         now, view = self.context.now(), self.context.view
-        status = owner.FleetStatus(self.fleet_records(), view.quorum(now), view.dead(now))
+        status = owner.FleetStatus(self.fleet_records(), view.has_quorum(now), view.dead_agents(now))
         after, reply = owner.handle_request(
             self.owner_state, now, request, self.context.fleet.file.rules, status
         )
--- a/wickspring/agent/message_handler.py
+++ b/wickspring/agent/message_handler.py
@@ -38,9 +38,9 @@
         if not peer.agent:
             return Answer(error=AGENTS_REQUEST if isinstance(message, wire.OwnerRequest) else AGENTS_GOSSIP)
         if isinstance(message, wire.Gossip):
-            return Answer(news=self.context.view.delta(message.digest))
+            return Answer(delta=self.context.view.delta(message.digest))
         if isinstance(message, wire.Push):
-            self.context.view.hear(message.news, self.context.now())
+            self.context.view.receive(message.delta, self.context.now())
             return Answer()
         return Answer(reply=self.instances.handle_request(message.request))
 
@@ -51,7 +51,7 @@
             records=self._records(),
             operations=self._operations(),
             history=self._history(message.history),
-            quorum=self.context.view.quorum(now),
+            quorum=self.context.view.has_quorum(now),
         )
 
     def _agents(self, now: float) -> tuple[wire.AgentView, ...]:
--- a/wickspring/agent/operation_runner.py
+++ b/wickspring/agent/operation_runner.py
@@ -160,8 +160,8 @@
             self.instances.fleet_records(),
             fleet.permit_issuers(),
             fleet.file.rules,
-            view.dead(now),
-            view.quorum(now),
+            view.dead_agents(now),
+            view.has_quorum(now),
         )
 
     async def _send(self, operation_id: str, request: AgentRequest) -> None:
--- a/wickspring/agent/wire.py
+++ b/wickspring/agent/wire.py
@@ -15,7 +15,7 @@
 
 from wickspring.fleet import owner_messages
 from wickspring.fleet.model import InstanceRecord, Kind, Operation
-from wickspring.fleet.views import AgentNews
+from wickspring.fleet.views import AgentDelta
 from wickspring.membership.anti_entropy import Digest
 from wickspring.wire import Lines, Numbers, WireError, connect, welcome
 
@@ -30,10 +30,10 @@
     digest: Digest
 
 
-class Push(msgspec.Struct, frozen=True, tag="push"):
+class Push(msgspec.Struct, frozen=True, tag="push", rename={"delta": "news"}):
     """Entries that the other agent has requested."""
 
-    news: AgentNews
+    delta: AgentDelta
 
 
 class OwnerRequest(msgspec.Struct, frozen=True, tag="home"):
@@ -87,11 +87,11 @@
     text: str
 
 
-class Answer(msgspec.Struct, frozen=True):
+class Answer(msgspec.Struct, frozen=True, rename={"delta": "news"}):
     """The answer to any message; what does not apply is left out."""
 
     error: str = ""
-    news: AgentNews | None = None
+    delta: AgentDelta | None = None
     reply: owner_messages.Reply | None = None
     operation: Operation | None = None
     agents: tuple[AgentView, ...] = ()
--- a/wickspring/fleet/views.py
+++ b/wickspring/fleet/views.py
@@ -1,12 +1,12 @@
-"""What every agent knows of the fleet, spread by gossip, and who of the agents is dead, slow or well.
+"""What every agent knows of the fleet, spread by gossip, and which agents are alive, slow or dead; no I/O.
 
-The gossip is that of `membership/anti_entropy.py`, with a digest of all: an agent's entry holds a heartbeat
-that it raises at every round, and its instances and operations.
+The gossip is that of `membership/anti_entropy.py`, with a digest of all agents: an agent's entry holds a
+heartbeat that it raises in every round, and its instances and operations.
 
-Whether an agent lives is judged by its beats, by whichever way they come (phi accrual: how unlikely so long a
-pause is, given the pauses seen). A slow agent's beats come late and go on; a dead one's stop. Nothing is ever
-done to another agent's instances, dead or not: the judgement only says what to wait for, and whether this
-agent itself is cut off from most of the others.
+An agent's health is judged by its heartbeats, by whichever way they come (phi accrual: how unlikely so long
+a pause is, given earlier pauses). A slow agent's heartbeats come late and go on; a dead agent's stop. Nothing
+is ever done to another agent's instances, dead or not: the judgement only says what to wait for, and whether
+this agent itself is cut off from most of the others. Times are Unix seconds.
 """
 
 from __future__ import annotations
@@ -15,6 +15,7 @@
 from collections.abc import Iterable
 from enum import Enum
 from random import Random
+from typing import TypeAlias
 
 import msgspec
 from rpds import HashTrieMap
@@ -23,21 +24,22 @@
 from wickspring.membership.anti_entropy import AntiEntropyTable, Delta, Entry
 from wickspring.membership.failure_detector import PhiAccrualDetector
 
-JUDGED_SHARE = 0.2  # of a round, for which a judgement holds
+GOSSIP_FANOUT = 2  # agents that each round of gossip goes to
+JUDGEMENT_LIFETIME = 0.2  # of a round, for which a judgement of all agents is used again
 
 
 class Health(Enum):
-    """How an agent is, as far as its beats tell."""
+    """How an agent is, as far as its heartbeats tell."""
 
     ALIVE = "alive"
     SLOW = "slow"
     SUSPECT = "suspect"
     DEAD = "dead"
-    UNHEARD = "unheard"  # of since this agent began
+    UNKNOWN = "unheard"  # no heartbeat since this agent started
 
 
-class Content(msgspec.Struct, frozen=True):
-    """What an agent tells of itself."""
+class AgentContent(msgspec.Struct, frozen=True):
+    """What an agent publishes of itself."""
 
     records: tuple[InstanceRecord, ...] = ()
     operations: tuple[Operation, ...] = ()
@@ -46,104 +48,107 @@
     left: bool = False  # it was ended on purpose
 
 
-AgentNews = Delta[Content]
+AgentDelta: TypeAlias = Delta[AgentContent]
 
 
-class View(AntiEntropyTable[Content]):
-    """One agent's view of all; `entries` is whole at every moment, for readers without a lock."""
+class FleetView(AntiEntropyTable[AgentContent]):
+    """One agent's view of all; `entries` is complete at every moment, for readers without a lock."""
 
     def __init__(self, agent: str, agents: Iterable[str], now: float, rules: Rules, seed: int = 0) -> None:
-        self.agent, self.agents, self.rules = agent, tuple(sorted(agents)), rules
+        self.agent = agent
+        self.agents = tuple(sorted(agents))
+        self.rules = rules
         self.random = Random(seed)
-        self._pulses: dict[str, PhiAccrualDetector] = {}
-        self._began = now
+        self._detectors: dict[str, PhiAccrualDetector] = {}
         self._records: HashTrieMap[str, InstanceRecord] | None = None
-        self._judged_at, self._heard = -math.inf, 0
+        self._judged_at = -math.inf
+        self._reporting = 0  # agents that are neither dead nor unknown
         self._dead: frozenset[str] = frozenset()
-        self._whole: HashTrieMap[str, Entry[Content]] = HashTrieMap()
-        super().__init__(agent, now, Content())
+        self._all_entries: HashTrieMap[str, Entry[AgentContent]] = HashTrieMap()
+        super().__init__(agent, now, AgentContent())
 
-    def _put(self, entry: Entry[Content]) -> None:
-        self._whole = self._whole.insert(entry.owner, entry)
-        self.entries = self._whole
+    def _put(self, entry: Entry[AgentContent]) -> None:
+        self._all_entries = self._all_entries.insert(entry.owner, entry)
+        self.entries = self._all_entries
         self._records = None
 
     def accepts(self, name: str) -> bool:
         """Tell whether there is such an agent."""
         return name in self.agents
 
-    # Rounds.
+    # Rounds of gossip.
 
-    def tick(self, content: Content) -> None:
-        """Raise the own beat, with new content where it differs."""
+    def publish(self, content: AgentContent) -> None:
+        """Raise the own heartbeat, with new content where it differs."""
         self.update_own(content)
 
-    def peers(self, count: int = 2) -> list[str]:
-        """Choose whom to talk to in this round."""
+    def choose_peers(self, count: int = GOSSIP_FANOUT) -> list[str]:
+        """Choose the agents that a round of gossip goes to, at random."""
         others = [agent for agent in self.agents if agent != self.agent]
         return self.random.sample(others, min(count, len(others)))
 
-    def hear(self, news: AgentNews, now: float) -> None:
-        """Take entries in; each that is news is a beat of its agent."""
-        for old, entry in self.merge(news.entries):
-            pulse = self._pulses.get(entry.owner)
-            if pulse is None or (old is not None and entry.incarnation > old.incarnation):
-                self._pulses[entry.owner] = PhiAccrualDetector(now)
+    def receive(self, delta: AgentDelta, now: float) -> None:
+        """Merge entries; each that is newer than the known one counts as a heartbeat of its agent."""
+        for old, entry in self.merge(delta.entries):
+            detector = self._detectors.get(entry.owner)
+            if detector is None or (old is not None and entry.incarnation > old.incarnation):
+                self._detectors[entry.owner] = PhiAccrualDetector(now)
             else:
-                pulse.record_heartbeat(now)
+                detector.record_heartbeat(now)
 
-    # Readings.
+    # Health.
 
     def health(self, agent: str, now: float) -> Health:
-        """Judge an agent by its beats."""
+        """Judge an agent by its heartbeats."""
         if agent == self.agent:
             return Health.ALIVE
-        pulse, entry = self._pulses.get(agent), self.entries.get(agent)
-        if pulse is None or entry is None:
-            return Health.UNHEARD
+        detector, entry = self._detectors.get(agent), self.entries.get(agent)
+        if detector is None or entry is None:
+            return Health.UNKNOWN
         if entry.content is not None and entry.content.left:
             return Health.DEAD
-        phi = pulse.phi(now, self.rules.gossip_s)
+        phi = detector.phi(now, self.rules.gossip_s)
         if phi >= self.rules.dead_phi:
             return Health.DEAD
         if phi >= self.rules.suspect_phi:
             return Health.SUSPECT
-        return Health.SLOW if pulse.is_slow(self.rules.gossip_s) else Health.ALIVE
+        return Health.SLOW if detector.is_slow(self.rules.gossip_s) else Health.ALIVE
 
-    def dead(self, now: float) -> frozenset[str]:
-        """Return the agents that were heard of once and are not any more."""
+    def dead_agents(self, now: float) -> frozenset[str]:
+        """Return the agents whose heartbeats have stopped."""
         self._judge(now)
         return self._dead
 
-    def quorum(self, now: float) -> bool:
-        """Tell whether this agent hears more than half of all; one that does not begins nothing new."""
+    def has_quorum(self, now: float) -> bool:
+        """Tell whether more than half of all agents report; without them an agent begins nothing new."""
         self._judge(now)
-        return 2 * self._heard > len(self.agents)
+        return 2 * self._reporting > len(self.agents)
 
     def _judge(self, now: float) -> None:
-        """Judge all agents, a few times a round: everything that is asked for needs it."""
-        if 0.0 <= now - self._judged_at < JUDGED_SHARE * self.rules.gossip_s:
+        """Judge all agents, at most a few times in each round."""
+        if 0.0 <= now - self._judged_at < JUDGEMENT_LIFETIME * self.rules.gossip_s:
             return
         healths = {agent: self.health(agent, now) for agent in self.agents}
         self._judged_at = now
         self._dead = frozenset(agent for agent, health in healths.items() if health is Health.DEAD)
-        self._heard = sum(health not in (Health.DEAD, Health.UNHEARD) for health in healths.values())
+        self._reporting = sum(health not in (Health.DEAD, Health.UNKNOWN) for health in healths.values())
+
+    # Contents.
 
     def records(self) -> HashTrieMap[str, InstanceRecord]:
-        """Return all instances as last told by their own agents."""
+        """Return all instances as last reported by the agents that own them."""
         if self._records is None:
             records: HashTrieMap[str, InstanceRecord] = HashTrieMap()
-            for entry in self.entries.values():
-                for record in entry.content.records if entry.content is not None else ():
+            for content in self._contents():
+                for record in content.records:
                     records = records.insert(record.name, record)
             self._records = records
         return self._records
 
     def operations(self) -> list[Operation]:
-        """Return all operations that coordinators tell of, the latest first."""
-        found = [
-            operation
-            for entry in self.entries.values()
-            for operation in (entry.content.operations if entry.content is not None else ())
-        ]
+        """Return all operations that coordinators report, the latest first."""
+        found = [operation for content in self._contents() for operation in content.operations]
         return sorted(found, key=lambda operation: operation.at, reverse=True)
+
+    def _contents(self) -> list[AgentContent]:
+        return [entry.content for entry in self.entries.values() if entry.content is not None]
--- a/wickspring/lab/simulation/large_fleet.py
+++ b/wickspring/lab/simulation/large_fleet.py
@@ -31,7 +31,7 @@
 from wickspring.fleet.rollout.plan import OperationRequest, plan_operation
 from wickspring.fleet.rollout.replies import receive_reply
 from wickspring.fleet.rollout.requests import AgentRequest
-from wickspring.fleet.views import Content, View
+from wickspring.fleet.views import AgentContent, FleetView
 from wickspring.lab.emulation.site import Progress
 from wickspring.lab.experiments.scenario import FleetPart, Scenario
 from wickspring.lab.reports.record import Record as Sights
@@ -69,7 +69,7 @@
     def begin(self, agents: list[str]) -> None:
         """Start gossip and turns."""
         fleet = self.fleet
-        self.view = View(self.name, agents, fleet.now, fleet.rules, fleet.random.getrandbits(32))
+        self.view = FleetView(self.name, agents, fleet.now, fleet.rules, fleet.random.getrandbits(32))
         fleet.every(1000.0 * fleet.rules.gossip_s, self._gossip)
 
     def records(self) -> Records:
@@ -83,8 +83,8 @@
         if not self.alive:
             return
         operations = (self.operation,) if self.operation is not None else ()
-        self.view.tick(Content(tuple(self.owner_state.records.values()), operations, "virtual"))
-        for peer in self.view.peers():
+        self.view.publish(AgentContent(tuple(self.owner_state.records.values()), operations, "virtual"))
+        for peer in self.view.choose_peers():
             other = self.fleet.agents[peer]
             self.fleet.send(other, partial(self._round, other, self.view.digest()))
 
@@ -93,10 +93,10 @@
         delta = other.view.delta(digest)
 
         def on_delta() -> None:
-            self.view.hear(delta, self.fleet.now)
+            self.view.receive(delta, self.fleet.now)
             if delta.requested:
                 requested = self.view.requested_entries(delta.requested)
-                self.fleet.send(other, lambda: other.view.hear(requested, self.fleet.now))
+                self.fleet.send(other, lambda: other.view.receive(requested, self.fleet.now))
 
         self.fleet.send(self, on_delta)
 
@@ -105,7 +105,7 @@
     def request(self, request: owner_messages.Request) -> owner_messages.Reply:
         """Carry out a coordinator's request."""
         now = self.fleet.now
-        status = owner.FleetStatus(self.records(), self.view.quorum(now), self.view.dead(now))
+        status = owner.FleetStatus(self.records(), self.view.has_quorum(now), self.view.dead_agents(now))
         after, reply = owner.handle_request(self.owner_state, now, request, self.fleet.rules, status)
         for name, record in after.records.items():
             if record.desired != self.owner_state.records[name].desired:
@@ -152,7 +152,11 @@
             return
         now = fleet.now
         observation = FleetObservation(
-            self.records(), fleet.permit_issuers, fleet.rules, self.view.dead(now), self.view.quorum(now)
+            self.records(),
+            fleet.permit_issuers,
+            fleet.rules,
+            self.view.dead_agents(now),
+            self.view.has_quorum(now),
         )
         self.operation, requests = coordinator.advance(operation, now, observation)
         for request in requests:
