--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -31,7 +31,7 @@
     ("lowest", "highest", "use", "error"), [(1, 1, 1, ""), (1, 9, 1, ""), (5, 9, 0, "speaks protocol 1 to 1")]
 )
 def test_versions_agree_or_say_so(lowest: int, highest: int, use: int, error: str) -> None:
-    reply = wire.NUMBERS.agree(Greeting(lowest, highest, "9.9"))
+    reply = wire.PROTOCOL_VERSIONS.answer(Greeting(lowest, highest, "9.9"))
     assert reply.use == use
     assert error in reply.error
     assert not reply.error or "9.9" in reply.error
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -44,12 +44,12 @@
     Witness,
     weigh,
 )
-from wickspring.peer_state.messages import NUMBERS, PeerMessage, Reply
+from wickspring.peer_state.messages import PROTOCOL_VERSIONS, PeerMessage, Reply
 from wickspring.peer_state.shares import ShareMessages, Shares
 from wickspring.policy import Policy
 from wickspring.settings.errors import ConfigError
 from wickspring.settings.peers_file import PEERS_FILE, Bounds, load_peers
-from wickspring.wire import Greeting, Lines
+from wickspring.wire import Greeting, LineStream
 
 LINK_CLOSED_WITHIN_S = 3.0  # of bytes that cannot be read
 
@@ -606,7 +606,7 @@
     async def say(*lines: bytes) -> list[bytes]:
         stream = await trio.open_tcp_stream("127.0.0.1", place)
         async with stream:
-            got = Lines(stream)
+            got = LineStream(stream)
             answers = []
             for line in lines:
                 await stream.send_all(line + b"\n")
@@ -659,4 +659,4 @@
     finally:
         process.terminate()
         assert process.wait(10) == 0
-    assert NUMBERS.agree(Greeting(1, 3)).use == 1
+    assert PROTOCOL_VERSIONS.answer(Greeting(1, 3)).use == 1
--- a/wickspring/agent/gossip.py
+++ b/wickspring/agent/gossip.py
@@ -52,7 +52,7 @@
         """Return what this agent publishes of itself."""
         records = sorted(self.instances.owner_state.records.values(), key=lambda record: record.name)
         operations = self.operations.reported()
-        return AgentContent(tuple(records), operations, __version__, wire.HIGHEST, left)
+        return AgentContent(tuple(records), operations, __version__, wire.HIGHEST_VERSION, left)
 
     async def _exchange_with(self, peer: str) -> None:
         view = self.context.view
--- a/wickspring/agent/wire.py
+++ b/wickspring/agent/wire.py
@@ -17,11 +17,11 @@
 from wickspring.fleet.model import InstanceRecord, Kind, Operation
 from wickspring.fleet.views import AgentDelta
 from wickspring.membership.anti_entropy import Digest
-from wickspring.wire import Lines, Numbers, WireError, connect, welcome
+from wickspring.wire import LineStream, ProtocolVersions, WireError, answer_greeting, connect
 
-LOWEST, HIGHEST = 1, 1
-NUMBERS = Numbers(LOWEST, HIGHEST, "agent")
-WITHIN_S = 5.0  # for one exchange
+LOWEST_VERSION, HIGHEST_VERSION = 1, 1
+PROTOCOL_VERSIONS = ProtocolVersions(LOWEST_VERSION, HIGHEST_VERSION, "agent")
+EXCHANGE_TIMEOUT_S = 5.0
 
 
 class Gossip(msgspec.Struct, frozen=True, tag="gossip"):
@@ -109,19 +109,19 @@
     role: str = "read"  # read or operate
 
 
-_message = msgspec.json.Decoder(Message)
-_answer = msgspec.json.Decoder(Answer)
+_message_decoder = msgspec.json.Decoder(Message)
+_answer_decoder = msgspec.json.Decoder(Answer)
 Handler = Callable[[Peer, Message], Awaitable[Answer]]
 
 
 async def serve(stream: Any, peer: Peer, handle: Handler) -> None:
     """Answer the exchanges of one connection, until it ends."""
-    lines = Lines(stream)
+    lines = LineStream(stream)
     try:
-        reply = await welcome(lines, NUMBERS)
+        reply = await answer_greeting(lines, PROTOCOL_VERSIONS)
         while not reply.error:
             try:
-                message = _message.decode(await lines.read())
+                message = _message_decoder.decode(await lines.read())
             except msgspec.DecodeError as error:
                 await lines.write(Answer(error=f"cannot be read: {error}"))
                 continue
@@ -132,21 +132,25 @@
 
 async def exchange(
     address: str,
-    what: str,
+    peer: str,
     message: Message,
     tls: ssl.SSLContext | None = None,
     server_name: str = "",
-    within_s: float = WITHIN_S,
+    timeout_s: float = EXCHANGE_TIMEOUT_S,
 ) -> Answer:
-    """Ask one thing of an agent."""
+    """Send one message to an agent, and return its answer.
+
+    Raises:
+        WireError: the agent could not be reached, or did not answer in time.
+    """
     try:
-        with trio.fail_after(within_s):
-            connection = await connect(address, what, NUMBERS, tls, server_name)
+        with trio.fail_after(timeout_s):
+            connection = await connect(address, peer, PROTOCOL_VERSIONS, tls, server_name)
             try:
-                return await connection.ask(message, _answer)
+                return await connection.exchange(message, _answer_decoder)
             finally:
                 await connection.close()
     except trio.TooSlowError as error:
-        raise WireError(f"{what}: no answer within {within_s:g} s") from error
+        raise WireError(f"{peer}: no answer within {timeout_s:g} s") from error
     except (trio.BrokenResourceError, msgspec.DecodeError, ssl.SSLError) as error:
-        raise WireError(f"{what}: {error.__cause__ or error}") from error
+        raise WireError(f"{peer}: {error.__cause__ or error}") from error
--- a/wickspring/commands/peers.py
+++ b/wickspring/commands/peers.py
@@ -11,7 +11,14 @@
 from wickspring import config
 from wickspring.command_line.errors import CommandError, ExitCode
 from wickspring.command_line.tables import format_json, format_rows
-from wickspring.peer_state.messages import NUMBERS, BudgetView, MemberView, Reply, StatusRequest, View
+from wickspring.peer_state.messages import (
+    PROTOCOL_VERSIONS,
+    BudgetView,
+    MemberView,
+    Reply,
+    StatusRequest,
+    View,
+)
 from wickspring.settings.peers_file import load_peers
 from wickspring.tls import Certificates
 from wickspring.wire import WireError, connect
@@ -56,9 +63,9 @@
         tls.check_hostname = False  # whoever listens there is to be shown, by whatever name
     try:
         with trio.fail_after(ANSWER_TIMEOUT_S):
-            link = await connect(address, address, NUMBERS, tls)
+            link = await connect(address, address, PROTOCOL_VERSIONS, tls)
             try:
-                reply = await link.ask(StatusRequest(), _replies)
+                reply = await link.exchange(StatusRequest(), _replies)
             finally:
                 await link.close()
     except trio.TooSlowError as error:
--- a/wickspring/lab/emulation/peer_ingresses.py
+++ b/wickspring/lab/emulation/peer_ingresses.py
@@ -22,8 +22,8 @@
 from wickspring.lab.faults.network_relay import Relay
 from wickspring.lab.reports.record import Outcome, Record
 from wickspring.lab.reports.result import Result
-from wickspring.peer_state.messages import NUMBERS, Reply, StatusRequest, View
-from wickspring.wire import Link, WireError, connect
+from wickspring.peer_state.messages import PROTOCOL_VERSIONS, Reply, StatusRequest, View
+from wickspring.wire import LineClient, WireError, connect
 
 SAMPLE_S = 0.5  # between looks at each gateway's status
 STATUS_TIMEOUT_S = 1.0
@@ -76,7 +76,7 @@
         self.sampled = 0  # servers, in all samples
         self.views: dict[int, View] = {}  # the last status of each gateway
         self.avoided_since: dict[tuple[int, str], float] = {}  # by gateway and server: ms of the run
-        self._links: dict[int, Link] = {}
+        self._links: dict[int, LineClient] = {}
 
     # Setting up.
 
@@ -136,8 +136,8 @@
         with trio.move_on_after(STATUS_TIMEOUT_S):
             try:
                 if link is None:
-                    link = await connect(self.addresses[number], f"n{number}", NUMBERS)
-                view = (await link.ask(StatusRequest(), _reply_decoder)).view
+                    link = await connect(self.addresses[number], f"n{number}", PROTOCOL_VERSIONS)
+                view = (await link.exchange(StatusRequest(), _reply_decoder)).view
                 self._links[number] = link
                 return view
             except (WireError, OSError, trio.BrokenResourceError, msgspec.DecodeError):
--- a/wickspring/net/peer_links.py
+++ b/wickspring/net/peer_links.py
@@ -11,9 +11,9 @@
 from wickspring.connections.dial_limits import TokenBucket
 from wickspring.logs import kv
 from wickspring.net.clock import Clock
-from wickspring.peer_state.messages import MAX_LINE_BYTES, NUMBERS, Message, Reply
+from wickspring.peer_state.messages import MAX_LINE_BYTES, PROTOCOL_VERSIONS, Message, Reply
 from wickspring.tls import Certificates, names
-from wickspring.wire import Lines, Link, WireError, connect
+from wickspring.wire import LineClient, LineStream, WireError, connect
 
 log = logging.getLogger(__name__)
 
@@ -46,11 +46,11 @@
         """Tell whether a message may be sent now."""
         return self._bucket.has_token(self._clock.now())
 
-    def record(self, lines: Lines, out_before: int = 0, in_before: int = 0) -> None:
+    def record(self, lines: LineStream, out_before: int = 0, in_before: int = 0) -> None:
         """Add what a link has transferred since its counters had the given values."""
-        sent = lines.given - out_before
+        sent = lines.bytes_sent - out_before
         self.bytes_out += sent
-        self.bytes_in += lines.taken - in_before
+        self.bytes_in += lines.bytes_received - in_before
         self._bucket.has_token(self._clock.now())  # refills it up to now
         self._bucket.level = max(-self._bucket.burst, self._bucket.level - sent)
 
@@ -64,7 +64,7 @@
         self._certificates = certificates
         self._traffic = traffic
         self._error_counts = error_counts
-        self._links: dict[str, Link] = {}  # the last used at the end
+        self._links: dict[str, LineClient] = {}  # the last used at the end
         self._busy: set[str] = set()  # addresses to which an exchange is under way
 
     def is_busy(self, address: str) -> bool:
@@ -102,7 +102,7 @@
             self._error_counts["link_broke"] += 1
             return None
 
-    async def _exchange_on(self, link: Link, name: str, address: str, message: Message) -> Reply:
+    async def _exchange_on(self, link: LineClient, name: str, address: str, message: Message) -> Reply:
         """Make an exchange on a link and keep the link; one that fails is closed."""
         try:
             reply = await self._ask(link, message)
@@ -117,22 +117,22 @@
             log.info("peer_refuses", extra=kv(name=name or address, reason=reply.error))
         return reply
 
-    async def _connect(self, name: str, address: str) -> Link:
+    async def _connect(self, name: str, address: str) -> LineClient:
         tls = self._certificates.client() if self._certificates is not None else None
         if tls is not None:
             tls.check_hostname = False  # a seed has no name yet; the name is checked below
-        link = await connect(address, name or address, NUMBERS, tls, name, MAX_LINE_BYTES)
+        link = await connect(address, name or address, PROTOCOL_VERSIONS, tls, name, MAX_LINE_BYTES)
         self._traffic.record(link.lines)
         if tls is not None and name and name not in names(link.lines.stream.getpeercert()):
             await link.close()
             raise WireError(f"{name}: the certificate at {address} does not name it")
         return link
 
-    async def _ask(self, link: Link, message: Message) -> Reply:
-        out_before = link.lines.given
-        in_before = link.lines.taken
+    async def _ask(self, link: LineClient, message: Message) -> Reply:
+        out_before = link.lines.bytes_sent
+        in_before = link.lines.bytes_received
         try:
-            return await link.ask(message, _reply_decoder)
+            return await link.exchange(message, _reply_decoder)
         finally:
             self._traffic.record(link.lines, out_before, in_before)
 
--- a/wickspring/net/peer_listener.py
+++ b/wickspring/net/peer_listener.py
@@ -12,9 +12,9 @@
 
 from wickspring.logs import kv
 from wickspring.net.peer_links import EXCHANGE_TIMEOUT_S, TrafficMeter
-from wickspring.peer_state.messages import MAX_LINE_BYTES, NUMBERS, Message, Reply
+from wickspring.peer_state.messages import MAX_LINE_BYTES, PROTOCOL_VERSIONS, Message, Reply
 from wickspring.tls import Certificates, names
-from wickspring.wire import Lines, WireError, welcome
+from wickspring.wire import LineStream, WireError, answer_greeting
 
 log = logging.getLogger(__name__)
 
@@ -73,7 +73,7 @@
         stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         lines, certificate_names = await self._secure(stream)
         with trio.move_on_after(IDLE_TIMEOUT_S):
-            greeting = await welcome(lines, NUMBERS)
+            greeting = await answer_greeting(lines, PROTOCOL_VERSIONS)
             if greeting.error:
                 self._error_counts["another_protocol"] += 1
                 log.warning("peer_refused", extra=kv(reason=greeting.error))
@@ -86,20 +86,20 @@
             if scope.cancelled_caught:
                 return
 
-    async def _secure(self, stream: trio.SocketStream) -> tuple[Lines, CertificateNames]:
+    async def _secure(self, stream: trio.SocketStream) -> tuple[LineStream, CertificateNames]:
         """Do the TLS handshake where certificates are configured."""
         if self._certificates is None:
-            return Lines(stream, MAX_LINE_BYTES), None
+            return LineStream(stream, MAX_LINE_BYTES), None
         tls = self._certificates.server()
         secure = trio.SSLStream(stream, tls, server_side=True, https_compatible=True)
         with trio.fail_after(EXCHANGE_TIMEOUT_S):
             await secure.do_handshake()
-        return Lines(secure, MAX_LINE_BYTES), names(secure.getpeercert())
+        return LineStream(secure, MAX_LINE_BYTES), names(secure.getpeercert())
 
-    async def _answer(self, lines: Lines, certificate_names: CertificateNames) -> bool:
+    async def _answer(self, lines: LineStream, certificate_names: CertificateNames) -> bool:
         """Answer one message; False where it could not be read."""
-        out_before = lines.given
-        in_before = lines.taken
+        out_before = lines.bytes_sent
+        in_before = lines.bytes_received
         line = await lines.read()
         readable = True
         try:
--- a/wickspring/peer_state/messages.py
+++ b/wickspring/peer_state/messages.py
@@ -13,9 +13,9 @@
 from wickspring.membership.suspicions import Suspicion
 from wickspring.peer_state.judgements import FailureReport
 from wickspring.peer_state.shares import ShareMessages
-from wickspring.wire import Numbers
+from wickspring.wire import ProtocolVersions
 
-NUMBERS = Numbers(1, 1, "ingress")
+PROTOCOL_VERSIONS = ProtocolVersions(1, 1, "ingress")
 MAX_LINE_BYTES = 64 * 1024
 
 
--- a/wickspring/wire.py
+++ b/wickspring/wire.py
@@ -1,9 +1,8 @@
-"""Lines of JSON between two programs, each a question or its answer, after a greeting.
+"""Lines of JSON between two programs, each a request or its answer, after a greeting.
 
-A connection begins with a greeting that says which protocol numbers its speaker knows, the lowest and the
-highest; the answer names the one to be spoken, the highest that both know, or says why there is none. Fields
-that a speaker does not know are passed over, and fields that are left out have their defaults, so within one
-number messages may grow.
+A connection begins with a greeting that names the lowest and the highest protocol version that the client
+speaks; the answer names the version to use, the highest that both speak, or says why there is none. Unknown
+fields are ignored, and missing fields have their defaults, so messages may grow within one version.
 """
 
 from __future__ import annotations
@@ -16,30 +15,31 @@
 
 from wickspring import __version__
 
-MOST_LINE = 16 << 20  # bytes
+MAX_LINE_BYTES = 16 << 20
+READ_SIZE = 65536  # bytes
 
 T = TypeVar("T")
 
 
 class WireError(Exception):
-    """An exchange that did not come about; the message says who and why."""
+    """An exchange that failed; the message names the peer and the reason."""
 
 
-class Numbers(msgspec.Struct, frozen=True):
-    """The protocol numbers that a kind of program speaks."""
+class ProtocolVersions(msgspec.Struct, frozen=True):
+    """The protocol versions that a kind of program speaks."""
 
     lowest: int
     highest: int
-    who: str  # this kind of program, in words: an agent
+    program_kind: str  # in words: agent, ingress
 
-    def agree(self, theirs: Greeting) -> Greeting:
-        """Answer a greeting: the highest number that both speak, or why there is none."""
+    def answer(self, theirs: Greeting) -> Greeting:
+        """Answer a greeting with the highest version that both speak, or why there is none."""
         use = min(self.highest, theirs.highest)
         if use >= max(self.lowest, theirs.lowest):
             return Greeting(self.lowest, self.highest, use=use)
+        ours = f"this {self.program_kind} (program {__version__}) speaks protocol {self.lowest} to {self.highest}"
         return Greeting(
-            error=f"this {self.who} (program {__version__}) speaks protocol {self.lowest} to {self.highest}, "
-            f"the asker (program {theirs.program}) {theirs.lowest} to {theirs.highest}"
+            error=f"{ours}, the asker (program {theirs.program}) {theirs.lowest} to {theirs.highest}"
         )
 
 
@@ -49,83 +49,103 @@
     lowest: int = 1
     highest: int = 1
     program: str = __version__
-    use: int = 0  # in the answer: the number to be spoken
+    use: int = 0  # in the answer: the version to use
     error: str = ""
 
 
-greeting = msgspec.json.Decoder(Greeting)
+_greeting_decoder = msgspec.json.Decoder(Greeting)
 
 
-class Lines:
-    """Lines of a stream, none longer than so many bytes; what goes either way is counted."""
+class LineStream:
+    """Lines of a stream, limited in length; bytes are counted in both directions."""
 
-    def __init__(self, stream: Any, most: int = MOST_LINE) -> None:
-        self.stream, self.most, self._rest = stream, most, b""
-        self.given = self.taken = 0
+    def __init__(self, stream: Any, max_line_bytes: int = MAX_LINE_BYTES) -> None:
+        self.stream = stream
+        self.max_line_bytes = max_line_bytes
+        self.bytes_sent = 0
+        self.bytes_received = 0
+        self._unread = b""
 
     async def read(self) -> bytes:
-        """Return the next line; `WireError` at the end, or where it is too long."""
-        while b"\n" not in self._rest:
-            part = await self.stream.receive_some(65536)
+        """Return the next line.
+
+        Raises:
+            WireError: the connection ended, or the line is too long.
+        """
+        while b"\n" not in self._unread:
+            part = await self.stream.receive_some(READ_SIZE)
             if not part:
                 raise WireError("the connection ended")
-            self.taken += len(part)
-            self._rest += part
-            if len(self._rest) > self.most:
+            self.bytes_received += len(part)
+            self._unread += part
+            if len(self._unread) > self.max_line_bytes:
                 raise WireError("a line without end")
-        line, _, self._rest = self._rest.partition(b"\n")
+        line, _, self._unread = self._unread.partition(b"\n")
         return line
 
     async def write(self, value: msgspec.Struct) -> None:
         """Send a value as a line."""
         line = msgspec.json.encode(value) + b"\n"
-        self.given += len(line)
+        self.bytes_sent += len(line)
         await self.stream.send_all(line)
 
 
-async def welcome(lines: Lines, numbers: Numbers) -> Greeting:
-    """Answer the greeting that a connection begins with, and return the answer."""
-    reply = numbers.agree(greeting.decode(await lines.read()))
+async def answer_greeting(lines: LineStream, versions: ProtocolVersions) -> Greeting:
+    """Answer the greeting that a connection begins with, and return the answer.
+
+    Raises:
+        WireError: the connection ended before a greeting.
+        msgspec.DecodeError: the first line is no greeting.
+    """
+    reply = versions.answer(_greeting_decoder.decode(await lines.read()))
     await lines.write(reply)
     return reply
 
 
-class Link:
-    """A connection to somebody who answers, exchange by exchange."""
+class LineClient:
+    """A connection to a program that answers, one exchange at a time."""
 
-    def __init__(self, stream: Any, what: str, numbers: Numbers, most: int = MOST_LINE) -> None:
-        self.lines, self.what, self.numbers = Lines(stream, most), what, numbers
+    def __init__(
+        self, stream: Any, peer: str, versions: ProtocolVersions, max_line_bytes: int = MAX_LINE_BYTES
+    ) -> None:
+        self.lines = LineStream(stream, max_line_bytes)
+        self.peer = peer  # its name in errors
+        self.versions = versions
 
     async def greet(self) -> None:
-        """Agree on a protocol number."""
-        ours = self.numbers
+        """Agree on a protocol version.
+
+        Raises:
+            WireError: there is none that both speak.
+        """
+        ours = self.versions
         await self.lines.write(Greeting(ours.lowest, ours.highest))
-        theirs = greeting.decode(await self.lines.read())
+        theirs = _greeting_decoder.decode(await self.lines.read())
         if theirs.error or not ours.lowest <= theirs.use <= ours.highest:
-            raise WireError(f"{self.what}: {theirs.error or f'it speaks protocol {theirs.use}'}")
+            raise WireError(f"{self.peer}: {theirs.error or f'it speaks protocol {theirs.use}'}")
 
-    async def ask(self, message: msgspec.Struct, answers: msgspec.json.Decoder[T]) -> T:
-        """Exchange one message for its answer."""
+    async def exchange(self, message: msgspec.Struct, decoder: msgspec.json.Decoder[T]) -> T:
+        """Send a message, and return its answer."""
         await self.lines.write(message)
-        return answers.decode(await self.lines.read())
+        return decoder.decode(await self.lines.read())
 
     async def close(self) -> None:
-        """End it."""
+        """Close the connection."""
         await trio.aclose_forcefully(self.lines.stream)
 
 
 async def connect(
     address: str,
-    what: str,
-    numbers: Numbers,
+    peer: str,
+    versions: ProtocolVersions,
     tls: ssl.SSLContext | None = None,
     server_name: str = "",
-    most: int = MOST_LINE,
-) -> Link:
+    max_line_bytes: int = MAX_LINE_BYTES,
+) -> LineClient:
     """Connect to host:port, or to the path of a local socket, and exchange greetings.
 
     Raises:
-        WireError: that failed; the message names `what` and the reason.
+        WireError: that failed; the message names `peer` and the reason.
     """
     stream: Any = None
     try:
@@ -133,14 +153,14 @@
         if tls is not None:
             stream = trio.SSLStream(stream, tls, server_hostname=server_name, https_compatible=True)
             await stream.do_handshake()
-        connection = Link(stream, what, numbers, most)
+        connection = LineClient(stream, peer, versions, max_line_bytes)
         await connection.greet()
     except BaseException as error:
-        await _drop(stream)
+        await _close(stream)
         reason = _failure_reason(error)
         if reason is None:
             raise
-        raise WireError(f"{what}: {reason}") from error
+        raise WireError(f"{peer}: {reason}") from error
     return connection
 
 
@@ -163,7 +183,7 @@
     return None
 
 
-async def _drop(stream: Any) -> None:
+async def _close(stream: Any) -> None:
     if stream is not None:
         with trio.CancelScope(shield=True):
             await trio.aclose_forcefully(stream)
