--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -38,10 +38,10 @@
 
 def test_directory_is_read_page_by_page() -> None:
     with LdapServer([firm(n) for n in range(10)]) as ldap:
-        held = directory.fetch(source(ldap.url), "", PLANS)
+        tenants = directory.fetch(source(ldap.url), "", PLANS)
     assert ldap.pages == [4, 4, 2]
-    assert [tenant.customer for tenant in held.tenants] == [f"{n:016x}" for n in range(10)]
-    assert (held.tenants[3].plan, held.tenants[3].name, held.faults) == ("basic", "Firm 3", ())
+    assert [tenant.customer for tenant in tenants.tenants] == [f"{n:016x}" for n in range(10)]
+    assert (tenants.tenants[3].plan, tenants.tenants[3].name, tenants.faults) == ("basic", "Firm 3", ())
 
 
 @pytest.mark.parametrize(
@@ -57,9 +57,9 @@
 )
 def test_faulty_entry_is_left_out_and_named(changes: dict[str, list[str]], named: str) -> None:
     with LdapServer([firm(1), firm(2), firm(3, **changes), firm(4)]) as ldap:
-        held = directory.fetch(source(ldap.url), "", PLANS)
-    assert [int(tenant.customer, 16) for tenant in held.tenants] == [1, 2, 4]
-    [fault] = held.faults
+        tenants = directory.fetch(source(ldap.url), "", PLANS)
+    assert [int(tenant.customer, 16) for tenant in tenants.tenants] == [1, 2, 4]
+    [fault] = tenants.faults
     assert fault.startswith("uid=")
     assert named in fault
 
@@ -85,18 +85,18 @@
     async def main() -> None:
         copy = tmp_path / "t.json"
         with LdapServer([firm(1)]) as ldap:
-            follower = directory.Follower(source(ldap.url), "", PLANS, copy)
-            assert await follower.refresh()
-            good = follower.held
+            sync = directory.DirectorySync(source(ldap.url), "", PLANS, copy)
+            assert await sync.refresh()
+            good = sync.tenants
             ldap.code = NO_SUCH_OBJECT
-            assert not await follower.refresh()
-            assert "noSuchObject" in follower.error
+            assert not await sync.refresh()
+            assert "noSuchObject" in sync.error
             ldap.silent = True
-            assert not await follower.refresh()
-            assert follower.held == good == load_copy(copy)
-        later = directory.Follower(source(ldap.url), "", PLANS, copy)  # a new agent, the directory down
+            assert not await sync.refresh()
+            assert sync.tenants == good == load_copy(copy)
+        later = directory.DirectorySync(source(ldap.url), "", PLANS, copy)  # a new agent, the directory down
         assert not await later.refresh()
-        assert later.held == good
+        assert later.tenants == good
 
     trio.run(main)
 
@@ -141,8 +141,8 @@
         path = agent_file(tmp_path, ("n0", "n1"), ldap=ldap.url)
         settings = load_agent(path)
 
-        async def ask(do: str, *names: str) -> control.Result:
-            return await control.ask(settings.control, Command(do, names))
+        async def ask(action: str, *names: str) -> control.Result:
+            return await control.ask(settings.control, Command(action, names))
 
         async def states(**wanted: str) -> None:
             while wanted.items() - {(one.name, one.state) for one in (await ask("status")).instances}:
@@ -180,9 +180,9 @@
                 assert (await ask("reload")).error == ""
                 await trio.sleep(0.2)
                 assert [one.pid for one in (await ask("status")).instances] == before
-                held = (await ask("tenants")).tenants
-                assert held is not None
-                assert [tenant.customer for tenant in held.tenants] == [f"{7:016x}"]
+                tenants = (await ask("tenants")).tenants
+                assert tenants is not None
+                assert [tenant.customer for tenant in tenants.tenants] == [f"{7:016x}"]
                 code = await trio.to_thread.run_sync(cli.main, ["version"])
                 assert code == 0
                 nursery.cancel_scope.cancel()
@@ -190,9 +190,9 @@
 
     with LdapServer([firm(7)]) as ldap:
         trio.run(main, ldap)
-    told = capfd.readouterr().err
-    assert "event=tenants count=1" in told  # by an instance: the copy reached it
-    assert "event=reloaded discovery=127.0.0.1:8500 counter=127.0.0.1:6499" in told
+    logged = capfd.readouterr().err
+    assert "event=tenants count=1" in logged  # by an instance: the copy reached it
+    assert "event=reloaded discovery=127.0.0.1:8500 counter=127.0.0.1:6499" in logged
 
 
 def test_pause_grows_to_its_most(tmp_path: Path) -> None:
@@ -201,7 +201,7 @@
     pauses = []
     for failures in range(7):
         supervisor.failures = failures
-        pauses.append(supervisor.pause())
+        pauses.append(supervisor.restart_delay())
     assert pauses == [0.0, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
 
 
--- a/wickspring/agent/agent.py
+++ b/wickspring/agent/agent.py
@@ -1,4 +1,4 @@
-"""The agent itself: all instances, the directory and the control socket."""
+"""The agent of one machine: its instances, the directory of tenants and the control socket."""
 
 from __future__ import annotations
 
@@ -8,15 +8,19 @@
 import trio
 
 from wickspring.agent import control
-from wickspring.agent.control import Command, Result
-from wickspring.agent.directory import Follower
+from wickspring.agent.control import Action, Command, Result
+from wickspring.agent.directory import DirectorySync
 from wickspring.agent.settings import Agent as Settings
 from wickspring.agent.supervisor import State, Supervisor
 from wickspring.logs import kv
 
 log = logging.getLogger(__name__)
 
-READY_WITHIN_S = 30.0
+READY_TIMEOUT_S = 30.0  # for an instance that is restarted
+
+
+class CommandFailedError(Exception):
+    """A command that not all instances have carried out; the message says which."""
 
 
 class Agent:
@@ -24,55 +28,92 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.supervisors = {m.name: Supervisor(m, settings.file, settings.copy) for m in settings.instances}
-        self.follower: Follower | None = None
-        if settings.file.directory is not None and settings.copy is not None:
-            plans = frozenset(plan for managed in settings.instances for plan in managed.plans)
-            self.follower = Follower(settings.file.directory, settings.password, plans, settings.copy)
+        self.supervisors = {
+            managed.name: Supervisor(managed, settings.file, settings.copy) for managed in settings.instances
+        }
+        self.directory_sync = _make_directory_sync(settings)
 
     async def handle(self, command: Command) -> Result:
         """Carry out one command."""
         unknown = [name for name in command.names if name not in self.supervisors]
         if unknown:
             return Result(error=f"no instance is called {', '.join(unknown)}")
+        if command.action not in list(Action):
+            return Result(error=f"no such command: {command.action}")
         chosen = [self.supervisors[name] for name in command.names or self.supervisors]
         error = ""
-        if command.do == "start":
+        try:
+            await self._carry_out(Action(command.action), chosen)
+        except CommandFailedError as failure:
+            error = str(failure)
+        return self._result(command, chosen, error)
+
+    async def _carry_out(self, action: Action, chosen: list[Supervisor]) -> None:
+        """Carry out an action on some instances; STATUS and TENANTS only report.
+
+        Raises:
+            CommandFailedError: some have not carried it out.
+        """
+        if action is Action.START:
             for supervisor in chosen:
                 supervisor.start()
-        elif command.do == "drain":
-            for supervisor in chosen:
-                supervisor.drain()
-            for supervisor in chosen:
-                await supervisor.wait_for(State.STOPPED)
-        elif command.do == "reload":
-            down = [one.managed.name for one in chosen if not one.reload()]
-            error = f"not up, and not reloaded: {', '.join(down)}" if down else ""
-        elif command.do == "restart":
-            error = await self._restart(chosen)
-        elif command.do not in ("status", "tenants"):
-            return Result(error=f"no such command: {command.do}")
-        reports = tuple(supervisor.report() for supervisor in chosen)
-        follower = self.follower
-        tenants = follower.held if follower is not None and command.do == "tenants" else None
-        return Result(error, reports, tenants, follower.error if follower is not None else "")
+        elif action is Action.DRAIN:
+            await self._drain(chosen)
+        elif action is Action.RELOAD:
+            self._reload(chosen)
+        elif action is Action.RESTART:
+            await self._restart(chosen)
 
-    async def _restart(self, chosen: list[Supervisor]) -> str:
-        """Restart one after another; the first that does not come back ends it, the rest serve on."""
+    async def _drain(self, chosen: list[Supervisor]) -> None:
         for supervisor in chosen:
             supervisor.drain()
+        for supervisor in chosen:
             await supervisor.wait_for(State.STOPPED)
+
+    def _reload(self, chosen: list[Supervisor]) -> None:
+        down = [supervisor.managed.name for supervisor in chosen if not supervisor.reload()]
+        if down:
+            raise CommandFailedError(f"not up, and not reloaded: {', '.join(down)}")
+
+    async def _restart(self, chosen: list[Supervisor]) -> None:
+        """Restart one after another; at the first that does not come back, the rest are left alone."""
+        for supervisor in chosen:
+            await self._drain([supervisor])
             supervisor.start()
-            ready = False
-            with trio.move_on_after(READY_WITHIN_S):
-                ready = await supervisor.wait_for(State.READY, State.WAITING) is State.READY
-            if not ready:
-                return f"{supervisor.managed.name} did not come back; the others were left alone"
-        return ""
+            if not await _becomes_ready(supervisor):
+                name = supervisor.managed.name
+                raise CommandFailedError(f"{name} did not come back; the others were left alone")
+
+    def _result(self, command: Command, chosen: list[Supervisor], error: str) -> Result:
+        reports = tuple(supervisor.report() for supervisor in chosen)
+        sync = self.directory_sync
+        if sync is None:
+            return Result(error, reports)
+        tenants = sync.tenants if command.action == Action.TENANTS else None
+        return Result(error, reports, tenants, sync.error)
+
+
+def _make_directory_sync(settings: Settings) -> DirectorySync | None:
+    """Return what keeps the tenants in step with the directory; None where there is no directory."""
+    directory, copy = settings.file.directory, settings.copy
+    if directory is None or copy is None:
+        return None
+    plans = frozenset(plan for managed in settings.instances for plan in managed.plans)
+    return DirectorySync(directory, settings.password, plans, copy)
+
+
+async def _becomes_ready(supervisor: Supervisor) -> bool:
+    with trio.move_on_after(READY_TIMEOUT_S):
+        return await supervisor.wait_for(State.READY, State.WAITING) is State.READY
+    return False
 
 
 async def run(settings: Settings) -> None:
-    """Run until SIGTERM or SIGINT; then drain all instances at once."""
+    """Run until SIGTERM or SIGINT; then drain all instances at once.
+
+    Raises:
+        ControlError: the control socket cannot be opened.
+    """
     agent = Agent(settings)
     listener = control.open_socket(settings.control)
     try:
@@ -81,8 +122,8 @@
                 nursery.start_soon(control.serve, listener, agent.handle)
                 for supervisor in agent.supervisors.values():
                     nursery.start_soon(supervisor.run)
-                if agent.follower is not None:
-                    nursery.start_soon(agent.follower.run)
+                if agent.directory_sync is not None:
+                    nursery.start_soon(agent.directory_sync.run)
                 log.info("agent_up", extra=kv(instances=len(agent.supervisors), control=settings.control))
                 async for _ in signals:
                     break
--- a/wickspring/agent/control.py
+++ b/wickspring/agent/control.py
@@ -5,6 +5,9 @@
 import os
 import socket
 import stat
+from contextlib import suppress
+from enum import StrEnum
+from functools import partial
 from pathlib import Path
 from typing import Protocol
 
@@ -14,14 +17,28 @@
 from wickspring.agent.supervisor import Report
 from wickspring.tenants import Tenants
 
-MOST_LINE = 64 << 20
-ANSWER_WITHIN_S = 600.0  # a rolling restart of many instances takes its time
+MAX_LINE_BYTES = 64 << 20
+READ_SIZE = 65536  # bytes
+ANSWER_TIMEOUT_S = 600.0  # a rolling restart of many instances takes its time
+BACKLOG = 16
+OWNER_ONLY_UMASK = 0o177
 
 
-class Command(msgspec.Struct, frozen=True):
-    """What the agent is asked to do."""
+class Action(StrEnum):
+    """What a command does."""
 
-    do: str  # status, tenants, drain, start, reload or restart
+    STATUS = "status"
+    TENANTS = "tenants"
+    DRAIN = "drain"
+    START = "start"
+    RELOAD = "reload"
+    RESTART = "restart"
+
+
+class Command(msgspec.Struct, frozen=True, rename={"action": "do"}):
+    """A command to the agent."""
+
+    action: str  # the value of an `Action`; others are answered with an error
     names: tuple[str, ...] = ()  # instances; none means all
 
 
@@ -42,22 +59,30 @@
 
 
 class ControlError(Exception):
-    """The agent could not be asked."""
+    """The agent cannot be reached, or cannot listen."""
 
 
 async def read_line(stream: trio.SocketStream) -> bytes:
-    """Read up to the end of a line."""
+    """Read up to the end of a line.
+
+    Raises:
+        ControlError: the connection ended before, or the line is too long.
+    """
     data = b""
     while not data.endswith(b"\n"):
-        part = await stream.receive_some(65536)
-        if not part or len(data) > MOST_LINE:
+        part = await stream.receive_some(READ_SIZE)
+        if not part or len(data) > MAX_LINE_BYTES:
             raise ControlError("the line has no end")
         data += part
     return data
 
 
 def open_socket(path: Path) -> trio.SocketListener:
-    """Listen on a socket file, in place of one that a dead agent has left."""
+    """Listen on a socket file, in place of one that a dead agent has left.
+
+    Raises:
+        ControlError: an agent listens there, or the file cannot be made.
+    """
     if path.exists() and stat.S_ISSOCK(path.stat().st_mode):
         probe = socket.socket(socket.AF_UNIX)
         try:
@@ -69,7 +94,7 @@
         finally:
             probe.close()
     sock = socket.socket(socket.AF_UNIX)
-    umask = os.umask(0o177)
+    umask = os.umask(OWNER_ONLY_UMASK)
     try:
         sock.bind(str(path))
     except OSError as error:
@@ -77,34 +102,38 @@
         raise ControlError(f"{path}: {error.strerror}") from error
     finally:
         os.umask(umask)
-    sock.listen(16)
+    sock.listen(BACKLOG)
     return trio.SocketListener(trio.socket.from_stdlib_socket(sock))
 
 
 async def serve(listener: trio.SocketListener, handler: Handler) -> None:
     """Answer commands for as long as the agent runs."""
+    await trio.serve_listeners(partial(_serve_connection, handler=handler), [listener])
 
-    async def one(stream: trio.SocketStream) -> None:
-        async with stream:
-            try:
-                command = msgspec.json.decode(await read_line(stream), type=Command)
-                result = await handler(command)
-            except (ControlError, msgspec.DecodeError) as error:
-                result = Result(error=str(error))
-            except trio.BrokenResourceError:
-                return
-            try:
-                await stream.send_all(msgspec.json.encode(result) + b"\n")
-            except trio.BrokenResourceError:
-                return  # who asked has left
 
-    await trio.serve_listeners(one, [listener])
+async def _serve_connection(stream: trio.SocketStream, handler: Handler) -> None:
+    async with stream:
+        with suppress(trio.BrokenResourceError):  # the client has left
+            result = await _handle_line(stream, handler)
+            await stream.send_all(msgspec.json.encode(result) + b"\n")
+
+
+async def _handle_line(stream: trio.SocketStream, handler: Handler) -> Result:
+    try:
+        command = msgspec.json.decode(await read_line(stream), type=Command)
+        return await handler(command)
+    except (ControlError, msgspec.DecodeError) as error:
+        return Result(error=str(error))
 
 
 async def ask(path: Path, command: Command) -> Result:
-    """Ask a running agent."""
+    """Send a command to a running agent, and return its result.
+
+    Raises:
+        ControlError: no agent answers at this path, or not in time.
+    """
     try:
-        with trio.fail_after(ANSWER_WITHIN_S):
+        with trio.fail_after(ANSWER_TIMEOUT_S):
             async with await trio.open_unix_socket(str(path)) as stream:
                 await stream.send_all(msgspec.json.encode(command) + b"\n")
                 return msgspec.json.decode(await read_line(stream), type=Result)
--- a/wickspring/agent/directory.py
+++ b/wickspring/agent/directory.py
@@ -8,7 +8,9 @@
 
 import logging
 import time
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 import ldap3
 import trio
@@ -20,122 +22,164 @@
 
 log = logging.getLogger(__name__)
 
-MOST_FAULTY = 0.5  # of the entries; above it the answer is taken for a fault of the mapping, and refused
-SHOWN_FAULTS = 20
+MAX_FAULTY_SHARE = 0.5  # of the entries; above it the mapping is taken to be faulty, and the list refused
+MAX_LOGGED_FAULTS = 20
+CUSTOMER_DIGITS = 16  # hexadecimal
+MAX_CUSTOMER = 2**33  # exclusive
+_HEX_DIGITS = frozenset("0123456789abcdef")
 
 
 class DirectoryError(Exception):
     """The directory gave no list that can be used; the message says why."""
 
 
-def check(dn: str, attributes: dict[str, list[str]], file: DirectoryFile, plans: frozenset[str]) -> Tenant:
-    """Read one entry; the error names the entry and the attribute."""
+@dataclass(frozen=True, slots=True)
+class DirectoryEntry:
+    """One entry of the directory, as text."""
 
-    def one(attribute: str, default: str | None = None) -> str:
-        values = attributes.get(attribute, [])
+    dn: str
+    attributes: dict[str, list[str]]
+
+    def value(self, attribute: str, default: str | None = None) -> str:
+        """Return the one value of an attribute, or the default where it has none.
+
+        Raises:
+            DirectoryError: it has several values, or none and no default.
+        """
+        values = self.attributes.get(attribute, [])
         if not values and default is not None:
             return default
         if len(values) != 1:
-            raise DirectoryError(f"{dn}: {attribute} has {len(values)} values")
+            raise DirectoryError(f"{self.dn}: {attribute} has {len(values)} values")
         return values[0]
 
-    customer, plan = one(file.customer).lower(), one(file.plan)
-    if len(customer) != 16 or any(letter not in "0123456789abcdef" for letter in customer):
-        raise DirectoryError(f"{dn}: {file.customer} is not 16 hex digits: {customer!r}")
-    if int(customer, 16) >= 2**33:
-        raise DirectoryError(f"{dn}: {file.customer} is not below 2^33: {customer!r}")
+
+def parse_entry(entry: DirectoryEntry, file: DirectoryFile, plans: frozenset[str]) -> Tenant:
+    """Read one entry; `plans` are those of the instances, empty where any will do.
+
+    Raises:
+        DirectoryError: it cannot be used; the message names the entry and the attribute.
+    """
+    customer = entry.value(file.customer).lower()
+    plan = entry.value(file.plan)
+    if len(customer) != CUSTOMER_DIGITS or not _HEX_DIGITS.issuperset(customer):
+        raise DirectoryError(f"{entry.dn}: {file.customer} is not 16 hex digits: {customer!r}")
+    if int(customer, 16) >= MAX_CUSTOMER:
+        raise DirectoryError(f"{entry.dn}: {file.customer} is not below 2^33: {customer!r}")
     if plans and plan not in plans:
-        raise DirectoryError(f"{dn}: {file.plan} is no plan of the instances: {plan!r}")
-    return Tenant(customer, plan, one(file.name, ""))
+        raise DirectoryError(f"{entry.dn}: {file.plan} is no plan of the instances: {plan!r}")
+    return Tenant(customer, plan, entry.value(file.name, ""))
 
 
-def collect(
-    entries: list[tuple[str, dict[str, list[str]]]], file: DirectoryFile, plans: frozenset[str]
-) -> Tenants:
-    """Check all entries; too many faulty ones make the whole list faulty."""
-    found, faults = dict[str, Tenant](), list[str]()
-    for dn, attributes in entries:
+def parse_entries(entries: list[DirectoryEntry], file: DirectoryFile, plans: frozenset[str]) -> Tenants:
+    """Read all entries; faulty ones are left out and named.
+
+    Raises:
+        DirectoryError: there are no entries, or too many are faulty.
+    """
+    tenants: dict[str, Tenant] = {}
+    faults: list[str] = []
+    for entry in entries:
         try:
-            tenant = check(dn, attributes, file, plans)
-            if tenant.customer in found:
-                raise DirectoryError(f"{dn}: {file.customer} {tenant.customer} is taken")
+            tenant = parse_entry(entry, file, plans)
+            if tenant.customer in tenants:
+                raise DirectoryError(f"{entry.dn}: {file.customer} {tenant.customer} is taken")
         except DirectoryError as error:
             faults.append(str(error))
         else:
-            found[tenant.customer] = tenant
+            tenants[tenant.customer] = tenant
     if not entries:
         raise DirectoryError("no entry matches the filter")
-    if len(faults) > MOST_FAULTY * len(entries):
+    if len(faults) > MAX_FAULTY_SHARE * len(entries):
         raise DirectoryError(f"{len(faults)} of {len(entries)} entries are faulty; the first: {faults[0]}")
-    return Tenants(tuple(sorted(found.values())), time.time(), tuple(faults))
+    return Tenants(tuple(sorted(tenants.values())), time.time(), tuple(faults))
 
 
 def fetch(file: DirectoryFile, password: str, plans: frozenset[str]) -> Tenants:
-    """Read the whole directory, page by page. Blocks: call it in a thread."""
+    """Read the whole directory, page by page. Blocks: call it in a thread.
+
+    Raises:
+        DirectoryError: the directory cannot be reached, or gave no list that can be used.
+    """
     try:
-        server = ldap3.Server(file.url, connect_timeout=file.timeout_s, get_info=ldap3.NONE)
-        connection = ldap3.Connection(
-            server,
-            user=file.bind_dn or None,
-            password=password or None,
-            authentication=ldap3.SIMPLE if file.bind_dn else ldap3.ANONYMOUS,
-            receive_timeout=file.timeout_s,
-            raise_exceptions=True,
-            read_only=True,
-        )
-        if file.start_tls:
-            connection.start_tls()
-        connection.bind()
+        connection = _connect(file, password)
         try:
-            pages = connection.extend.standard.paged_search(
-                file.base,
-                file.filter,
-                attributes=[file.customer, file.plan, file.name],
-                paged_size=file.page_size,
-                generator=True,
-            )
-            entries = []
-            for entry in pages:
-                if entry.get("type") == "searchResEntry":
-                    raw = entry["raw_attributes"]
-                    texts = {name: [value.decode() for value in raw[name] or ()] for name in raw}
-                    entries.append((str(entry["dn"]), texts))
+            entries = _search(connection, file)
         finally:
             connection.unbind()
     except (LDAPException, OSError, UnicodeDecodeError) as error:
         raise DirectoryError(f"{type(error).__name__}: {error}") from error
-    return collect(entries, file, plans)
-
-
-class Follower:
-    """Keeps the tenants fresh for as long as it runs."""
+    return parse_entries(entries, file, plans)
+
+
+def _connect(file: DirectoryFile, password: str) -> ldap3.Connection:
+    server = ldap3.Server(file.url, connect_timeout=file.timeout_s, get_info=ldap3.NONE)
+    connection = ldap3.Connection(
+        server,
+        user=file.bind_dn or None,
+        password=password or None,
+        authentication=ldap3.SIMPLE if file.bind_dn else ldap3.ANONYMOUS,
+        receive_timeout=file.timeout_s,
+        raise_exceptions=True,
+        read_only=True,
+    )
+    if file.start_tls:
+        connection.start_tls()
+    connection.bind()
+    return connection
+
+
+def _search(connection: ldap3.Connection, file: DirectoryFile) -> list[DirectoryEntry]:
+    responses = connection.extend.standard.paged_search(
+        file.base,
+        file.filter,
+        attributes=[file.customer, file.plan, file.name],
+        paged_size=file.page_size,
+        generator=True,
+    )
+    return [_decode_entry(response) for response in responses if response.get("type") == "searchResEntry"]
+
+
+def _decode_entry(response: dict[str, Any]) -> DirectoryEntry:
+    raw = response["raw_attributes"]
+    attributes = {name: [value.decode() for value in raw[name] or ()] for name in raw}
+    return DirectoryEntry(str(response["dn"]), attributes)
+
+
+class DirectorySync:
+    """Keeps the tenants in step with the directory for as long as it runs."""
 
     def __init__(self, file: DirectoryFile, password: str, plans: frozenset[str], copy: Path) -> None:
-        self.file, self.password, self.plans, self.copy = file, password, plans, copy
-        self.held, self.error = Tenants(), ""  # the error of the last try; empty where it went well
+        self.file = file
+        self.password = password
+        self.plans = plans
+        self.copy = copy
+        self.tenants = Tenants()  # the last good list
+        self.error = ""  # of the last attempt; empty where it succeeded
         try:
-            self.held = load_copy(copy)
+            self.tenants = load_copy(copy)
         except TenantsError as error:
             log.warning("copy_unusable", extra=kv(reason=error))
 
     async def refresh(self) -> bool:
-        """Read the directory once; a failure leaves what is held in force."""
+        """Read the directory once; a failure leaves the last good list in force."""
         try:
             tenants = await trio.to_thread.run_sync(fetch, self.file, self.password, self.plans)
-            if tenants.tenants != self.held.tenants:
+            if tenants.tenants != self.tenants.tenants:
                 log.info("tenants", extra=kv(count=len(tenants.tenants), faulty=len(tenants.faults)))
-            self.held, self.error = tenants, ""
+            self.tenants = tenants
+            self.error = ""
             await trio.to_thread.run_sync(save_copy, self.copy, tenants)
         except (DirectoryError, OSError) as error:
             self.error = str(error)
-            log.warning("directory_failed", extra=kv(reason=error, kept=len(self.held.tenants)))
+            log.warning("directory_failed", extra=kv(reason=error, kept=len(self.tenants.tenants)))
             return False
-        for fault in self.held.faults[:SHOWN_FAULTS]:
+        for fault in self.tenants.faults[:MAX_LOGGED_FAULTS]:
             log.warning("tenant_faulty", extra=kv(reason=fault))
         return True
 
     async def run(self) -> None:
-        """Refresh for ever."""
+        """Refresh every `refresh_s` seconds, until cancelled."""
         while True:
             await self.refresh()
             await trio.sleep(self.file.refresh_s)
--- a/wickspring/agent/supervisor.py
+++ b/wickspring/agent/supervisor.py
@@ -1,4 +1,4 @@
-"""One managed ingress: started, watched, started again after a pause that grows, drained."""
+"""One managed ingress: started, watched, restarted with exponential back-off, drained."""
 
 from __future__ import annotations
 
@@ -19,9 +19,11 @@
 
 log = logging.getLogger(__name__)
 
-POLL_S = 0.2
-UP_WITHIN_S = 1.0  # for one answer of /up
-COMMAND = (sys.executable, "-O", "-m", "wickspring", "serve")
+START_POLL_S = 0.2  # between health probes while it starts
+POLL_S = 2.0  # otherwise
+PROBE_TIMEOUT_S = 1.0  # for one answer of /up
+PROBE = b"GET /up HTTP/1.1\r\nHost: agent\r\nConnection: close\r\n\r\n"
+SERVE_COMMAND = (sys.executable, "-O", "-m", "wickspring", "serve")
 
 
 class State(Enum):
@@ -32,11 +34,11 @@
     READY = "ready"
     SILENT = "silent"  # it runs, and does not answer /up
     DRAINING = "draining"
-    WAITING = "waiting"  # for the end of its pause after a failure
+    WAITING = "waiting"  # for the end of its restart delay after a failure
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What the agent tells of one instance."""
+    """What the agent reports of one instance."""
 
     name: str
     state: str
@@ -49,10 +51,10 @@
 
 async def is_up(address: tuple[str, int]) -> bool:
     """Ask an instance whether it is ready."""
-    with trio.move_on_after(UP_WITHIN_S):
+    with trio.move_on_after(PROBE_TIMEOUT_S):
         try:
             async with await trio.open_tcp_stream(*address) as stream:
-                await stream.send_all(b"GET /up HTTP/1.1\r\nHost: agent\r\nConnection: close\r\n\r\n")
+                await stream.send_all(PROBE)
                 return (await stream.receive_some(4096)).startswith(b"HTTP/1.1 200")
         except OSError:
             return False
@@ -62,11 +64,11 @@
 
 
 class Supervisor:
-    """Keeps one instance in the state that is wanted of it."""
+    """Keeps one instance running, or stopped, as commands say."""
 
     def __init__(self, managed: Managed, file: AgentFile, tenants: Path | None = None) -> None:
         self.managed, self.file, self.tenants = managed, file, tenants
-        self.wanted = True
+        self.should_run = True
         self.state = State.STOPPED
         self.process: trio.Process | None = None
         self.starts = self.failures = 0
@@ -74,7 +76,7 @@
         self._changed = trio.Event()
 
     def report(self) -> Report:
-        """Tell how the instance is."""
+        """Report how the instance is."""
         host, port = self.managed.listen
         pid = self.process.pid if self.process is not None else None
         return Report(
@@ -87,7 +89,7 @@
             self.last_exit,
         )
 
-    def _set(self, state: State) -> None:
+    def _enter(self, state: State) -> None:
         if state is not self.state:
             self.state = state
             log.info("instance", extra=kv(name=self.managed.name, state=state.value))
@@ -101,82 +103,90 @@
         return self.state
 
     def start(self) -> None:
-        """Have it run; a pause after failures is cut short."""
-        self.wanted, self.failures = True, 0
-        self._set(self.state)
+        """Have it run; a restart delay after failures is cut short."""
+        self.should_run, self.failures = True, 0
+        self._enter(self.state)
 
     def reload(self) -> bool:
-        """Have it read its configuration again; False where it is not up, and would end by the signal."""
+        """Have it read its configuration again; False if it is not up, and the signal would end it."""
         if self.process is None or self.state not in (State.READY, State.SILENT):
             return False
         self.process.send_signal(signal.SIGHUP)
         return True
 
     def drain(self) -> None:
-        """Have it finish what it has taken, and stop."""
-        self.wanted = False
-        self._set(self.state)
+        """Have it finish the requests in flight, and stop."""
+        self.should_run = False
+        self._enter(self.state)
 
-    def pause(self) -> float:
+    def restart_delay(self) -> float:
         """Return the seconds to wait before the next start."""
         if not self.failures:
             return 0.0
         return min(self.file.backoff_most_s, self.file.backoff_first_s * 2.0 ** (self.failures - 1))
 
     async def run(self) -> None:
-        """Serve for ever; cancelled, the instance is drained first."""
+        """Run the instance until cancelled, and then drain it."""
         while True:
-            if not self.wanted:
-                self._set(State.STOPPED)
-                await self._until(lambda: self.wanted)
+            if not self.should_run:
+                self._enter(State.STOPPED)
+                await self._until(lambda: self.should_run)
             elif self.failures:
-                self._set(State.WAITING)
-                with trio.move_on_after(self.pause()):
-                    await self._until(lambda: not self.wanted or not self.failures)
-            if self.wanted:
-                await self._one_life()
+                self._enter(State.WAITING)
+                with trio.move_on_after(self.restart_delay()):
+                    await self._until(lambda: not self.should_run or not self.failures)
+            if self.should_run:
+                await self._run_process()
 
     async def _until(self, condition: Callable[[], bool]) -> None:
         while not condition():
             await self._changed.wait()
 
-    async def _one_life(self) -> None:
+    async def _run_process(self) -> None:
         self.starts += 1
-        self._set(State.STARTING)
+        self._enter(State.STARTING)
         started = trio.current_time()
-        host, port = self.managed.listen
-        env = {
-            **os.environ,
-            "GW_CONFIG": str(self.managed.config),
-            "GW_NAME": self.managed.name,
-            **({"GW_ADMIN_ADDR": ":".join(map(str, self.managed.door))} if self.managed.door else {}),
-            "GW_LISTEN": f"{host}:{port}",
-            "GW_HTTP2": str(self.managed.http2),
-        }
-        if self.tenants is not None:
-            env["GW_TENANTS"] = str(self.tenants)
         try:
             async with trio.open_nursery() as nursery:
                 self.process = process = await trio.lowlevel.open_process(
-                    COMMAND, stdin=subprocess.DEVNULL, env=env
+                    SERVE_COMMAND, stdin=subprocess.DEVNULL, env=self._environment()
                 )
-                nursery.start_soon(self._watch)
-                nursery.start_soon(self._drain_when_told, process)
-                await self._end(process)
+                nursery.start_soon(self._poll_health)
+                nursery.start_soon(self._drain_on_request, process)
+                await self._wait_for_end(process)
                 nursery.cancel_scope.cancel()
         except OSError as error:
             log.error("start_failed", extra=kv(name=self.managed.name, reason=error))
             self.last_exit = None
         finally:
             self.process = None
-        if self.wanted:
-            steady = trio.current_time() - started > self.file.steady_s
-            self.failures = 1 if steady else self.failures + 1
-            pause = self.pause()
-            log.warning("instance_ended", extra=kv(name=self.managed.name, exit=self.last_exit, pause=pause))
-
-    async def _end(self, process: trio.Process) -> None:
-        """Wait for the process's end; a cancel drains it, and is not let by until it has ended."""
+        if self.should_run:
+            self._note_failure(trio.current_time() - started)
+
+    def _environment(self) -> dict[str, str]:
+        host, port = self.managed.listen
+        environment = {
+            **os.environ,
+            "GW_CONFIG": str(self.managed.config),
+            "GW_NAME": self.managed.name,
+            "GW_LISTEN": f"{host}:{port}",
+            "GW_HTTP2": str(self.managed.http2),
+        }
+        if self.managed.door is not None:
+            admin_host, admin_port = self.managed.door
+            environment["GW_ADMIN_ADDR"] = f"{admin_host}:{admin_port}"
+        if self.tenants is not None:
+            environment["GW_TENANTS"] = str(self.tenants)
+        return environment
+
+    def _note_failure(self, uptime_s: float) -> None:
+        """Count a failure in a row; after a steady run it counts as the first."""
+        self.failures = 1 if uptime_s > self.file.steady_s else self.failures + 1
+        delay = self.restart_delay()
+        log.warning("instance_ended", extra=kv(name=self.managed.name, exit=self.last_exit, pause=delay))
+
+    async def _wait_for_end(self, process: trio.Process) -> None:
+        """Wait for the process's end; cancelled, drain it and return once it has ended."""
         try:
             self.last_exit = await process.wait()
         finally:
@@ -186,7 +196,7 @@
             self.last_exit = process.returncode
 
     async def _terminate(self, process: trio.Process) -> None:
-        self._set(State.DRAINING)
+        self._enter(State.DRAINING)
         process.terminate()
         with trio.move_on_after(self.file.drain_s):
             await process.wait()
@@ -195,16 +205,16 @@
             process.kill()
             await process.wait()
 
-    async def _drain_when_told(self, process: trio.Process) -> None:
-        await self._until(lambda: not self.wanted)
+    async def _drain_on_request(self, process: trio.Process) -> None:
+        await self._until(lambda: not self.should_run)
         await self._terminate(process)
 
-    async def _watch(self) -> None:
+    async def _poll_health(self) -> None:
         while True:
             up = await is_up(self.managed.listen)
             if self.state is not State.DRAINING:
                 if up:
-                    self._set(State.READY)
+                    self._enter(State.READY)
                 elif self.state is State.READY:
-                    self._set(State.SILENT)
-            await trio.sleep(POLL_S if self.state is State.STARTING else 10 * POLL_S)
+                    self._enter(State.SILENT)
+            await trio.sleep(START_POLL_S if self.state is State.STARTING else POLL_S)
--- a/wickspring/wire.py
+++ b/wickspring/wire.py
@@ -37,7 +37,8 @@
         use = min(self.highest, theirs.highest)
         if use >= max(self.lowest, theirs.lowest):
             return Greeting(self.lowest, self.highest, use=use)
-        ours = f"this {self.program_kind} (program {__version__}) speaks protocol {self.lowest} to {self.highest}"
+        program = f"this {self.program_kind} (program {__version__})"
+        ours = f"{program} speaks protocol {self.lowest} to {self.highest}"
         return Greeting(
             error=f"{ours}, the asker (program {theirs.program}) {theirs.lowest} to {theirs.highest}"
         )
