--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -21,7 +21,7 @@
 from wickspring.lab.emulation.site import free_port
 from wickspring.net.calls import CallReader, PlanError
 from wickspring.settings.errors import ConfigError
-from wickspring.tenants import PlanBook, Tenant, Tenants, TenantsError, load_copy, save_copy
+from wickspring.tenants import Tenant, TenantPlans, Tenants, TenantsError, load_tenants, save_tenants
 
 PLANS = frozenset(("basic", "standard", "premium"))
 
@@ -93,7 +93,7 @@
             assert "noSuchObject" in sync.error
             ldap.silent = True
             assert not await sync.refresh()
-            assert sync.tenants == good == load_copy(copy)
+            assert sync.tenants == good == load_tenants(copy)
         later = directory.DirectorySync(source(ldap.url), "", PLANS, copy)  # a new agent, the directory down
         assert not await later.refresh()
         assert later.tenants == good
@@ -101,18 +101,18 @@
     trio.run(main)
 
 
-def test_plan_book_follows_the_copy_and_holds_requests_to_it(tmp_path: Path) -> None:
+def test_tenant_plans_follow_the_copy_and_holds_requests_to_it(tmp_path: Path) -> None:
     path = tmp_path / "t.json"
-    book = PlanBook(path)
-    assert not book.refresh()
-    reader = CallReader(CALLS.settings, book)
+    tenant_plans = TenantPlans(path)
+    assert not tenant_plans.refresh()
+    reader = CallReader(CALLS.settings, tenant_plans)
     target = "/api?customer=00000000b4d65521"
     assert reader.read("GET", target, GOOD, b"").customer == 0xB4D65521
     customer = f"{0xB4D65521:016x}"
     for plan, fits in (("team", True), ("other", False)):
-        save_copy(path, Tenants((Tenant(customer, plan),), 1.0))
-        assert book.refresh()
-        assert not book.refresh()
+        save_tenants(path, Tenants((Tenant(customer, plan),), 1.0))
+        assert tenant_plans.refresh()
+        assert not tenant_plans.refresh()
         if fits:
             reader.read("GET", target, GOOD, b"")
         else:
@@ -120,8 +120,8 @@
                 reader.read("GET", target, GOOD, b"")
     path.write_text("{")
     with pytest.raises(TenantsError):
-        book.refresh()
-    assert book.plans == {0xB4D65521: "other"}
+        tenant_plans.refresh()
+    assert tenant_plans.plans == {0xB4D65521: "other"}
 
 
 def agent_file(folder: Path, names: tuple[str, ...], extra: str = "", ldap: str = "") -> Path:
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -18,7 +18,7 @@
 from tests.support.fleet import fleet_file
 from wickspring.agent import wire
 from wickspring.agent.node import Node
-from wickspring.agent.tls import who
+from wickspring.agent.tls import identify_peer
 from wickspring.fleet.file import load_fleet
 from wickspring.fleet.model import InstanceRecord, Kind
 from wickspring.fleet.owner import OwnerState
@@ -100,10 +100,10 @@
 
     trio.run(main)
     names: dict[str, object] = {"subjectAltName": (("DNS", "a1"),)}
-    peer = who(fleet, names)
+    peer = identify_peer(fleet, names)
     assert peer is not None
     assert peer.agent
-    assert who(fleet, None) is None
+    assert identify_peer(fleet, None) is None
     with pytest.raises(ConfigError, match="tls"):
         Certificates(tmp_path / "ca.pem", tmp_path / "a0.pem", tmp_path / "a0.pem")
     assert ssl.HAS_TLSv1_3
--- a/wickspring/agent/directory.py
+++ b/wickspring/agent/directory.py
@@ -18,7 +18,7 @@
 
 from wickspring.agent.settings import DirectoryFile
 from wickspring.logs import kv
-from wickspring.tenants import Tenant, Tenants, TenantsError, load_copy, save_copy
+from wickspring.tenants import Tenant, Tenants, TenantsError, load_tenants, save_tenants
 
 log = logging.getLogger(__name__)
 
@@ -157,7 +157,7 @@
         self.tenants = Tenants()  # the last good list
         self.error = ""  # of the last attempt; empty where it succeeded
         try:
-            self.tenants = load_copy(copy)
+            self.tenants = load_tenants(copy)
         except TenantsError as error:
             log.warning("copy_unusable", extra=kv(reason=error))
 
@@ -169,7 +169,7 @@
                 log.info("tenants", extra=kv(count=len(tenants.tenants), faulty=len(tenants.faults)))
             self.tenants = tenants
             self.error = ""
-            await trio.to_thread.run_sync(save_copy, self.copy, tenants)
+            await trio.to_thread.run_sync(save_tenants, self.copy, tenants)
         except (DirectoryError, OSError) as error:
             self.error = str(error)
             log.warning("directory_failed", extra=kv(reason=error, kept=len(self.tenants.tenants)))
--- a/wickspring/agent/listeners.py
+++ b/wickspring/agent/listeners.py
@@ -13,7 +13,7 @@
 from wickspring.agent.local_instances import LocalInstances
 from wickspring.agent.message_handler import MessageHandler
 from wickspring.agent.notifications import parse_notification
-from wickspring.agent.tls import who
+from wickspring.agent.tls import identify_peer
 from wickspring.agent.wire import Peer
 from wickspring.logs import kv
 from wickspring.settings.address import parse_address
@@ -103,7 +103,7 @@
         if scope.cancelled_caught:
             return
         certificate = secure.getpeercert()
-        peer = who(self.context.fleet, certificate)
+        peer = identify_peer(self.context.fleet, certificate)
         if peer is None:
             log.warning("stranger", extra=kv(certificate=certificate))
             return
--- a/wickspring/net/calls.py
+++ b/wickspring/net/calls.py
@@ -11,7 +11,7 @@
 from wickspring import interface as api
 from wickspring.core.effects import ResponseKind
 from wickspring.net.sockets import DEFER_S as DEFER_S
-from wickspring.tenants import PlanBook
+from wickspring.tenants import TenantPlans
 
 MAX_BUFFERED_BODY = 64 * 1024  # bytes of a body; a longer one is passed on as it arrives
 MAX_BODY_BYTES = 64 << 20
@@ -143,8 +143,8 @@
 class CallReader:
     """Checks requests against the settings."""
 
-    def __init__(self, settings: api.Settings, book: PlanBook | None = None) -> None:
-        self.settings, self.book = settings, book
+    def __init__(self, settings: api.Settings, tenant_plans: TenantPlans | None = None) -> None:
+        self.settings, self.tenant_plans = settings, tenant_plans
         self.classes = {kind.name: index for index, kind in enumerate(settings.classes)}
         self.plans = {plan.name: index for index, plan in enumerate(settings.plans)}
 
@@ -173,9 +173,9 @@
         # No class waits longer than its deadline; a claim of an hour would hold its state for as long.
         budget = min(budget, self.settings.classes[class_index].deadline or budget)
         customer = _customer(target)
-        if self.book is not None:  # whom the directory does not name yet is taken at its word
+        if self.tenant_plans is not None:  # whom the directory does not name yet is taken at its word
             plan = self.settings.plans[plan_index].name
-            if self.book.plans.get(customer, plan) != plan:
+            if self.tenant_plans.plans.get(customer, plan) != plan:
                 raise PlanError("Api-Plan")
         return Call(
             method,
--- a/wickspring/net/peer_links.py
+++ b/wickspring/net/peer_links.py
@@ -12,7 +12,7 @@
 from wickspring.logs import kv
 from wickspring.net.clock import Clock
 from wickspring.peer_state.messages import MAX_LINE_BYTES, PROTOCOL_VERSIONS, Message, Reply
-from wickspring.tls import Certificates, names
+from wickspring.tls import Certificates, dns_names
 from wickspring.wire import LineClient, LineStream, WireError, connect
 
 log = logging.getLogger(__name__)
@@ -123,7 +123,7 @@
             tls.check_hostname = False  # a seed has no name yet; the name is checked below
         link = await connect(address, name or address, PROTOCOL_VERSIONS, tls, name, MAX_LINE_BYTES)
         self._traffic.record(link.lines)
-        if tls is not None and name and name not in names(link.lines.stream.getpeercert()):
+        if tls is not None and name and name not in dns_names(link.lines.stream.getpeercert()):
             await link.close()
             raise WireError(f"{name}: the certificate at {address} does not name it")
         return link
--- a/wickspring/net/peer_listener.py
+++ b/wickspring/net/peer_listener.py
@@ -13,7 +13,7 @@
 from wickspring.logs import kv
 from wickspring.net.peer_links import EXCHANGE_TIMEOUT_S, TrafficMeter
 from wickspring.peer_state.messages import MAX_LINE_BYTES, PROTOCOL_VERSIONS, Message, Reply
-from wickspring.tls import Certificates, names
+from wickspring.tls import Certificates, dns_names
 from wickspring.wire import LineStream, WireError, answer_greeting
 
 log = logging.getLogger(__name__)
@@ -94,7 +94,7 @@
         secure = trio.SSLStream(stream, tls, server_side=True, https_compatible=True)
         with trio.fail_after(EXCHANGE_TIMEOUT_S):
             await secure.do_handshake()
-        return LineStream(secure, MAX_LINE_BYTES), names(secure.getpeercert())
+        return LineStream(secure, MAX_LINE_BYTES), dns_names(secure.getpeercert())
 
     async def _answer(self, lines: LineStream, certificate_names: CertificateNames) -> bool:
         """Answer one message; False where it could not be read."""
--- a/wickspring/net/runtime.py
+++ b/wickspring/net/runtime.py
@@ -29,7 +29,7 @@
 from wickspring.net.upstream.http1 import Http1ServerConnection
 from wickspring.net.upstream.manager import UpstreamManager
 from wickspring.routing.maintenance import Maintenance
-from wickspring.tenants import PlanBook, TenantsError
+from wickspring.tenants import TenantPlans, TenantsError
 
 if TYPE_CHECKING:
     from wickspring.net.peers import Peers
@@ -52,8 +52,8 @@
         peer_state = self.peers.shares if self.peers is not None else None
         self.reducer = Reducer(settings, peer_state)
         self.maintenance = Maintenance()
-        self.book = PlanBook(instance.tenants) if instance.tenants is not None else None
-        self.calls = CallReader(settings, self.book)
+        self.tenant_plans = TenantPlans(instance.tenants) if instance.tenants is not None else None
+        self.calls = CallReader(settings, self.tenant_plans)
         self.directory = Directory(settings.zones)
         pauses = WatchPauses(settings.seed, settings.gateways, settings.drain_grace)
         self.discovery = Discovery(instance.discovery, self.directory, nursery, self.on_server_list, pauses)
@@ -246,12 +246,12 @@
         self.call_later(SWEEP_MS, self._sweep)
 
     def _read_tenants(self) -> None:
-        if self.book is None:
+        if self.tenant_plans is None:
             return
         self.call_later(TENANTS_MS, self._read_tenants)
         try:
-            if self.book.refresh():
-                log.info("tenants", extra=kv(count=len(self.book.plans)))
+            if self.tenant_plans.refresh():
+                log.info("tenants", extra=kv(count=len(self.tenant_plans.plans)))
         except TenantsError as error:  # what was read before stays in force
             log.warning("tenants_unusable", extra=kv(reason=error))
 
--- a/wickspring/tenants.py
+++ b/wickspring/tenants.py
@@ -1,4 +1,4 @@
-"""The tenants and their plans as the agent keeps them in a file, for itself and for its ingresses."""
+"""The tenants and their plans, as the agent keeps them in a file for itself and for its ingresses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TenantsError(ValueError):
-    """A copy that cannot be read."""
+    """A file of tenants that cannot be read."""
 
 
 class Tenant(msgspec.Struct, frozen=True, order=True):
@@ -28,8 +28,12 @@
     faults: tuple[str, ...] = ()
 
 
-def load_copy(path: Path) -> Tenants:
-    """Read the last good copy; without one, nobody is known."""
+def load_tenants(path: Path) -> Tenants:
+    """Read the last good list; empty where there is no file.
+
+    Raises:
+        TenantsError: the file cannot be read.
+    """
     try:
         return msgspec.json.decode(path.read_bytes(), type=Tenants)
     except FileNotFoundError:
@@ -38,8 +42,12 @@
         raise TenantsError(f"{path}: {error}") from error
 
 
-def save_copy(path: Path, tenants: Tenants) -> None:
-    """Replace the copy at one stroke, so that a crash leaves the old one or the new."""
+def save_tenants(path: Path, tenants: Tenants) -> None:
+    """Replace the file atomically: a crash leaves the old list or the new one.
+
+    Raises:
+        OSError: the file cannot be written.
+    """
     partial = path.with_name(path.name + ".new")
     with partial.open("wb") as file:
         file.write(msgspec.json.encode(tenants))
@@ -48,26 +56,31 @@
     partial.replace(path)
 
 
-class PlanBook:
+class TenantPlans:
     """The plan of each customer, read again whenever the file has changed."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.plans: dict[int, str] = {}
-        self._seen: tuple[int, int] | None = None
+        self.plans: dict[int, str] = {}  # by customer
+        self._version: tuple[int, int] | None = None  # modification time and inode of the file as read
 
     def refresh(self) -> bool:
-        """Read the file if it is another one than before; on `TenantsError` what is held stays."""
+        """Read the file if it has changed; return whether it had.
+
+        Raises:
+            TenantsError: the file cannot be read; the plans stay as they were.
+        """
         try:
             stat = self.path.stat()
         except OSError:
             return False
-        seen = (stat.st_mtime_ns, stat.st_ino)
-        if seen == self._seen:
+        version = (stat.st_mtime_ns, stat.st_ino)
+        if version == self._version:
             return False
-        self._seen = seen
+        self._version = version
+        tenants = load_tenants(self.path).tenants
         try:
-            self.plans = {int(t.customer, 16): t.plan for t in load_copy(self.path).tenants}
+            self.plans = {int(tenant.customer, 16): tenant.plan for tenant in tenants}
         except ValueError as error:
             raise TenantsError(f"{self.path}: {error}") from error
         return True
--- a/wickspring/tls.py
+++ b/wickspring/tls.py
@@ -11,14 +11,17 @@
 class Certificates:
     """One party's certificate and key, and the authority that it trusts.
 
-    Files are looked at before each use, so that renewed ones hold from the next connection on. Files that
-    can't be read leave what was read before in force, and the fault is kept in `fault`.
+    Files are checked before each use, so that renewed ones are used from the next connection on. Where they
+    cannot be read, those read before stay in use, and `fault` says why.
+
+    Raises:
+        ConfigError: the files cannot be read at first.
     """
 
     def __init__(self, ca: Path, cert: Path, key: Path) -> None:
         self.ca, self.cert, self.key = ca, cert, key
         self.fault = ""
-        self._stamp: tuple[int, ...] = ()
+        self._modified_at: tuple[int, ...] = ()
         self._server: ssl.SSLContext | None = None
         self._client: ssl.SSLContext | None = None
         self._refresh()
@@ -27,8 +30,8 @@
 
     def _refresh(self) -> None:
         try:
-            stamp = tuple(path.stat().st_mtime_ns for path in (self.ca, self.cert, self.key))
-            if stamp == self._stamp:
+            modified_at = tuple(path.stat().st_mtime_ns for path in (self.ca, self.cert, self.key))
+            if modified_at == self._modified_at:
                 return
             server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
             client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
@@ -40,7 +43,7 @@
         except (OSError, ssl.SSLError) as error:
             self.fault = f"{self.cert.name}: {error}"
             return
-        self._stamp, self._server, self._client, self.fault = stamp, server, client, ""
+        self._modified_at, self._server, self._client, self.fault = modified_at, server, client, ""
 
     def server(self) -> ssl.SSLContext:
         """Return the context for connections that come in."""
@@ -55,7 +58,7 @@
         return self._client
 
 
-def names(certificate: dict[str, object] | None) -> tuple[str, ...]:
+def dns_names(certificate: dict[str, object] | None) -> tuple[str, ...]:
     """Return the DNS names of a certificate, as `getpeercert` gives it."""
     found = (certificate or {}).get("subjectAltName", ())
     return tuple(value for kind, value in found if kind == "DNS") if isinstance(found, tuple) else ()
