--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.support.command_line import run_command
-from wickspring.config import build_settings, flatten
+from wickspring.config import build_settings
 from wickspring.lab.checks.copies import find_forbidden
 from wickspring.lab.checks.observed_run import ObservedRun
 from wickspring.lab.checks.quotas import quota_excess
@@ -31,6 +31,7 @@
 from wickspring.lab.reports.result import Result
 from wickspring.lab.simulation.ingress_site.site import run as run_virtual
 from wickspring.lab.traffic import schedule
+from wickspring.settings.pairs import flatten
 
 SMALL = """
 name = "small"
--- a/tests/net/test_discovery_pauses.py
+++ b/tests/net/test_discovery_pauses.py
@@ -13,9 +13,10 @@
 from tests.support.ingress import client1, request, site
 from tests.support.policy_gateway import make_settings
 from wickspring import interface as api
-from wickspring.config import ConfigError, build_settings
+from wickspring.config import build_settings
 from wickspring.connections.backoff import Backoff
 from wickspring.net import discovery, server
+from wickspring.settings.errors import ConfigError
 
 GATEWAYS, RATE, WAIT_MOST, PROMPT = 40, 10.0, 2.0, 0.2
 
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -15,7 +15,9 @@
 from tests.agent.test_config import example
 from tests.support.ingress import client1, request, site
 from wickspring import config
-from wickspring.config import ConfigError, Instance, parse_address
+from wickspring.config import Instance
+from wickspring.settings.address import parse_address
+from wickspring.settings.errors import ConfigError
 
 
 def test_the_file_wins_over_the_environment_after_the_start(
--- a/tests/support/ingress.py
+++ b/tests/support/ingress.py
@@ -17,13 +17,15 @@
 from example import toy
 from tests.support.policy_gateway import KIND, PLAN, make_settings
 from wickspring import interface as api
-from wickspring.config import Http2, Instance, Limits, ListedServer, Listing, parse_address
+from wickspring.config import Instance, Limits, ListedServer, Listing
 from wickspring.net import server
 from wickspring.net.http2_wire import Frames, GoAway
 from wickspring.net.http2_wire import settings as http2_settings
 from wickspring.net.reload import ReadInstance
 from wickspring.net.runtime import Runtime
 from wickspring.net.upstream.exchange import ServerExchange
+from wickspring.settings.address import parse_address
+from wickspring.settings.http2_file import Http2
 
 IDS = count(1)
 KINDS = {
--- a/wickspring/cli.py
+++ b/wickspring/cli.py
@@ -11,6 +11,7 @@
 
 from wickspring import config, logs
 from wickspring.command_line.errors import ExitCode
+from wickspring.settings.errors import ConfigError
 
 log = logging.getLogger(__name__)
 
@@ -23,7 +24,7 @@
     try:
         instance = config.from_environment()
         trio.run(server.run, instance, None, config.reread_environment)
-    except config.ConfigError as error:
+    except ConfigError as error:
         log.error("bad_configuration", extra=logs.kv(reason=error))
         return ExitCode.USAGE
     except OSError as error:
--- a/wickspring/commands/admin.py
+++ b/wickspring/commands/admin.py
@@ -8,9 +8,9 @@
 import msgspec
 import trio
 
-from wickspring import config
 from wickspring.agent.settings import load_agent
 from wickspring.command_line.errors import CommandError, ExitCode
+from wickspring.settings.errors import ConfigError
 
 CALL_TIMEOUT_S = 3.0  # for one instance to answer
 MAX_ANSWER_BYTES = 64 * 1024
@@ -113,7 +113,7 @@
     """Return the instances of an agent's file with the addresses of their admin APIs."""
     try:
         return {managed.name: managed.door for managed in load_agent(file).instances}
-    except config.ConfigError as error:
+    except ConfigError as error:
         raise CommandError(error, ExitCode.USAGE) from error
 
 
--- a/wickspring/commands/fleet/client.py
+++ b/wickspring/commands/fleet/client.py
@@ -11,9 +11,9 @@
 
 from wickspring.agent import wire
 from wickspring.command_line.errors import CommandError, ExitCode
-from wickspring.config import ConfigError
 from wickspring.fleet.file import Fleet, FleetAgent, load_fleet
 from wickspring.fleet.model import Operation
+from wickspring.settings.errors import ConfigError
 from wickspring.tls import Certificates
 from wickspring.wire import WireError
 
--- a/wickspring/commands/fleet/commands.py
+++ b/wickspring/commands/fleet/commands.py
@@ -27,9 +27,9 @@
     history_line,
     status_table,
 )
-from wickspring.config import ConfigError
 from wickspring.fleet.file import load_fleet
 from wickspring.fleet.model import InstanceRecord, Kind, Operation
+from wickspring.settings.errors import ConfigError
 from wickspring.wire import WireError
 
 log = logging.getLogger(__name__)
--- a/wickspring/commands/local.py
+++ b/wickspring/commands/local.py
@@ -14,6 +14,8 @@
 from wickspring import __version__, cli, config, logs
 from wickspring.agent.settings import Agent, load_agent
 from wickspring.command_line.errors import CommandError, ExitCode
+from wickspring.settings.errors import ConfigError
+from wickspring.settings.http2_file import HTTP2_FILE
 from wickspring.tenants import Tenants
 
 if TYPE_CHECKING:
@@ -32,7 +34,7 @@
         """Run one ingress; GW_CONFIG names its configuration."""
         _end_with(cli.serve())
 
-    def check_config(self, file: Path, *, http2: Path = config.HTTP2_FILE) -> str:
+    def check_config(self, file: Path, *, http2: Path = HTTP2_FILE) -> str:
         """Check an instance's JSON file or an agent's TOML file, and name the first key at fault.
 
         Args:
@@ -43,7 +45,7 @@
             if file.suffix == ".toml":
                 return f"{file.name}: {len(load_agent(file).instances)} instances"
             instance = config.load_instance(file, {}, http2)
-        except config.ConfigError as error:
+        except ConfigError as error:
             raise CommandError(error, ExitCode.USAGE) from error
         settings = instance.settings
         return (
@@ -58,7 +60,7 @@
         logs.setup()
         try:
             trio.run(agent.run, load_agent(file))
-        except config.ConfigError as error:
+        except ConfigError as error:
             log.error("bad_configuration", extra=logs.kv(reason=error))
             _end_with(ExitCode.USAGE)
         except control.ControlError as error:
@@ -99,13 +101,13 @@
         try:
             agent = load_agent(file)
             if agent.file.directory is None:
-                raise config.ConfigError("directory is not set")
+                raise ConfigError("directory is not set")
             if fetch:
                 plans = frozenset(plan for managed in agent.instances for plan in managed.plans)
                 found = directory.fetch(agent.file.directory, agent.password, plans)
             else:
                 found = _tenants_of_agent(agent)
-        except config.ConfigError as error:
+        except ConfigError as error:
             raise CommandError(error, ExitCode.USAGE) from error
         except (control.ControlError, directory.DirectoryError) as error:
             raise CommandError(error) from error
@@ -124,7 +126,7 @@
     try:
         path = load_agent(file).control
         result = trio.run(control.ask, path, control.Command(name, tuple(instances)))
-    except config.ConfigError as error:
+    except ConfigError as error:
         raise CommandError(error, ExitCode.USAGE) from error
     except control.ControlError as error:
         raise CommandError(error) from error
--- a/wickspring/commands/peers.py
+++ b/wickspring/commands/peers.py
@@ -8,7 +8,6 @@
 import msgspec
 import trio
 
-from wickspring import config
 from wickspring.command_line.errors import CommandError, ExitCode
 from wickspring.command_line.tables import format_json, format_rows
 from wickspring.peer_state.messages import (
@@ -19,6 +18,8 @@
     StatusRequest,
     View,
 )
+from wickspring.settings.address import parse_address
+from wickspring.settings.errors import ConfigError
 from wickspring.settings.peers_file import load_peers
 from wickspring.tls import Certificates
 from wickspring.wire import WireError, connect
@@ -82,8 +83,8 @@
     try:
         if where.endswith(".toml"):
             return _read_peers_file(Path(where))
-        config.parse_address("WHERE", where)
-    except config.ConfigError as error:
+        parse_address("WHERE", where)
+    except ConfigError as error:
         raise CommandError(error, ExitCode.USAGE) from error
     return where, None
 
@@ -91,7 +92,7 @@
 def _read_peers_file(path: Path) -> tuple[str, Certificates | None]:
     file = load_peers(path)
     if not path.exists() or not file.enabled:
-        raise config.ConfigError(f"{path}: enabled is not set: no ingress talks by this file")
+        raise ConfigError(f"{path}: enabled is not set: no ingress talks by this file")
     if file.tls is None:
         return file.listen, None
     folder = Path(file.folder)
--- a/wickspring/config.py
+++ b/wickspring/config.py
@@ -22,25 +22,7 @@
 from wickspring.settings.errors import ConfigError
 from wickspring.settings.http2_file import HTTP2_FILE, Http2, load_http2
 from wickspring.settings.pairs import SettingPairs, flatten
-from wickspring.settings.peers_file import PEERS_FILE, Bounds, Peers, load_peers
-
-__all__ = [
-    "HTTP2_FILE",
-    "Bounds",
-    "ConfigError",
-    "Http2",
-    "Instance",
-    "InstanceFile",
-    "Limits",
-    "ListedServer",
-    "Listing",
-    "build_settings",
-    "flatten",
-    "from_environment",
-    "load_instance",
-    "parse_address",
-    "reread_environment",
-]
+from wickspring.settings.peers_file import PEERS_FILE, Peers, load_peers
 
 MIN_SOCKETS = 32
 MIN_TARGET_LATENCY_MS = 0.001
--- a/wickspring/lab/simulation/ingress_site/site.py
+++ b/wickspring/lab/simulation/ingress_site/site.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from wickspring import interface as api
-from wickspring.config import build_settings, flatten
+from wickspring.config import build_settings
 from wickspring.connections.limits import ConnectionLimits
 from wickspring.lab.emulation.site import Progress
 from wickspring.lab.experiments.evaluate import evaluate
@@ -21,6 +21,7 @@
 from wickspring.lab.simulation.ingress_site.virtual_server import VirtualServer
 from wickspring.lab.simulation.timeline import Timeline
 from wickspring.lab.traffic import schedule
+from wickspring.settings.pairs import flatten
 
 PROGRESS_MS = 500.0
 TAIL_MS = 4000.0  # after the last arrival, until all is answered
--- a/wickspring/lab/simulation/large_peers.py
+++ b/wickspring/lab/simulation/large_peers.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from wickspring import interface as api
-from wickspring.config import Bounds, build_settings, flatten
+from wickspring.config import build_settings
 from wickspring.lab.emulation.peer_ingresses import SAMPLE_S, middle_and_ninth
 from wickspring.lab.emulation.site import Progress
 from wickspring.lab.experiments.evaluate import peak
@@ -30,6 +30,8 @@
 from wickspring.peer_state.participant import Participant
 from wickspring.peer_state.shares import Shares
 from wickspring.routing.aperture import subset
+from wickspring.settings.pairs import flatten
+from wickspring.settings.peers_file import Bounds
 
 MS_PER_S = 1000.0
 EPOCH_MS = 1_000_000_000.0  # the ingresses' clock at the beginning
--- a/wickspring/net/discovery.py
+++ b/wickspring/net/discovery.py
@@ -13,10 +13,12 @@
 import trio
 
 from wickspring import interface as api
-from wickspring.config import ConfigError, ListedServer, Listing, parse_address
+from wickspring.config import ListedServer, Listing
 from wickspring.connections.backoff import Backoff
 from wickspring.logs import kv
 from wickspring.net.link import Link, connect
+from wickspring.settings.address import parse_address
+from wickspring.settings.errors import ConfigError
 
 log = logging.getLogger(__name__)
 
--- a/wickspring/net/peers.py
+++ b/wickspring/net/peers.py
@@ -24,7 +24,7 @@
 
 from wickspring import __version__
 from wickspring import interface as api
-from wickspring.config import Instance, parse_address
+from wickspring.config import Instance
 from wickspring.connections.backoff import Backoff, jittered
 from wickspring.logs import kv
 from wickspring.net.clock import Clock
@@ -41,6 +41,7 @@
 )
 from wickspring.peer_state.participant import Participant
 from wickspring.peer_state.shares import Shares
+from wickspring.settings.address import parse_address
 from wickspring.tls import Certificates
 
 log = logging.getLogger(__name__)
--- a/wickspring/net/reload.py
+++ b/wickspring/net/reload.py
@@ -8,9 +8,10 @@
 
 import msgspec
 
-from wickspring.config import ConfigError, Instance
+from wickspring.config import Instance
 from wickspring.logs import kv
 from wickspring.net.runtime import Runtime
+from wickspring.settings.errors import ConfigError
 
 log = logging.getLogger(__name__)
 
--- a/wickspring/net/server.py
+++ b/wickspring/net/server.py
@@ -11,7 +11,7 @@
 import trio
 
 from wickspring import interface as api
-from wickspring.config import Instance, parse_address
+from wickspring.config import Instance
 from wickspring.logs import kv
 from wickspring.net import admin_api, handover, http1_front
 from wickspring.net.discovery import Directory, ListError
@@ -22,6 +22,7 @@
 from wickspring.net.listening import Serve, listen
 from wickspring.net.reload import ReadInstance, reload
 from wickspring.net.runtime import Runtime
+from wickspring.settings.address import parse_address
 
 log = logging.getLogger(__name__)
 
--- a/wickspring/peer_state/budget_rights.py
+++ b/wickspring/peer_state/budget_rights.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from wickspring import interface as api
-from wickspring.config import Bounds
 from wickspring.peer_state import budgets
 from wickspring.peer_state.budgets import Ask, Back, Grant, Held, Terms
+from wickspring.settings.peers_file import Bounds
 
 MAX_BUDGETS = 1024  # of which something is held at a time; without a place there is no right
 REFUSAL_MEMORY_MS = 1500.0  # for which a refused right is remembered as wanted
--- a/wickspring/peer_state/shares.py
+++ b/wickspring/peer_state/shares.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from wickspring import interface as api
-from wickspring.config import Bounds
 from wickspring.peer_state import counts
 from wickspring.peer_state.budget_rights import MAX_ASKS, NEVER, BudgetRights
 from wickspring.peer_state.budgets import Ask, Back, Grant
 from wickspring.peer_state.judgements import FailureReport, Judge
+from wickspring.settings.peers_file import Bounds
 
 MAX_COUNTS = 48  # in one message
 PEER_SILENCE_MS = 1500.0  # since the last exchange with a peer, in which its silence means no changes
--- a/wickspring/simwire.py
+++ b/wickspring/simwire.py
@@ -14,6 +14,7 @@
 
 from wickspring import config
 from wickspring import interface as api
+from wickspring.settings.errors import ConfigError
 
 EVENT_SIZE = 56  # bytes
 ACTION_SIZE = 32  # bytes
@@ -82,7 +83,7 @@
             pairs[key] = value
     try:
         return config.build_settings(pairs, seed)
-    except config.ConfigError as error:
+    except ConfigError as error:
         raise WireError(str(error)) from error
 
 
