--- a/wickspring/lab/emulation/gateway_process.py
+++ b/wickspring/lab/emulation/gateway_process.py
@@ -8,10 +8,10 @@
 import resource
 import signal
 import sys
+from collections.abc import Mapping
 from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
-from typing import Any
 
 import trio
 
@@ -35,7 +35,8 @@
 
     folder: Path  # for its files and its log
     program: Path  # the folder of its build
-    config: dict[str, Any]
+    config: Mapping[str, object]
+    max_descriptors: int
     connection_limits: str  # the text of its connections.toml
     peers_file: Path
 
@@ -85,8 +86,7 @@
                 check=False,
             )
             self.process = await nursery.start(run)
-        max_descriptors = int(self._files.config["limits"]["sockets"])
-        limits = max_descriptors, max_descriptors
+        limits = self._files.max_descriptors, self._files.max_descriptors
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, limits)  # as the platform has it
         with trio.move_on_after(READY_TIMEOUT_S):
             if await self._wait_until_ready(log_start):
--- a/wickspring/lab/emulation/local_gateway.py
+++ b/wickspring/lab/emulation/local_gateway.py
@@ -14,7 +14,6 @@
 from collections.abc import Callable
 from pathlib import Path
 from random import Random
-from typing import Any
 
 import trio
 
@@ -45,7 +44,7 @@
     `rate` is the tenant's requests a second; 0 is no quota.
     """
 
-    def route(name: str, kind: str, prefix: str, service: str) -> dict[str, Any]:
+    def route(name: str, kind: str, prefix: str, service: str) -> dict[str, object]:
         return {
             "name": name,
             "route_kind": kind,
--- a/wickspring/lab/experiments/fleet_site.py
+++ b/wickspring/lab/experiments/fleet_site.py
@@ -14,7 +14,6 @@
 from collections import Counter
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import msgspec
 import trio
@@ -157,8 +156,8 @@
         return path
 
     def _instance_config(
-        self, number: int, discovery: str, counter: str, settings: dict[str, Any]
-    ) -> dict[str, Any]:
+        self, number: int, discovery: str, counter: str, settings: dict[str, object]
+    ) -> dict[str, object]:
         ingresses = self.scenario.ingresses
         return {
             "name": f"n{number}",
--- a/wickspring/lab/experiments/linear_fit.py
+++ b/wickspring/lab/experiments/linear_fit.py
@@ -6,81 +6,104 @@
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
 from statistics import fmean, linear_regression
-from typing import Any
 
-GROWTH = 1.25  # times as steep as the line put away, beyond which the check fails
-SHARE = 0.1  # of the figure at the largest size that a slope must make up to be held to that
-COUNTED = ("_bytes", "_messages", "_bytes_s", "_messages_s")  # figures that do not hang on the machine
+import msgspec
 
-Point = Mapping[str, Any]  # "size", "seed" and "figures"
+MAX_GROWTH = 1.25  # times as steep, or as high at the largest size, as the stored line
+MIN_SLOPE_SHARE = 0.1  # of the figure at the largest size that a slope must make up to be compared
+COUNTED = ("_bytes", "_messages", "_bytes_s", "_messages_s")  # figures that do not depend on the machine
 
 
-def _power(points: list[tuple[float, float]]) -> float:
-    if any(x <= 0 or y <= 0 for x, y in points):
+class Point(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The figures of one run of a sweep."""
+
+    size: int
+    seed: int
+    figures: dict[str, float]
+
+
+class Line(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A line through the points of one figure, over the size."""
+
+    slope: float
+    at_0: float
+    spread: float  # largest distance of a point from the line, as a share of the largest figure
+    power: float  # slope of the logarithms: 1 for linear growth, 2 for growth with the square
+    sizes: int  # how many sizes were measured
+    points: int  # how many points were measured
+
+    def at(self, size: float) -> float:
+        """Return the line's value at a size."""
+        return self.at_0 + self.slope * size
+
+
+Lines = Mapping[str, Line]  # by figure
+
+
+def fit(points: Iterable[tuple[float, float]]) -> Line:
+    """Fit a line through pairs of size and figure; a flat one where there is a single size."""
+    pairs = list(points)
+    sizes = [size for size, _ in pairs]
+    values = [value for _, value in pairs]
+    size_count = len(set(sizes))
+    if size_count < 2:
+        return Line(0.0, fmean(values), 0.0, 0.0, 1, len(pairs))
+    line = linear_regression(sizes, values)
+    largest = max(map(abs, values)) or 1.0
+    spread = max(abs(value - line.intercept - line.slope * size) for size, value in pairs) / largest
+    return Line(
+        slope=float(f"{line.slope:.5g}"),
+        at_0=float(f"{line.intercept:.5g}"),
+        spread=round(spread, 4),
+        power=_power(pairs),
+        sizes=size_count,
+        points=len(pairs),
+    )
+
+
+def _power(pairs: list[tuple[float, float]]) -> float:
+    """Return the slope of the logarithms; 0 where a value has none."""
+    if any(size <= 0 or value <= 0 for size, value in pairs):
         return 0.0
-    logs = [(math.log(x), math.log(y)) for x, y in points]
-    return round(linear_regression([x for x, _ in logs], [y for _, y in logs]).slope, 2)
+    log_sizes = [math.log(size) for size, _ in pairs]
+    log_values = [math.log(value) for _, value in pairs]
+    return round(linear_regression(log_sizes, log_values).slope, 2)
+
+
+def fit_figures(points: Iterable[Point]) -> dict[str, Line]:
+    """Fit a line for each figure of a sweep over its sizes."""
+    pairs_by_figure: dict[str, list[tuple[float, float]]] = defaultdict(list)
+    for point in points:
+        for figure, value in point.figures.items():
+            pairs_by_figure[figure].append((float(point.size), float(value)))
+    return {figure: fit(pairs) for figure, pairs in sorted(pairs_by_figure.items())}
 
 
-def fit(points: Iterable[tuple[float, float]]) -> dict[str, Any]:
-    """Fit a line; the spread is the largest distance of a point from it, as a share of the largest figure.
+def find_growth(
+    measured: Mapping[str, Lines], stored: Mapping[str, Lines], largest_sizes: Mapping[str, float]
+) -> list[str]:
+    """Describe the figures that have become steeper, or higher at the largest size, by more than a quarter.
 
-    The power is the slope of the logarithms: 1 for what grows evenly, 2 for what grows with the square.
+    All three are by sweep. Figures that depend on the machine are not compared.
     """
-    at = list(points)
-    xs, ys = [x for x, _ in at], [y for _, y in at]
-    if len(set(xs)) < 2:
-        return {
-            "slope": 0.0,
-            "at_0": fmean(ys),
-            "spread": 0.0,
-            "power": 0.0,
-            "sizes": 1,
-            "points": len(at),
-        }
-    line = linear_regression(xs, ys)
-    most = max(map(abs, ys)) or 1.0
-    spread = max(abs(y - line.intercept - line.slope * x) for x, y in at) / most
-    return {
-        "slope": float(f"{line.slope:.5g}"),
-        "at_0": float(f"{line.intercept:.5g}"),
-        "spread": round(spread, 4),
-        "power": _power(at),
-        "sizes": len(set(xs)),
-        "points": len(at),
-    }
-
-
-def fits(points: Iterable[Point]) -> dict[str, dict[str, Any]]:
-    """Fit each figure of a sweep over its sizes."""
-    by_name: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    for point in points:
-        for name, value in point["figures"].items():
-            by_name[name].append((float(point["size"]), float(value)))
-    return {name: fit(found) for name, found in sorted(by_name.items())}
-
-
-def at(line: Mapping[str, Any], size: float) -> float:
-    """Return what a line says of a size."""
-    return float(line["at_0"]) + float(line["slope"]) * size
-
-
-def grown(now: Mapping[str, Any], before: Mapping[str, Any], largest: Mapping[str, float]) -> list[str]:
-    """Name the figures that have become steeper, or larger at the largest size, by more than a quarter."""
-    found = []
-    for sweep, lines in before.items():
-        for name, line in lines.items():
-            if not name.endswith(COUNTED):
-                continue
-            size = largest[sweep]
-            fresh = now[sweep].get(name)
-            if fresh is None:
-                found.append(f"{sweep}: {name} is no longer measured")
-                continue
-            was, is_ = at(line, size), at(fresh, size)
-            steep = line["slope"] * size > SHARE * was
-            if steep and fresh["slope"] > GROWTH * line["slope"]:
-                found.append(f"{sweep}: slope of {name} is {fresh['slope']:g}, was {line['slope']:g}")
-            elif is_ > GROWTH * was + 1.0:
-                found.append(f"{sweep}: {name} at {size:g} is {is_:g}, was {was:g}")
-    return found
+    problems = []
+    for sweep, lines in stored.items():
+        for figure, line in lines.items():
+            if figure.endswith(COUNTED):
+                new = measured[sweep].get(figure)
+                problem = _growth_of(figure, line, new, largest_sizes[sweep])
+                problems += [f"{sweep}: {problem}"] if problem else []
+    return problems
+
+
+def _growth_of(figure: str, old: Line, new: Line | None, size: float) -> str:
+    """Describe how one figure has grown; empty where it has not."""
+    if new is None:
+        return f"{figure} is no longer measured"
+    old_value, new_value = old.at(size), new.at(size)
+    is_sloped = old.slope * size > MIN_SLOPE_SHARE * old_value
+    if is_sloped and new.slope > MAX_GROWTH * old.slope:
+        return f"slope of {figure} is {new.slope:g}, was {old.slope:g}"
+    if new_value > MAX_GROWTH * old_value + 1.0:
+        return f"{figure} at {size:g} is {new_value:g}, was {old_value:g}"
+    return ""
--- a/wickspring/lab/experiments/socket_run.py
+++ b/wickspring/lab/experiments/socket_run.py
@@ -85,6 +85,7 @@
                 folder,
                 liar if number in scenario.peers.liars else self.program,
                 config,
+                scenario.ingresses.sockets,
                 limits_text(scenario),
                 await peers.write(number),
             )
--- a/wickspring/lab/experiments/storage_cost.py
+++ b/wickspring/lab/experiments/storage_cost.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable
 from pathlib import Path
 from random import Random
-from typing import Any
 
 from wickspring.command_line.errors import CommandError
 from wickspring.command_line.runner import run_single
+from wickspring.controlplane.replication.packing import PackedState, PackedValue
 from wickspring.controlplane.replication.replica import Replica, Update
 from wickspring.controlplane.storage import ReplicaStore
 from wickspring.controlplane.storage_file import FILE
@@ -46,7 +46,8 @@
         self.size = size  # bytes of the configuration
         self.store = ReplicaStore(str(folder))
         self.replica = Replica()
-        self.durable: dict[str, Any] = {
+        self.ballot_number = 0  # of the highest promise
+        self.durable: PackedState = {
             "view": [1, MEMBERS, MEMBERS],
             "promised": [1, [0, ""]],
             "accepted": None,
@@ -68,12 +69,16 @@
 
     def promise(self) -> None:
         """Promise a ballot."""
-        self.durable["promised"] = [2, [self.durable["promised"][1][0] + 1, MEMBERS[0][0]]]
+        self.ballot_number += 1
+        self.durable["promised"] = [2, self._ballot()]
+
+    def _ballot(self) -> list[int | str]:
+        return [self.ballot_number, MEMBERS[0][0]]
 
     def accept(self) -> None:
         """Accept a view with its state."""
-        ballot = self.durable["promised"][1]
-        self.durable["accepted"] = [2, ballot, [2, MEMBERS, MEMBERS[:2]], self.replica.with_epoch(2).pack()]
+        view: PackedValue = [2, MEMBERS, MEMBERS[:2]]
+        self.durable["accepted"] = [2, self._ballot(), view, self.replica.with_epoch(2).pack()]
 
     def measure(self, times: int, *changes: Callable[[], None]) -> tuple[float, list[float]]:
         """Return bytes a save and how long each took, in ms."""
--- a/wickspring/lab/simulation/generated_config.py
+++ b/wickspring/lab/simulation/generated_config.py
@@ -5,7 +5,6 @@
 import json
 from dataclasses import dataclass
 from random import Random
-from typing import Any
 
 ROUTES_PER_HOST = 20
 NAME_CHARACTERS = "abcdefghijklmnopqrstuvwxyz0123456789"
@@ -33,14 +32,14 @@
     backends = [_backend(random, number) for number in range(size.services)]
     services = [str(backend["name"]) for backend in backends]
     host_count = size.hosts or max(1, size.routes // ROUTES_PER_HOST)
-    sockets: list[dict[str, Any]] = [{"host": f"h{n}.example", "policy": []} for n in range(host_count)]
+    routes: list[list[dict[str, object]]] = [[] for _ in range(host_count)]  # of each host
     for number in range(size.routes):
-        sockets[number % host_count]["policy"].append(_route(random, number, services))
+        routes[number % host_count].append(_route(random, number, services))
     config = {
         "generation": f"r{version}",
         "limits": LIMITS,
         "tenants": [_tenant(random, number) for number in range(size.tenants)],
-        "sockets": sockets,
+        "sockets": [{"host": f"h{n}.example", "policy": policy} for n, policy in enumerate(routes)],
         "backends": backends,
     }
     return json.dumps(config, separators=(",", ":")).encode()
@@ -50,7 +49,7 @@
     return "".join(random.choices(NAME_CHARACTERS, k=length))
 
 
-def _backend(random: Random, number: int) -> dict[str, Any]:
+def _backend(random: Random, number: int) -> dict[str, object]:
     return {
         "name": f"s{number}{_name(random, 4)}",
         "health_path": "/health",
@@ -60,10 +59,10 @@
     }
 
 
-def _route(random: Random, number: int, services: list[str]) -> dict[str, Any]:
+def _route(random: Random, number: int, services: list[str]) -> dict[str, object]:
     """Return a route; every second one splits its requests between two services."""
     service = services[number % len(services)]
-    destination: dict[str, Any] = {"service": service}
+    destination: dict[str, object] = {"service": service}
     if number % 2:
         other = services[(number + 1) % len(services)]
         weighted = [{"service": service, "weight": 90}, {"service": other, "weight": 10}]
@@ -79,7 +78,7 @@
     }
 
 
-def _tenant(random: Random, number: int) -> dict[str, Any]:
+def _tenant(random: Random, number: int) -> dict[str, object]:
     return {
         "name": f"t{number}{_name(random, 4)}",
         "api_keys": [_name(random, 20), _name(random, 20)],
--- a/wickspring/lab/traffic/schedule.py
+++ b/wickspring/lab/traffic/schedule.py
@@ -10,7 +10,6 @@
 from dataclasses import dataclass
 from itertools import accumulate
 from random import Random
-from typing import Any
 
 from wickspring.lab.emulation.shape import PlanShape, Shape
 from wickspring.lab.experiments.scenario import Clients, HotCaller, HotKey, Scenario
@@ -214,7 +213,7 @@
     return 0.0 <= at_ms - MS_PER_S * hot_key.at_s < MS_PER_S * hot_key.for_s
 
 
-def gateway_settings(scenario: Scenario, script: Script, number: int) -> dict[str, Any]:
+def gateway_settings(scenario: Scenario, script: Script, number: int) -> dict[str, object]:
     """Write the settings of one gateway; all keys are given by the platform."""
     shape = scenario.shape
     return {
@@ -238,7 +237,7 @@
     }
 
 
-def _class_settings(shape: Shape) -> list[dict[str, Any]]:
+def _class_settings(shape: Shape) -> list[dict[str, object]]:
     """Write the classes of requests: what may be repeated and within which times."""
     return [
         {
@@ -256,7 +255,7 @@
     ]
 
 
-def _plan_settings(shape: Shape, plans: tuple[Plan, ...]) -> list[dict[str, Any]]:
+def _plan_settings(shape: Shape, plans: tuple[Plan, ...]) -> list[dict[str, object]]:
     """Write the plans: quotas as scaled for the run, prices as the site has them."""
     return [
         {
@@ -275,7 +274,7 @@
     ]
 
 
-def _counter_settings(scenario: Scenario) -> dict[str, Any]:
+def _counter_settings(scenario: Scenario) -> dict[str, object]:
     """Write the terms of the external counter."""
     shape = scenario.shape
     return {
@@ -288,7 +287,7 @@
     }
 
 
-def _permission_settings(scenario: Scenario) -> dict[str, Any]:
+def _permission_settings(scenario: Scenario) -> dict[str, object]:
     """Write what a gateway may do; times in ms."""
     shape = scenario.shape
     return {
@@ -304,7 +303,7 @@
     }
 
 
-def _obligation_settings(scenario: Scenario) -> dict[str, Any]:
+def _obligation_settings(scenario: Scenario) -> dict[str, object]:
     """Write what a gateway must keep to; times in ms."""
     shape = scenario.shape
     return {
