--- a/wickspring/lab/simulation/gossip.py
+++ b/wickspring/lab/simulation/gossip.py
@@ -1,9 +1,10 @@
 """Hundreds of data planes that gossip, in virtual time: the data plane's own code without sockets.
 
-`python -m wickspring.ctl flotilla --pilots 100` starts so many, introduces each to three others as a control
-plane does, and measures: when all know all; the bytes that each sends per second while nothing happens, with
-datagrams lost now and then; how many healthy members were taken for failed; when the others know that one has
-failed; when a version that one has been given has come to all; what becomes of one that only receives.
+`python -m wickspring.ctl gossip --data-planes 100` starts so many, introduces each to three others as a
+control plane does, and measures: when all know all; the bytes that each sends per second while nothing
+happens, with datagrams lost now and then; how many healthy members were taken for failed; when all have a
+configuration that was given to one; when the others take one for failed that was killed, and one that only
+receives.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 import statistics
 from collections.abc import Callable
 from random import Random
-from typing import Any
 
+import msgspec
 import trio
 import trio.testing
 
@@ -26,7 +27,7 @@
 LOSS = 0.01  # of all datagrams
 INTRODUCTIONS = 3  # data planes that each one is introduced to
 POLL_S = 0.25
-QUIET_S = 30.0  # over which bytes and false failures are counted
+IDLE_S = 30.0  # over which bytes and false failures are counted
 TIMEOUT_S = 120.0  # for any condition to come about
 FETCH_S = 0.009  # to connect to a member and fetch its state
 HEADER_BYTES = 28  # of IPv4 and UDP, before each datagram
@@ -171,13 +172,30 @@
         return sum(len(living) - data_plane.gossip.members.size for data_plane in living)
 
 
+class GossipFigures(msgspec.Struct, kw_only=True):
+    """What one run has measured; durations are seconds of virtual time, -1 where one was not reached."""
+
+    data_planes: int
+    seed: int
+    all_known_s: float = NOT_REACHED  # until each data plane knows all others
+    bytes_s_mean: float = 0.0  # sent by a data plane while nothing happens
+    bytes_s_max: float = 0.0  # the same, by the one that sends most
+    false_failures_max: int = 0  # pairs of healthy members of which one took the other for failed, at once
+    config_half_s: float = NOT_REACHED  # until half of them have a new configuration
+    config_all_s: float = NOT_REACHED  # from then until all have it
+    failure_half_s: float = NOT_REACHED  # until half of them take a killed one for failed
+    failure_all_s: float = NOT_REACHED  # until all do
+    muted_failure_s: float = NOT_REACHED  # until all take one that only receives for failed
+    muted_recovery_s: float = NOT_REACHED  # until all take it for alive, once it sends again
+
+
 class _Run:
-    """One run, step by step; the names of the results are those that `ctl` prints."""
+    """One run, step by step."""
 
-    def __init__(self, group: DataPlaneGroup, result: dict[str, Any]) -> None:
+    def __init__(self, group: DataPlaneGroup, figures: GossipFigures) -> None:
         self.group = group
         self.random = group.random
-        self.result = result
+        self.figures = figures
 
     async def join(self, nursery: trio.Nursery) -> None:
         """Start all data planes, and wait until each knows all others."""
@@ -188,25 +206,23 @@
         ips = list(self.group.data_planes)
         for data_plane in data_planes:
             data_plane.gossip.join(self.random.sample(ips, min(INTRODUCTIONS, count)))
-        self.result["all_know_all_s"] = await self.group.seconds_until(
+        self.figures.all_known_s = await self.group.seconds_until(
             1.0, lambda data_plane: data_plane.gossip.members.size == count
         )
 
-    async def stay_quiet(self) -> None:
+    async def stay_idle(self) -> None:
         """Count bytes and false failures while nothing happens."""
         sockets = [data_plane.socket for data_plane in self.group.data_planes.values()]
         sent_before = [socket.bytes_sent for socket in sockets]
-        most_failures = 0
-        for _ in range(int(QUIET_S / POLL_S)):
+        for _ in range(int(IDLE_S / POLL_S)):
             await trio.sleep(POLL_S)
-            most_failures = max(most_failures, self.group.false_failures())
+            false_failures = self.group.false_failures()
+            self.figures.false_failures_max = max(self.figures.false_failures_max, false_failures)
         sent = [
-            (socket.bytes_sent - before) / QUIET_S
-            for socket, before in zip(sockets, sent_before, strict=True)
+            (socket.bytes_sent - before) / IDLE_S for socket, before in zip(sockets, sent_before, strict=True)
         ]
-        self.result["bytes_s"] = round(statistics.mean(sent))
-        self.result["bytes_s_most"] = round(max(sent))
-        self.result["wrongly_gone_most"] = most_failures
+        self.figures.bytes_s_mean = round(statistics.mean(sent))
+        self.figures.bytes_s_max = round(max(sent))
 
     async def spread_version(self) -> None:
         """Give one data plane a new version, and wait until all have it."""
@@ -215,8 +231,8 @@
         def has_version(data_plane: VirtualDataPlane) -> bool:
             return data_plane.version == NEW_VERSION
 
-        self.result["news_half_s"] = await self.group.seconds_until(0.5, has_version)
-        self.result["news_all_s"] = await self.group.seconds_until(1.0, has_version)
+        self.figures.config_half_s = await self.group.seconds_until(0.5, has_version)
+        self.figures.config_all_s = await self.group.seconds_until(1.0, has_version)
 
     async def kill_one(self) -> None:
         """Kill one data plane, and wait until all take it for failed."""
@@ -224,35 +240,35 @@
         self.group.network.dead.add(ip)
         half_s = await self.group.seconds_until(0.5, lambda data_plane: not data_plane.knows(ip))
         rest_s = await self.group.seconds_until(1.0, lambda data_plane: not data_plane.knows(ip))
-        self.result["gone_half_s"] = half_s
-        self.result["gone_all_s"] = rest_s if rest_s < 0 else round(half_s + rest_s, 2)
+        self.figures.failure_half_s = half_s
+        self.figures.failure_all_s = rest_s if rest_s < 0 else round(half_s + rest_s, 2)
 
     async def mute_one(self) -> None:
         """Have one data plane only receive, until all take it for failed, and then send again."""
         muted = self.random.choice(self.group.living)
         self.group.network.muted.add(muted.ip)
-        self.result["unheard_gone_s"] = await self.group.seconds_until(
+        self.figures.muted_failure_s = await self.group.seconds_until(
             1.0, lambda data_plane: data_plane is muted or not data_plane.knows(muted.ip)
         )
         self.group.network.muted.clear()
-        self.result["unheard_back_s"] = await self.group.seconds_until(
+        self.figures.muted_recovery_s = await self.group.seconds_until(
             1.0, lambda data_plane: data_plane is muted or data_plane.knows(muted.ip)
         )
 
 
-async def _run_all(count: int, seed: int, result: dict[str, Any]) -> None:
+async def _run_all(figures: GossipFigures) -> None:
     async with trio.open_nursery() as nursery:
-        run = _Run(DataPlaneGroup(count, seed, nursery), result)
+        run = _Run(DataPlaneGroup(figures.data_planes, figures.seed, nursery), figures)
         await run.join(nursery)
-        await run.stay_quiet()
+        await run.stay_idle()
         await run.spread_version()
         await run.kill_one()
         await run.mute_one()
         nursery.cancel_scope.cancel()
 
 
-def measure(count: int, seed: int = 1) -> dict[str, Any]:
-    """Simulate so many data planes; return seconds of virtual time, and bytes per second."""
-    result: dict[str, Any] = {"pilots": count, "seed": seed}
-    trio.run(_run_all, count, seed, result, clock=trio.testing.MockClock(autojump_threshold=0.0))
-    return result
+def measure(count: int, seed: int = 1) -> dict[str, float]:
+    """Simulate so many data planes; return the fields of `GossipFigures`."""
+    figures = GossipFigures(data_planes=count, seed=seed)
+    trio.run(_run_all, figures, clock=trio.testing.MockClock(autojump_threshold=0.0))
+    return msgspec.structs.asdict(figures)
--- a/wickspring/lab/simulation/virtual_run.py
+++ b/wickspring/lab/simulation/virtual_run.py
@@ -8,7 +8,7 @@
 from contextlib import ExitStack, contextmanager
 from functools import partial
 from random import Random
-from typing import Any
+from typing import TypeVar, cast
 from unittest.mock import patch
 
 import trio
@@ -22,6 +22,7 @@
 from wickspring.dataplane import process as dataplane_process
 from wickspring.dataplane import state_exchange
 from wickspring.lab.simulation.clock import VirtualClock
+from wickspring.lab.simulation.memory_link import MemoryLink
 from wickspring.lab.simulation.memory_network import DatagramEndpoint, MemoryNetwork
 from wickspring.lab.simulation.meter import Meter, WireMessageHandler
 from wickspring.lab.simulation.stub_endpoints import StubUpstream
@@ -30,10 +31,10 @@
 
 START_S = 2.0  # for the control plane to elect its first view
 
-Scenario = Callable[[VirtualGateway], Awaitable[dict[str, Any]]]
+ResultT = TypeVar("ResultT")
 
 
-async def _run_inline(call: Callable[..., Any], *args: Any) -> Any:
+async def _run_inline(call: Callable[..., ResultT], *args: object) -> ResultT:
     """Call a function in place of a thread: virtual time does not wait for threads."""
     await trio.lowlevel.checkpoint()
     return call(*args)
@@ -47,13 +48,13 @@
 
     def send(self: PeerConnection, message: Message) -> None:
         data = message.encode()
-        link: Any = self.link
+        link = cast(MemoryLink, self.link)
         if not link.broken:
             meter.count_message(f"{link.local}>{link.remote}", message.wire_name, len(data))
         link.send(data)
 
     async def read_wire_messages(self: PeerConnection, on_wire_message: WireMessageHandler) -> None:
-        link: Any = self.link
+        link = cast(MemoryLink, self.link)
         await original_read(self, meter.metered_handler(link.local, on_wire_message))
 
     replacements = (
@@ -98,12 +99,14 @@
         gc.unfreeze()
 
 
-def run_virtual(scenario: Scenario, seed: int = 1, node_count: int = 5) -> dict[str, Any]:
+def run_virtual(
+    scenario: Callable[[VirtualGateway], Awaitable[ResultT]], seed: int = 1, node_count: int = 5
+) -> ResultT:
     """Start so many control-plane nodes, run a scenario in virtual time and return its result."""
     meter = Meter()
     network = MemoryNetwork(meter)
 
-    async def main(folder: str) -> dict[str, Any]:
+    async def main(folder: str) -> ResultT:
         async with trio.open_nursery() as nursery:
             gateway = VirtualGateway(network, nursery, folder, seed, node_count)
             for ip in gateway.control_plane_ips:
