--- a/tests/controlplane/test_chain.py
+++ b/tests/controlplane/test_chain.py
@@ -18,7 +18,7 @@
 from wickspring.lab.faults.chaos import Chaos
 from wickspring.lab.faults.episodes import Episodes
 from wickspring.lab.simulation.replication.group import ANSWER_MS, SimulatedGroup
-from wickspring.lab.simulation.state_exploration import ONE_NUMBER, explore
+from wickspring.lab.simulation.state_exploration import ONE_VERSION, Exploration, Return, explore
 
 ONE, TWO, THREE, ZONE = FaultTolerance(1), FaultTolerance(2), FaultTolerance(3), FaultTolerance(1, 1)
 
@@ -182,11 +182,11 @@
 )
 def test_no_order_of_events_breaks_a_small_core(loses: str, one_number: int, two_numbers: int) -> None:
     """Two writers give one number two texts; or two numbers. Every state is visited: the counts say so."""
-    assert explore(ONE_NUMBER, loses) == one_number
-    assert explore((Update(1, b"1"), Update(2, b"2")), loses) == two_numbers
+    assert explore(ONE_VERSION, Exploration(loses)) == one_number
+    assert explore((Update(1, b"1"), Update(2, b"2")), Exploration(loses)) == two_numbers
 
 
-@pytest.mark.parametrize("returns", ["empty", "its disk"])
-def test_some_orders_of_events_where_the_lost_one_comes_back(returns: str) -> None:
+@pytest.mark.parametrize("returns", [Return.WITH_EMPTY_DISK, Return.WITH_DISK])
+def test_some_orders_of_events_where_the_lost_one_comes_back(returns: Return) -> None:
     """Bounded: there are more states than 200,000 of these."""
-    assert explore(ONE_NUMBER, "a", most=5_000, returns=returns) > 5_000
+    assert explore(ONE_VERSION, Exploration("a", returns=returns), max_states=5_000) > 5_000
--- a/tests/controlplane/test_chain_defects.py
+++ b/tests/controlplane/test_chain_defects.py
@@ -19,7 +19,7 @@
 from wickspring.lab.faults.fault_injector import FaultKind
 from wickspring.lab.simulation.replication.node import SimulatedNode
 from wickspring.lab.simulation.replication.seeded_run import InvariantBrokenError
-from wickspring.lab.simulation.state_exploration import ONE_NUMBER, explore
+from wickspring.lab.simulation.state_exploration import ONE_VERSION, Exploration, explore
 
 
 class _AcknowledgesAnyTextPassing(UpdatePassing):
@@ -259,7 +259,7 @@
 def test_exploring_finds_them_too(chain: type[ReplicationChain]) -> None:
     with pytest.raises(InvariantBrokenError):
         for loses in "abc":
-            explore(ONE_NUMBER, loses, chain=chain)
+            explore(ONE_VERSION, Exploration(loses), chain_type=chain)
 
 
 class Loose(PaxosVoter):
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -11,20 +11,23 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
+from enum import Enum
 from random import Random
-from typing import Any
 
 from wickspring.common.digest import digest_of
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.messages import ReplicationMessage
+from wickspring.controlplane.replication.packing import PackedState
 from wickspring.controlplane.replication.paxos import PaxosVoter, Proposal
-from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
+from wickspring.controlplane.replication.replica import CommitOutcome, Rank, Replica, Update
 from wickspring.controlplane.replication.view import Member, PeerObservation, View
 from wickspring.lab.simulation.replication.seeded_run import InvariantBrokenError
 
 IPS = ("a", "b", "c")
-STEP_MS = 2000.0  # that pass with each look round: all that waits for time is due
-ONE_NUMBER = (Update(1, b"x"), Update(1, b"y"))  # two writers, one number
+STEP_MS = 2000.0  # that pass with each observation: all that waits for time is due
+FIRST_DISK = "first"
+SECOND_DISK = "second"
+ONE_VERSION = (Update(1, b"x"), Update(1, b"y"))  # two writers, one version
 
 
 class ConstantRandom(Random):
@@ -34,72 +37,124 @@
         """Return always the same."""
         return 0.5
 
-    def randrange(self, *args: Any) -> int:
+    def randrange(self, *args: object) -> int:
         """Return always the same."""
         return 0
 
 
+class Return(Enum):
+    """How the node that was lost comes back."""
+
+    NEVER = "never"
+    WITH_DISK = "with its disk"
+    WITH_EMPTY_DISK = "with an empty disk"
+
+
+@dataclass(slots=True, frozen=True)
+class Deliver:
+    """A message arrives."""
+
+    key: str  # in `World.network`
+
+
+@dataclass(slots=True, frozen=True)
+class Submit:
+    """The next writer submits its update to a head."""
+
+    ip: str
+
+
+@dataclass(slots=True, frozen=True)
+class Lose:
+    """A node ends, and the messages to it are lost."""
+
+    ip: str
+
+
+@dataclass(slots=True, frozen=True)
+class Observe:
+    """A node observes the others for so long that it proposes a view if it ever does."""
+
+    ip: str
+
+
+@dataclass(slots=True, frozen=True)
+class ComeBack:
+    """The node that was lost starts again."""
+
+    ip: str
+    with_disk: bool
+
+
+Step = Deliver | Submit | Lose | Observe | ComeBack
+
+
+@dataclass(slots=True, frozen=True)
+class Exploration:
+    """Which steps are explored."""
+
+    loses: str  # the node that is lost
+    observations: int = 1  # of each other node, after the loss
+    returns: Return = Return.NEVER
+
+
+@dataclass(slots=True, frozen=True)
+class LostDisk:
+    """What the node that was lost has left on its disk."""
+
+    disk_id: str
+    durable: PackedState
+    replica: Replica
+
+
+@dataclass(slots=True, frozen=True)
+class Transit:
+    """A message on its way."""
+
+    sender: str
+    to: str
+    message: ReplicationMessage
+
+
 @dataclass(slots=True)
 class World:
-    """One state."""
+    """One state of the group, the network and the writers."""
 
     chains: dict[str, ReplicationChain]
     updates: tuple[Update, ...]
-    net: dict[str, tuple[str, str, ReplicationMessage]] = field(default_factory=dict)  # by its form
-    now: float = 0.0
+    network: dict[str, Transit] = field(default_factory=dict)  # by the message's text: no duplicates
+    now: float = 0.0  # ms
     lost: str = ""
-    back: bool = False  # the lost one has come back
-    disk: tuple[str, dict[str, Any], Replica] | None = None  # what the lost one left: its id, state, copy
-    written: int = 0
-    looks: dict[str, int] = field(default_factory=dict)
-    acknowledged: frozenset[int] = frozenset()  # indexes of updates that were acknowledged
-    committed: dict[int, bytes] = field(default_factory=dict)  # number: digest of the text safe under it
-    views: dict[int, View] = field(default_factory=dict)
+    is_back: bool = False  # the lost one has come back
+    disk: LostDisk | None = None
+    submitted: int = 0  # updates
+    observations: dict[str, int] = field(default_factory=dict)  # by node
+    acknowledged: frozenset[int] = frozenset()  # indexes of updates
+    committed: dict[int, bytes] = field(default_factory=dict)  # digest of the committed text, by version
+    views: dict[int, View] = field(default_factory=dict)  # by epoch
 
     def key(self) -> str:
         """Return what distinguishes this state from others."""
-        parts = []
-        for ip, chain in sorted(self.chains.items()):
-            paxos = chain.paxos
-            passing = chain.updates.passing
-            waiting = sorted((ticket, pending.sequence) for ticket, pending in chain.updates.pending.items())
-            parts.append(
-                (
-                    ip,
-                    chain.me,
-                    chain.view,
-                    (paxos.promised_slot, paxos.promised_ballot),
-                    _accepted_key(paxos),
-                    chain.replica.config,
-                    chain.committed.config,
-                    chain.updates.sequence,
-                    waiting,
-                    passing and passing.config,
-                    sorted(chain.updates.stored_identities.items()),
-                    _proposal_key(paxos.proposal),
-                )
-            )
-        looks = sorted(self.looks.items())
         return repr(
             (
-                parts,
-                sorted(self.net),
+                [_chain_key(ip, chain) for ip, chain in sorted(self.chains.items())],
+                sorted(self.network),
                 self.lost,
-                self.back,
-                self.written,
-                looks,
+                self.is_back,
+                self.submitted,
+                sorted(self.observations.items()),
                 sorted(self.acknowledged),
             )
         )
 
     def copy(self) -> World:
-        """Return a copy that goes its own way; what is never changed in place is shared."""
+        """Return an independent copy; what is never changed in place is shared."""
         chains = {ip: chain.clone() for ip, chain in self.chains.items()}
         return replace(
             self,
             chains=chains,
-            net=dict(self.net),
-            looks=dict(self.looks),
+            network=dict(self.network),
+            observations=dict(self.observations),
             committed=dict(self.committed),
             views=dict(self.views),
         )
@@ -110,125 +165,151 @@
         effects = chain.take_effects()
         for to, message in effects.messages:
             if to in self.chains or to != self.lost:
-                self.net[repr((ip, to, message.encode()))] = ip, to, message
-        safe = chain.committed.config
-        for version, digest in (*safe.history, (safe.version, safe.digest)):
+                self.network[repr((ip, to, message.encode()))] = Transit(ip, to, message)
+        config = chain.committed.config
+        for version, digest in (*config.history, (config.version, config.digest)):
             if version and self.committed.setdefault(version, digest) != digest:
                 raise InvariantBrokenError(f"r{version} is safe with two texts, the other at {ip}")
         for ticket, outcome in effects.outcomes:
-            self.answered(ip, ticket, outcome)
+            self._on_outcome(ip, ticket, outcome)
 
-    def answered(self, ip: str, ticket: int, outcome: CommitOutcome) -> None:
+    def _on_outcome(self, ip: str, ticket: int, outcome: CommitOutcome) -> None:
         """Check the outcome of an update."""
         update = self.updates[ticket]
         digest = digest_of(update.document)
-        known = self.committed.get(update.version)
+        committed = self.committed.get(update.version)
         if outcome == CommitOutcome.COMMITTED:
-            if known not in (None, digest):
+            if committed not in (None, digest):
                 raise InvariantBrokenError(
                     f"{ip} acknowledges r{update.version}, and another text of it is safe"
                 )
-            if known == digest:
+            if committed == digest:
                 self.acknowledged |= {ticket}
-        elif outcome == CommitOutcome.CONFLICT and (known in (None, digest) or ticket in self.acknowledged):
+        elif outcome == CommitOutcome.CONFLICT and (
+            committed in (None, digest) or ticket in self.acknowledged
+        ):
             raise InvariantBrokenError(f"{ip} refuses r{update.version}, and no other text of it is safe")
 
     def check(self) -> None:
-        """Check what must hold."""
-        newest = 0
-        texts: dict[tuple[int, int], tuple[bytes, Any]] = {}
-        for ip, chain in self.chains.items():
-            epoch, config = chain.view.epoch, chain.replica.config
-            newest = max(newest, epoch)
+        """Check the views, the replicas and the newest chain."""
+        self._check_views()
+        self._check_replicas()
+        self._check_newest_chain()
+
+    def _check_views(self) -> None:
+        """Check that views of one epoch are one view."""
+        for chain in self.chains.values():
+            epoch = chain.view.epoch
             if epoch and self.views.setdefault(epoch, chain.view) != chain.view:
                 raise InvariantBrokenError(
                     f"two views of epoch {epoch}: {chain.view} and {self.views[epoch]}"
                 )
-            if config.version and texts.setdefault(config.rank, (config.digest, config.history)) != (
-                config.digest,
-                config.history,
-            ):
+
+    def _check_replicas(self) -> None:
+        """Check that replicas of one rank have one text and one history."""
+        configs: dict[Rank, tuple[bytes, tuple[tuple[int, bytes], ...]]] = {}
+        for ip, chain in self.chains.items():
+            config = chain.replica.config
+            content = config.digest, config.history
+            if config.version and configs.setdefault(config.rank, content) != content:
                 raise InvariantBrokenError(f"two copies of {config.rank} differ, one at {ip}")
+
+    def _check_newest_chain(self) -> None:
+        """Check that all members of the newest view have all that was acknowledged."""
+        newest = max((chain.view.epoch for chain in self.chains.values()), default=0)
         for ip, chain in self.chains.items():
             if chain.view.epoch != newest or not chain.is_member:
                 continue
-            for place in self.acknowledged:
-                update = self.updates[place]
-                if (
-                    chain.replica.config.outcome_of(update.version, digest_of(update.document))
-                    != CommitOutcome.COMMITTED
-                ):
+            for ticket in self.acknowledged:
+                update = self.updates[ticket]
+                outcome = chain.replica.config.outcome_of(update.version, digest_of(update.document))
+                if outcome != CommitOutcome.COMMITTED:
                     raise InvariantBrokenError(
                         f"{ip} of epoch {newest} lacks r{update.version}, acknowledged"
                     )
 
-    def steps(self, loses: str, looks: int, returns: str) -> list[tuple[str, Any]]:
+    def steps(self, exploration: Exploration) -> list[Step]:
         """Return all steps that may happen next."""
-        found: list[tuple[str, Any]] = [("deliver", name) for name in self.net]
-        if self.written < len(self.updates):
-            heads = [ip for ip, one in self.chains.items() if one.is_head]
-            found += [("write", ip) for ip in heads]
+        steps: list[Step] = [Deliver(key) for key in self.network]
+        if self.submitted < len(self.updates):
+            steps += [Submit(ip) for ip, chain in self.chains.items() if chain.is_head]
         if not self.lost:
-            found.append(("lose", loses))
-        else:
-            found += [("look", ip) for ip in self.chains if self.looks.get(ip, 0) < looks]
-            if returns and not self.back:  # with its disk, or an empty one
-                found.append((returns, self.lost))
-        return found
-
-    def perform(self, kind: str, what: Any) -> None:
-        """Perform one step."""
-        if kind == "deliver":
-            sender, to, message = self.net.pop(what)
-            chain = self.chains.get(to)
-            if chain is not None:
-                chain.receive(self.now, sender, message)
-                self.carry_out(to, chain)
-        elif kind == "write":
-            ticket, self.written = self.written, self.written + 1
-            chain = self.chains[what]
-            chain.submit(self.now, ticket, self.updates[ticket])
-            self.carry_out(what, chain)
-        elif kind == "lose":
-            self.lost, chain = what, self.chains.pop(what)
-            self.disk = chain.me.disk_id, chain.durable(), chain.replica.copy()
-            self.net = {name: one for name, one in self.net.items() if one[1] != what}
-        elif kind in ("empty", "its disk"):
-            self._bring_back(what, with_disk=kind != "empty")
-        else:
-            self.looks[what] = self.looks.get(what, 0) + 1
-            chain = self.chains[what]
-            reach = {ip: self.observe(ip, chain) for ip in IPS if ip != what}
-            for _ in range(2):  # the reason must have lasted
-                self.now += STEP_MS
-                chain.tick(self.now, reach)
-            self.carry_out(what, chain)
+            steps.append(Lose(exploration.loses))
+            return steps
+        for ip in self.chains:
+            if self.observations.get(ip, 0) < exploration.observations:
+                steps.append(Observe(ip))
+        if exploration.returns is not Return.NEVER and not self.is_back:
+            steps.append(ComeBack(self.lost, exploration.returns is Return.WITH_DISK))
+        return steps
+
+    def perform(self, step: Step) -> None:
+        """Perform one step, and check the state after it."""
+        match step:
+            case Deliver(key):
+                self._deliver(self.network.pop(key))
+            case Submit(ip):
+                self._submit(ip)
+            case Lose(ip):
+                self._lose(ip)
+            case Observe(ip):
+                self._observe_others(ip)
+            case ComeBack(ip, with_disk):
+                self._bring_back(ip, with_disk)
         self.check()
 
-    def _bring_back(self, what: str, with_disk: bool) -> None:
+    def _deliver(self, transit: Transit) -> None:
+        chain = self.chains.get(transit.to)
+        if chain is not None:
+            chain.receive(self.now, transit.sender, transit.message)
+            self.carry_out(transit.to, chain)
+
+    def _submit(self, ip: str) -> None:
+        ticket = self.submitted
+        self.submitted += 1
+        chain = self.chains[ip]
+        chain.submit(self.now, ticket, self.updates[ticket])
+        self.carry_out(ip, chain)
+
+    def _lose(self, ip: str) -> None:
+        chain = self.chains.pop(ip)
+        self.lost = ip
+        self.disk = LostDisk(chain.me.disk_id, chain.durable(), chain.replica.copy())
+        self.network = {key: transit for key, transit in self.network.items() if transit.to != ip}
+
+    def _observe_others(self, ip: str) -> None:
+        self.observations[ip] = self.observations.get(ip, 0) + 1
+        chain = self.chains[ip]
+        peers = {other: self.observe(other, chain) for other in IPS if other != ip}
+        for _ in range(2):  # a reason for a new view must have lasted
+            self.now += STEP_MS
+            chain.tick(self.now, peers)
+        self.carry_out(ip, chain)
+
+    def _bring_back(self, ip: str, with_disk: bool) -> None:
         """Start the node that was lost, from its disk or with an empty one."""
-        self.back = True
-        make = type(next(iter(self.chains.values())))
+        self.is_back = True
+        chain_type = type(next(iter(self.chains.values())))
         if not with_disk or self.disk is None:
-            chain = make(Member(what, "second"), View(), 0)
+            chain = chain_type(Member(ip, SECOND_DISK), View(), 0)
         else:
-            disk, durable, replica = self.disk
-            chain = make(Member(what, disk), View(), 0, replica.copy())
-            chain.restore(durable)
-        self.chains[what] = chain
-        chain.random = ConstantRandom()
-        chain.updates.sequence = 1
-        chain.view_change.turn = 0.5
+            chain = chain_type(Member(ip, self.disk.disk_id), View(), 0, self.disk.replica.copy())
+            chain.restore(self.disk.durable)
+        self.chains[ip] = chain
+        _make_deterministic(chain, sequence=1)
         chain.start(self.now)
-        self.carry_out(what, chain)
+        self.carry_out(ip, chain)
 
     def observe(self, ip: str, seen_by: ReplicationChain) -> PeerObservation:
-        """Return what a machine is known by; who is not new is thought to know as much as who asks."""
+        """Return what a node observes of another.
+
+        One with its first disk is taken to have committed as much as the observer, to keep the states few.
+        """
         other = self.chains.get(ip)
         if other is None:
-            return PeerObservation(False, "first")
-        known = seen_by.committed if other.me.disk_id == "first" else other.committed
-        epoch = seen_by.view.epoch if other.me.disk_id == "first" else other.view.epoch
+            return PeerObservation(False, FIRST_DISK)
+        known = seen_by.committed if other.me.disk_id == FIRST_DISK else other.committed
+        epoch = seen_by.view.epoch if other.me.disk_id == FIRST_DISK else other.view.epoch
         return PeerObservation(
             True,
             other.me.disk_id,
@@ -239,6 +320,33 @@
         )
 
 
+def _make_deterministic(chain: ReplicationChain, sequence: int) -> None:
+    """Take randomness out of a chain; its updates count from `sequence`."""
+    chain.random = ConstantRandom()
+    chain.updates.sequence = sequence
+    chain.view_change.turn = 0.5
+
+
+def _chain_key(ip: str, chain: ReplicationChain) -> object:
+    """Return what distinguishes a state of a node from others."""
+    paxos = chain.paxos
+    updates = chain.updates
+    return (
+        ip,
+        chain.me,
+        chain.view,
+        (paxos.promised_slot, paxos.promised_ballot),
+        _accepted_key(paxos),
+        chain.replica.config,
+        chain.committed.config,
+        updates.sequence,
+        sorted((ticket, pending.sequence) for ticket, pending in updates.pending.items()),
+        updates.passing and updates.passing.config,
+        sorted(updates.stored_identities.items()),
+        _proposal_key(paxos.proposal),
+    )
+
+
 def _accepted_key(paxos: PaxosVoter) -> object:
     if paxos.accepted is None:
         return None
@@ -262,37 +370,41 @@
 
 
 def explore(
-    orders: tuple[Update, ...],
-    loses: str,
-    looks: int = 1,
-    most: int = 1_000_000,
-    chain: type[ReplicationChain] = ReplicationChain,
-    returns: str = "",
+    updates: tuple[Update, ...],
+    exploration: Exploration,
+    max_states: int = 1_000_000,
+    chain_type: type[ReplicationChain] = ReplicationChain,
 ) -> int:
-    """Visit every state that can be reached, one node being lost; return how many there are.
+    """Visit every state that can be reached, or the first `max_states` and one; return how many there are.
 
-    Each of the others looks round so many times afterwards: it proposes a view each time. The lost one may
-    come back, `returns`: "empty", or with "its disk".
+    Raises InvariantBrokenError for a state in which an invariant does not hold.
     """
-    members = tuple(Member(ip, "first") for ip in IPS)
-    chains = {ip: chain(Member(ip, "first"), View(1, members, members), at) for at, ip in enumerate(IPS)}
-    start = World(chains, orders)
-    for ip, one in start.chains.items():
-        one.random = ConstantRandom()
-        one.updates.sequence = 0
-        one.view_change.turn = 0.5
-        one.start(0.0)
-        start.carry_out(ip, one)
-    seen, todo = {hash(start.key())}, [start]
-    while todo:
-        world = todo.pop()
-        for kind, what in world.steps(loses, looks, returns):
+    start = _first_world(updates, chain_type)
+    seen = {hash(start.key())}
+    unvisited = [start]
+    while unvisited:
+        world = unvisited.pop()
+        for step in world.steps(exploration):
             following = world.copy()
-            following.perform(kind, what)
+            following.perform(step)
             key = hash(following.key())
-            if key not in seen:
-                seen.add(key)
-                todo.append(following)
-                if len(seen) > most:
-                    return len(seen)
+            if key in seen:
+                continue
+            seen.add(key)
+            unvisited.append(following)
+            if len(seen) > max_states:
+                return len(seen)
     return len(seen)
+
+
+def _first_world(updates: tuple[Update, ...], chain_type: type[ReplicationChain]) -> World:
+    """Return the state in which all nodes have started in one view."""
+    members = tuple(Member(ip, FIRST_DISK) for ip in IPS)
+    view = View(1, members, members)
+    chains = {ip: chain_type(Member(ip, FIRST_DISK), view, seed) for seed, ip in enumerate(IPS)}
+    world = World(chains, updates)
+    for ip, chain in chains.items():
+        _make_deterministic(chain, sequence=0)
+        chain.start(0.0)
+        world.carry_out(ip, chain)
+    return world
