--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+import subprocess
 import sys
 import threading
 from collections.abc import Iterator
@@ -350,3 +351,10 @@
 def test_without_words_the_help_is_printed(capsys: pytest.CaptureFixture[str]) -> None:
     assert run_command(()) == 0
     assert "replace" in capsys.readouterr().out
+
+
+def test_helm_is_an_alias(site: Site) -> None:
+    command = [sys.executable, "-m", "wickspring.helm", "counts", "--at", site.address]
+    ended = subprocess.run(command, capture_output=True, text=True, check=True)
+    assert _lines(ended.stdout) == [["tenant", "used", "remaining"], ["toy", "37", "25.1"]]
+    assert ended.stderr.startswith("wickspring.helm is now wickspring.ctl")
