--- a/tests/dataplane/test_limits.py
+++ b/tests/dataplane/test_limits.py
@@ -34,8 +34,8 @@
 
 
 def test_timeouts_of_clients_are_milliseconds() -> None:
-    patience = client_timeouts(ClientLimits(1000, 2000, 3.0, 15.0))
-    assert (patience.head, patience.idle, patience.most_head, patience.most_body) == (
+    limits = client_timeouts(ClientLimits(1000, 2000, 3.0, 15.0))
+    assert (limits.head_ms, limits.idle_ms, limits.max_head_bytes, limits.max_body_bytes) == (
         3000.0,
         15_000.0,
         1000,
