--- a/tests/controlplane/test_quota_takeover.py
+++ b/tests/controlplane/test_quota_takeover.py
@@ -97,3 +97,22 @@
     counter.record_spent(0.0, "t", "cut", 20.0, 20.0)
     counter.mark_unresponsive(100.0, "cut")
     assert "cut" not in counter.usage["t"].shares
+
+
+def test_a_restarted_data_plane_reports_nothing_of_the_process_before() -> None:
+    counter, rate, burst = QuotaCounter(SPAN_S, EXCESS, SLACK), 20.0, 20.0
+    for step in range(30):
+        counter.record_spent(10.0 * step, "t", "restarted", rate, burst)
+    counter.receive_usage_report(2000.0, "t", "restarted", [(2, 1), (0, 3)])
+    assert counter.usage["t"].total == 34
+    counter.receive_usage_report(2100.0, "t", "restarted", [(3, 1), (1, 3), (0, 1)])
+    assert counter.usage["t"].total == 35
+    assert counter.acquire(2200.0, "t", "other", rate, burst).total == 36
+
+
+def test_a_report_replaces_what_was_counted_since_its_oldest_window() -> None:
+    counter, rate, burst = QuotaCounter(SPAN_S, EXCESS, SLACK), 20.0, 20.0
+    for step in range(10):
+        counter.record_spent(100.0 * step, "t", "reconnected", rate, burst)
+    counter.receive_usage_report(1000.0, "t", "reconnected", [(10, 1), (5, 2), (0, 1)])
+    assert counter.usage["t"].total == 4
--- a/wickspring/common/messages/from_data_plane.py
+++ b/wickspring/common/messages/from_data_plane.py
@@ -61,7 +61,7 @@
 class UsageReport(Message, tag="past", frozen=True):
     """Reports what the sender has spent of late, after `Hello` and when the view changes.
 
-    The receiver puts it in the place of what it has counted for the sender.
+    The receiver puts it in the place of what it has counted for the sender, from the oldest window on.
     """
 
     tenant: str
--- a/wickspring/controlplane/tenant_usage.py
+++ b/wickspring/controlplane/tenant_usage.py
@@ -91,11 +91,21 @@
                 return
 
     def replace_reported(self, window: int, data_plane: str, reported: WindowUnits) -> None:
-        """Replace what is known of a data plane's use by its own report."""
+        """Replace what is known of a data plane's use by its own report, from the report's oldest window on.
+
+        A report says nothing of the time before: a process that was restarted does not know what its
+        predecessor has used, and that still counts in the span.
+        """
         units_by_window: dict[int, int] = {}
         for ago, units in reported:
             if _is_credible(ago, units):
                 units_by_window[window - ago] = units_by_window.get(window - ago, 0) + units
+        if not units_by_window:
+            return
+        oldest = min(units_by_window)
+        for number, units in _in_span(self.by_data_plane.get(data_plane, {}), window).items():
+            if number <= oldest:
+                units_by_window[number] = max(units, units_by_window.get(number, 0))
         self.by_data_plane[data_plane] = units_by_window
         self.recompute(window)
 
