--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -232,3 +232,18 @@
         given += total <= limit
     ceiling = quota_ceiling(63.0, 63.0, SPAN_S, EXCESS, SLACK)
     assert (units + given <= ceiling) == reported
+
+
+@pytest.mark.parametrize("burst", [0.0, 33.0, 95.0])
+def test_data_planes_that_know_no_share_spend_only_what_the_owner_leaves(burst: float) -> None:
+    tenant = Tenant("t", 0, 95.0, burst)
+    counter, granted = QuotaCounter(SPAN_S, EXCESS, SLACK), 0
+    for now in range(10_000, 15_000, 2):  # far more than may be given out
+        decision = counter.acquire(float(now), "t", "ended", tenant.rate, tenant.burst)
+        granted += decision.total <= decision.limit
+    restarted = [QuotaPolicy(SPAN_S, EXCESS, SLACK) for _ in range(8)]
+    for data_plane in restarted:
+        for _ in range(100):
+            data_plane.charge(14_999.0, "t")
+            granted += data_plane.decide_alone(14_999.0, tenant, len(restarted)).allowed
+    assert granted <= quota_ceiling(tenant.rate, tenant.burst, SPAN_S, EXCESS, SLACK)
--- a/wickspring/common/quota_rule.py
+++ b/wickspring/common/quota_rule.py
@@ -7,6 +7,8 @@
 # Share of its part of the ceiling that a data plane spends in a span while no owner of the count answers it.
 ISOLATED_SHARE = 0.65
 
+EXTRA_BURST_UNITS = 2.0  # given out above the burst: the rule's spans begin between windows too
+
 
 def quota_ceiling(rate: float, burst: float, span_s: float, excess: float, slack: float) -> float:
     """Return how many requests of a tenant may be forwarded in any span.
@@ -19,3 +21,12 @@
         slack: tolerated requests beyond that.
     """
     return (rate * span_s + burst) * (1.0 + excess) + slack
+
+
+def quota_margin(rate: float, burst: float, span_s: float, excess: float, slack: float) -> float:
+    """Return how many requests may be forwarded in any span beside all that the owner of the count gives out.
+
+    The owner gives out the rate, one window more of it, the burst and `EXTRA_BURST_UNITS` at most.
+    """
+    given_out = rate * span_s * (1.0 + 1.0 / WINDOWS_PER_SPAN) + burst + EXTRA_BURST_UNITS
+    return max(0.0, quota_ceiling(rate, burst, span_s, excess, slack) - given_out)
--- a/wickspring/controlplane/quota_counter.py
+++ b/wickspring/controlplane/quota_counter.py
@@ -24,10 +24,14 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from wickspring.common.quota_rule import ISOLATED_SHARE, WINDOWS_PER_SPAN, quota_ceiling
+from wickspring.common.quota_rule import (
+    EXTRA_BURST_UNITS,
+    ISOLATED_SHARE,
+    WINDOWS_PER_SPAN,
+    quota_ceiling,
+)
 from wickspring.controlplane.tenant_usage import TenantUsage, WindowUnits
 
-EXTRA_BURST_UNITS = 2.0  # given out above the burst: the rule's spans begin between windows too
 REPLICATED_WINDOWS = 8
 LOW_TOKENS_SHARE = 0.5  # of the burst, below which a tenant's count is replicated
 SHARE_MARGIN = 1.3  # times the known share, for what an unresponsive data plane may take for its own
--- a/wickspring/dataplane/policy/quota.py
+++ b/wickspring/dataplane/policy/quota.py
@@ -2,7 +2,9 @@
 
 The owner of a tenant's count reports the total in the rule's span with each unit that is added; above the
 limit the data plane refuses. While the owner does not answer, the data plane goes on within its own share of
-the ceiling, less a margin, and reports its units to the next owner. No I/O; times are milliseconds.
+the ceiling, less a margin, and reports its units to the next owner. One that does not know its share may have
+been started while the owner has given out all; it goes on within its even part of what the ceiling leaves
+beside that. No I/O; times are milliseconds.
 """
 
 from __future__ import annotations
@@ -10,10 +12,9 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from wickspring.common.quota_rule import ISOLATED_SHARE, WINDOWS_PER_SPAN, quota_ceiling
+from wickspring.common.quota_rule import ISOLATED_SHARE, WINDOWS_PER_SPAN, quota_ceiling, quota_margin
 from wickspring.common.routing_table import Tenant
 
-DEFAULT_SHARE = 0.25  # of an even share, for a data plane that does not know its own
 SHARE_SMOOTHING = 12  # replies in the moving average of the share; of fewer it is the mean
 MIN_TOTAL = 6  # units in a total, below which it says nothing of shares
 
@@ -87,15 +88,20 @@
     def decide_alone(self, now: float, tenant: Tenant, data_plane_count: int) -> QuotaDecision:
         """Decide on a request that is charged already, and whose owner has not answered."""
         present, usage = self._usage(now, tenant.name)
-        ceiling = quota_ceiling(tenant.rate, tenant.burst, self.span_s, self.excess, self.slack)
-        share = usage.share if usage.replies else DEFAULT_SHARE / max(1, data_plane_count)
-        if usage.units <= ISOLATED_SHARE * share * ceiling:
+        if usage.units <= self._isolated_limit(tenant, usage, data_plane_count):
             return QuotaDecision(True)
         self.refund(now, tenant.name)
         oldest = usage.windows[0][0] if usage.windows else present
         expires_at = (oldest + WINDOWS_PER_SPAN + 1) * self.window_ms
         return QuotaDecision(False, max(self.window_ms, expires_at - now))
 
+    def _isolated_limit(self, tenant: Tenant, usage: TenantUsage, data_plane_count: int) -> float:
+        """Return up to how many units in the span this data plane goes on without the owner's answer."""
+        rule = (tenant.rate, tenant.burst, self.span_s, self.excess, self.slack)
+        if usage.replies:
+            return ISOLATED_SHARE * usage.share * quota_ceiling(*rule)
+        return quota_margin(*rule) / max(1, data_plane_count)
+
     def reports(self, now: float) -> list[tuple[str, list[tuple[int, int]]]]:
         """Return, for each tenant, how many windows ago units were spent, and how many."""
         reports = []
