--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -29,6 +29,7 @@
     """A process on a machine with a steady clock of its own."""
 
     clock_offset_ms: float
+    running: bool = True
 
     def local_time(self, now: float) -> float:
         """Return what its clock shows."""
@@ -44,7 +45,7 @@
 
     @property
     def reachable(self) -> bool:
-        return self.cut_at is None
+        return self.running and self.cut_at is None
 
     def timed_out(self, now: float) -> bool:
         """Tell whether it has been cut off for so long that control planes notice."""
@@ -100,10 +101,14 @@
             if now - self.maintained_at >= INTERVAL_MS:
                 self.maintained_at = now
                 self._maintain(now)
-            name = self.random.choices(list(self.data_planes), self.weights)[0]
+            name = self._choose_data_plane()
             if self._is_allowed(now, name):
                 self.allowed_at.append(now)
 
+    def _choose_data_plane(self) -> str:
+        """Return the data plane that receives the next request."""
+        return self.random.choices(list(self.data_planes), self.weights)[0]
+
     def _run_due_events(self, now: float) -> None:
         if now >= self.cut_at:
             self.cut_at = NEVER_MS
@@ -130,10 +135,9 @@
 
     def _heal(self, now: float) -> None:
         for name, data_plane in self.data_planes.items():
-            if not data_plane.reachable:
+            if data_plane.cut_at is not None:
                 data_plane.cut_at = None
-                for control_plane in self.control_planes:
-                    self._connect(now, name, control_plane)
+                self._connect_to_all(now, name)
 
     def _end_owner(self, now: float) -> None:
         """End the owner; it starts again with no counts, and the reachable data planes connect to it."""
@@ -150,6 +154,11 @@
         self.takeover_at = now + self.random.uniform(*TAKEOVER_MS)
         self.view_change_at = self.takeover_at - VIEW_BEFORE_TAKEOVER_MS
 
+    def _connect_to_all(self, now: float, name: str) -> None:
+        for control_plane in self.control_planes:
+            if control_plane.running:
+                self._connect(now, name, control_plane)
+
     def _connect(self, now: float, name: str, control_plane: SimulatedControlPlane) -> None:
         control_plane.quota_counter.mark_responsive(name)
         control_plane.unresponsive.discard(name)
@@ -166,7 +175,7 @@
         for control_plane in self.control_planes:
             control_plane.quota_counter.start_view(control_plane.local_time(now))
             for name, data_plane in self.data_planes.items():
-                if data_plane.reachable:
+                if data_plane.reachable and control_plane.running:
                     self._report_usage(now, name, control_plane)
 
     def _maintain(self, now: float) -> None:
@@ -188,7 +197,7 @@
         unresponsive_for_ms = owner.quota_counter.unresponsive_for_ms(sent_at)
         shares = owner.quota_counter.shares(sent_at, counts)
         for replica in self.control_planes:
-            if replica is owner:
+            if replica is owner or not replica.running:
                 continue
             received_at = replica.local_time(now)
             replica.quota_counter.receive_replicated(received_at, TENANT, counts[TENANT])
@@ -216,6 +225,101 @@
         return allowed
 
 
+class RestartSimulation(QuotaSimulation):
+    """The same, with data planes that are killed together and come back, before or after the owner's end.
+
+    The owner's node comes back with an empty disk, and may then become the owner again. In every other
+    simulation the owner lives on, and in every other one no data plane is cut off.
+    """
+
+    def __init__(self, seed: int) -> None:
+        super().__init__(seed)
+        self.events = Random(f"restarts {seed}")  # apart, as the draws of `QuotaSimulation` are kept
+        draw = self.events.uniform
+        rate = self.events.choice((12.0, 63.0, 95.0, 150.0))
+        self.tenant = Tenant(TENANT, 0, rate, rate * self.events.choice((0.5, 1.0)))
+        if self.events.random() < 0.5:
+            self.cut_at = self.heal_at = NEVER_MS
+        self.owner_ends_again_at = NEVER_MS
+        self.node_returns_at = self.owner_ends_at + draw(500.0, 4000.0)
+        if self.events.random() < 0.5:
+            self.owner_ends_at = self.node_returns_at = NEVER_MS
+        self.kill_at = self.high_load_at + draw(-500.0, 4500.0)
+        self.restart_at = self.kill_at + draw(500.0, 3000.0)
+        self.connect_at = self.restart_at + draw(10.0, 400.0)  # until when they decide alone
+        self.ownership_returns_at = NEVER_MS
+        self.ended_node: SimulatedControlPlane | None = None
+        self.killed: list[str] = []
+
+    def _choose_data_plane(self) -> str:
+        """Return a data plane that runs: clients of one that does not go on to another."""
+        name = super()._choose_data_plane()
+        if self.data_planes[name].running:
+            return name
+        return self.events.choice([name for name in self.data_planes if self.data_planes[name].running])
+
+    def _run_due_events(self, now: float) -> None:
+        super()._run_due_events(now)
+        if now >= self.kill_at:
+            self.kill_at = NEVER_MS
+            self._kill_data_planes(now)
+        if now >= self.restart_at:
+            self.restart_at = NEVER_MS
+            self._restart_data_planes(now)
+        if now >= self.connect_at:
+            self.connect_at = NEVER_MS
+            self._connect_restarted(now)
+        if now >= self.node_returns_at:
+            self.node_returns_at = NEVER_MS
+            self._return_node(now)
+        if now >= self.ownership_returns_at and self.owner is not None:
+            self.ownership_returns_at = NEVER_MS
+            self._return_ownership(now)
+
+    def _kill_data_planes(self, now: float) -> None:
+        self.killed = self.events.sample(list(self.data_planes), self.events.choice((3, 6, 9)))
+        for name in self.killed:
+            self.data_planes[name].running = False
+
+    def _restart_data_planes(self, now: float) -> None:
+        """Start them with no usage; they are not connected yet."""
+        for name in self.killed:
+            data_plane = self.data_planes[name]
+            data_plane.quota = QuotaPolicy(SPAN_S, EXCESS, SLACK)
+            data_plane.running = True
+            data_plane.cut_at = now
+
+    def _connect_restarted(self, now: float) -> None:
+        for name in self.killed:
+            self.data_planes[name].cut_at = None
+            self._connect_to_all(now, name)
+
+    def _end_owner(self, now: float) -> None:
+        self.ended_node = self.owner
+        super()._end_owner(now)
+        if self.ended_node is not None:
+            self.ended_node.running = False
+
+    def _return_node(self, now: float) -> None:
+        """Start the ended owner's node with nothing on its disk."""
+        node = self.ended_node
+        if node is None:
+            return
+        node.running = True
+        node.restart(set(self.data_planes))
+        for name, data_plane in self.data_planes.items():
+            if data_plane.reachable:
+                self._connect(now, name, node)
+        self.ownership_returns_at = now + self.events.uniform(300.0, 1500.0)
+
+    def _return_ownership(self, now: float) -> None:
+        """Start a view in which the node that has come back owns the count."""
+        self.owner = None
+        self.next_owner = self.ended_node
+        self._start_view(now)
+        self.takeover_at = now + VIEW_BEFORE_TAKEOVER_MS
+
+
 def excess(simulation: QuotaSimulation) -> float:
     """Run a simulation; return by how many requests its fullest span passes the ceiling.
 
