--- a/wickspring/controlplane/api/config_validation.py
+++ b/wickspring/controlplane/api/config_validation.py
@@ -1,7 +1,7 @@
 """Validates an operator's configuration as a whole, before any of it is stored.
 
-Errors name the place in the document. Fields that are not known here are allowed: the document is passed on
-as it came, and data planes of a later version may know them.
+Errors name the place in the document. Fields that are not known here are allowed: the document is
+forwarded unchanged, and data planes of a later version may know them.
 """
 
 from __future__ import annotations
--- a/wickspring/controlplane/api/deregister.py
+++ b/wickspring/controlplane/api/deregister.py
@@ -16,7 +16,7 @@
     path = re.compile(r"/servers/(?P<id>[^/]{1,200})/deregister\Z")
 
     async def call(self, request: ApiRequest) -> ApiResponse:
-        """Acknowledge the end of a server once it is committed; its id never comes back."""
+        """Acknowledge the end of a server once it is committed; its id is never used again."""
         if await self._control_plane.endpoints.commit_departure(request.parts["id"], GONE):
             return ApiResponse(200)
         return error_response(ErrorDetail(ErrorKind.NOT_COMMITTED, "deregister"))
--- a/wickspring/controlplane/api/heartbeat.py
+++ b/wickspring/controlplane/api/heartbeat.py
@@ -86,7 +86,7 @@
             endpoint = _read_endpoint(request.parts["id"], request.body, self._control_plane.clock.now())
         except (msgspec.MsgspecError, UnicodeDecodeError, GatewayError) as error:
             return error_response(ErrorDetail(ErrorKind.BAD_REQUEST, f"heartbeat: {error}"))
-        if self._control_plane.updates.out_of_contact:  # other nodes may take the server for lost meanwhile
+        if self._control_plane.updates.out_of_contact:  # other nodes may count the server as lost
             return error_response(NO_QUORUM)
         endpoints.receive_heartbeat(endpoint)
         if endpoint.state == DRAINING and not await endpoints.commit_departure(endpoint.id, DRAINING):
--- a/wickspring/controlplane/data_plane_sessions.py
+++ b/wickspring/controlplane/data_plane_sessions.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, eq=False)
 class PeerSession:
-    """One connection that another process has opened, and what was said on it.
+    """One connection that another process has opened, and its state.
 
     The peer's first message says whether it is a data plane or another control-plane node.
     """
@@ -39,7 +39,7 @@
     is_control_plane_node: bool = False
     reported_config: ReportedConfig = ReportedConfig()
     last_offer: SentOffer | None = None
-    announced_digest: bytes = b""  # of the configuration, as last sent with an answer to a tick
+    announced_digest: bytes = b""  # of the configuration, as last sent with the reply to a heartbeat
 
     @property
     def name(self) -> str:
@@ -75,12 +75,12 @@
         return set(self._names.values())
 
     def live_names(self) -> set[str]:
-        """Return the names of the data planes that are in reach."""
+        """Return the names of the reachable data planes."""
         return {name for session, name in self._names.items() if session.connection.live}
 
     @property
     def live_count(self) -> int:
-        """Return how many data planes are in reach."""
+        """Return the number of reachable data planes."""
         return len(self.live_names())
 
     def broadcast(self, message: Message) -> None:
--- a/wickspring/controlplane/endpoint_service.py
+++ b/wickspring/controlplane/endpoint_service.py
@@ -86,7 +86,7 @@
         return (await self._updates.commit(update)).outcome is CommitOutcome.COMMITTED
 
     def heartbeat_target(self, zone: str) -> str:
-        """Return the address for heartbeats from a zone: of a node there that is in reach, else this one."""
+        """Return the address for heartbeats from a zone: of a reachable node there, else of this one."""
         if zone != self._settings.zone:
             for ip, status in self._replication.peers.statuses.items():
                 if (
@@ -140,14 +140,14 @@
     # Data planes.
 
     def send_snapshot(self, session: PeerSession) -> None:
-        """Send a data plane all that is known of endpoints."""
+        """Send a data plane all known endpoints and departures."""
         now = self._clock.now()
         is_complete = self._contact.observe() is QuorumContact.STABLE
         records = [endpoint.to_record(now) for endpoint in self._registry.present()]
         session.send(EndpointSnapshot(records, self._registry.departures, is_complete))
 
     def digest(self) -> int:
-        """Return a number that is the same for all that know the same endpoints."""
+        """Return a digest that is equal on all processes that know the same endpoints."""
         return endpoints_digest(self._registry.present())
 
     # Upkeep.
@@ -155,7 +155,7 @@
     def expire(self, now: float, contact: QuorumContact) -> None:
         """Find endpoints whose heartbeats have stopped.
 
-        Data planes learn of it only while this node is sure to learn of all heartbeats.
+        Data planes are told only in stable contact, when the heartbeats of all nodes are received here.
         """
         known_before = set(self._registry.endpoints)
         self._unreported_lost |= set(self._registry.expire(now))
--- a/wickspring/controlplane/load_tracker.py
+++ b/wickspring/controlplane/load_tracker.py
@@ -1,9 +1,10 @@
 """The load of every endpoint, as one control-plane node learns it from all data planes. No I/O; times are ms.
 
-A data plane sees its own requests alone, one of eight or of eighty. So it asks the node that owns a service
-for the endpoints that are best taken now, and reports each request that it sends and its end. The answer is
-advice: a data plane leaves out endpoints that it knows to drain or to fail, and without an answer in time it
-chooses by itself. An endpoint that answers nobody keeps its requests in flight, and so is avoided by all.
+A data plane sees only its own requests, and there may be dozens of data planes. So it asks the node that owns
+a service for the endpoints that are cheapest now, and reports the start and the end of each request. The
+answer is advice: a data plane leaves out endpoints that it knows to drain or to fail, and without an answer
+in time it chooses by itself. Requests to an endpoint that does not answer stay in flight, so that all data
+planes avoid it.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from wickspring.common.endpoints import Endpoint
 
 MAX_ADVISED = 4  # endpoints in one answer
-LATENCY_MEMORY = 12.0  # requests that the running mean of an endpoint's latency goes over
+LATENCY_MEMORY = 12.0  # requests that the running mean of an endpoint's latency covers
 MIN_LATENCY_RATIO = 0.4
 MAX_LATENCY_RATIO = 4.0
 OTHER_ZONE_FACTOR = 1.4  # factors on the cost of an endpoint
@@ -64,7 +65,7 @@
             self.ejected_until[endpoint_id] = now + EJECTION_MS
 
     def forget_data_plane(self, data_plane: str) -> None:
-        """Forget the requests of a data plane that has ended, or reports anew."""
+        """Forget the requests of a data plane that has disconnected, or has connected again."""
         for endpoint_id, count in self.in_flight_by_data_plane.pop(data_plane, Counter()).items():
             self.in_flight[endpoint_id] -= count
 
@@ -87,6 +88,6 @@
         return cost * (1.0 + JITTER * self.random.random())
 
     def advise(self, now: float, zone: str, endpoints: Iterable[Endpoint]) -> list[tuple[str, float]]:
-        """Return the ids of the endpoints that are best taken now with their costs, the cheapest first."""
+        """Return the ids and costs of the cheapest endpoints, the cheapest first."""
         costs = sorted((self.cost(now, endpoint, zone), endpoint.id) for endpoint in endpoints)
         return [(endpoint_id, round(cost, COST_DIGITS)) for cost, endpoint_id in costs[:MAX_ADVISED]]
--- a/wickspring/controlplane/process.py
+++ b/wickspring/controlplane/process.py
@@ -1,4 +1,4 @@
-"""The control-plane process: puts one node together, runs it, and ends it."""
+"""The control-plane process: assembles one node, runs it, and drains it."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 from wickspring.net.clock import Clock
 from wickspring.net.listening import accept
 
-DRAIN_SHARE = 0.85  # of the grace period, for other nodes to take over before this one ends
+DRAIN_SHARE = 0.85  # of the grace period: the longest wait for other nodes to take over
 DRAIN_POLL_S = 0.05
 
 
 class ControlPlane:
-    """One control-plane node: its parts, and what the replication protocol calls back."""
+    """One control-plane node: its parts, and the listener of the replication protocol."""
 
     def __init__(self, settings: NodeSettings, nursery: trio.Nursery, seed: int) -> None:
         self.settings = settings
@@ -100,7 +100,7 @@
     def restore(self) -> None:
         """Start with the endpoints on this node's disk.
 
-        The configuration there is sent to nobody yet: it may be old, or may never have been committed.
+        The stored configuration is not sent to data planes yet: it may be old or uncommitted.
         """
         self.endpoints.restore()
 
@@ -112,7 +112,7 @@
         self.endpoints.apply_committed(replica)
 
     def on_view_change(self) -> None:
-        """Start counting anew, and announce the view to data planes."""
+        """Reset the quota counts, and announce the view to data planes."""
         self.quota.start_view()
         self.view.broadcast()
 
--- a/wickspring/controlplane/replication/catch_up.py
+++ b/wickspring/controlplane/replication/catch_up.py
@@ -1,7 +1,7 @@
 """Catch-up: bringing nodes that are behind to the installed view and to what is committed.
 
-A node that is behind gets a state in full (or a reference to the text it stores), never the single updates it
-missed: so what catching up costs does not grow with the time it was away.
+A node that is behind is sent a full state, or a reference to the document that it stores, never the single
+updates that it missed. So the cost of catching up does not grow with the time that it was unreachable.
 
 No I/O and no clock here; times are milliseconds.
 """
@@ -21,7 +21,7 @@
 
 
 class CatchUp:
-    """What one node sends to nodes that are behind it, and does with what others send when it is behind."""
+    """Brings nodes that are behind up to date, and this node when it is behind itself."""
 
     def __init__(self, chain: ReplicationChain) -> None:
         self._chain = chain
@@ -44,7 +44,7 @@
                 self.on_install_view(now, sender, message)
 
     def tick(self, now: float) -> None:
-        """Send the view, or what is committed, to reachable nodes that have not got it."""
+        """Send the view, or what is committed, to reachable nodes that are missing it."""
         chain = self._chain
         for address, peer in chain.peers.items():
             is_behind = peer.epoch < chain.view.epoch
@@ -84,7 +84,7 @@
             chain.on_peer_reachable(sender)
 
     def on_committed_state(self, message: CommittedState) -> None:
-        """Take over what another node knows to be committed."""
+        """Merge the state that another node knows to be committed."""
         chain = self._chain
         state = message.state.completed_from(chain.replica)
         if state is None:
@@ -93,7 +93,7 @@
         chain.record_committed(state)
 
     def on_install_view(self, now: float, sender: str, message: InstallView) -> None:
-        """Install a newer view, or take over the state of the present one."""
+        """Install a newer view, or merge the state of the present one."""
         chain = self._chain
         state = None if message.state is None else message.state.completed_from(chain.replica)
         is_newer = message.view.epoch > chain.view.epoch
--- a/wickspring/controlplane/replication/chain.py
+++ b/wickspring/controlplane/replication/chain.py
@@ -4,12 +4,12 @@
 Availability" (2004). An update enters at the head, is saved, goes to the next member, and so on; the tail's
 confirmation comes back up the chain, and only then is the update acknowledged. Invariants:
 
-* What is acknowledged is on the disks of all members of the chain.
-* One pass is under way at a time; it carries all updates that came meanwhile.
-* Nobody installs a view as a member of its chain without the state that it starts with, and both are saved
-  at once: so each member has all that was acknowledged before, from its first moment on.
+* An acknowledged update is on the disks of all members of the chain.
+* One pass is in progress at a time; it carries all updates that arrived since the pass before.
+* A member of a view's chain installs the view only together with the state that it starts with, and saves
+  both at once. So each member has, from the start of the view, all that was acknowledged before.
 * Within an epoch the head alone assigns texts to versions (`replica`).
-* Who has promised for the next epoch passes nothing in this one (`view_change`).
+* A node that has promised the next epoch passes nothing in this one (`view_change`).
 
 No I/O and no clock here; times are milliseconds. The host saves `durable()` and `replica` whenever `dirty` is
 set, before it carries out what `take_effects` returns.
@@ -115,7 +115,7 @@
         self.catch_up = CatchUp(self)
 
     def clone(self) -> Self:
-        """Return a copy that goes its own way, without effects: for a model checker."""
+        """Return an independent copy without effects, for a model checker."""
         other = copy.copy(self)
         other.effects = Effects()
         other.replica = self.replica.copy()
@@ -132,17 +132,17 @@
 
     @property
     def is_member(self) -> bool:
-        """Tell whether this node is in the chain of the view that it knows."""
+        """Return whether this node is in the chain of the view that it knows."""
         return self.me in self.view.chain
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether this node has a vote in the view that it knows."""
+        """Return whether this node has a vote in the view that it knows."""
         return self.me in self.view.voters
 
     @property
     def is_head(self) -> bool:
-        """Tell whether this node is the head of the view that it knows."""
+        """Return whether this node is the head of the view that it knows."""
         return self.view.chain[:1] == (self.me,)
 
     @property
@@ -152,12 +152,12 @@
 
     @property
     def frozen(self) -> bool:
-        """Tell whether a promise for the next view holds up this one."""
+        """Return whether a promise of the next view has stopped this node from passing updates."""
         return self.paxos.promised_slot > self.view.epoch
 
     @property
     def may_stop(self) -> bool:
-        """Tell whether what this node stores is stored, and what it decides is decided, without it."""
+        """Return whether this node has no vote, and another reachable node stores all that is committed."""
         if self.is_voter:
             return False
         if not self.view.epoch:
@@ -171,14 +171,14 @@
         )
 
     def observation(self, promised: frozenset[Member] = frozenset()) -> ClusterObservation:
-        """Return what this node observes; `promised` are members that are present whatever it observed."""
+        """Return what this node observes; `promised` are members that count as present in any case."""
         unhealthy = self.stopping or self.disk_slow
         return ClusterObservation(self.me, self.zone, unhealthy, self.peers, promised)
 
     # The host.
 
     def durable(self) -> PackedState:
-        """Return all that must outlive this process, beside the replica."""
+        """Return the state that must be saved beside the replica."""
         return {"view": self.view.pack(), **self.paxos.durable()}
 
     def restore(self, durable: PackedState) -> None:
@@ -187,7 +187,7 @@
         self.paxos.restore(durable)
 
     def take_effects(self) -> Effects:
-        """Return what is to be done once the state is saved, and start anew."""
+        """Return the effects since the last call; they may be carried out once the state is saved."""
         effects = self.effects
         self.effects = Effects()
         return effects
@@ -201,13 +201,13 @@
         self.effects.outcomes.append(TicketOutcome(ticket, outcome))
 
     def start(self, now: float) -> None:
-        """Start: the head finds out whether its view stands, and what of its replica is committed."""
+        """Start the node; a head passes its replica, to learn whether its view is still in force."""
         self.view_change.start(now)
         if self.is_head and not self.frozen:
             self.updates.send_pass(now)
 
     def tick(self, now: float, peers: Mapping[str, PeerObservation]) -> None:
-        """Observe the peers: help those that are behind, send again, and change the view if needed."""
+        """Observe the peers: catch up those that are behind, resend, and change the view if needed."""
         self.peers = peers
         self.catch_up.tick(now)
         if not self.is_voter:
@@ -228,7 +228,7 @@
                 assert_never(message)
 
     def submit(self, now: float, ticket: int, update: Update) -> None:
-        """Take an update, or a read, at the head; elsewhere its outcome is NOT_YET at once."""
+        """Accept an update or a read at the head; at other nodes its outcome is NOT_YET at once."""
         self.updates.submit(now, ticket, update)
 
     def cancel(self, ticket: int) -> None:
@@ -255,7 +255,7 @@
     # Views.
 
     def install(self, now: float, view: View, state: Replica | None) -> None:
-        """Install a view; as a member of its chain only together with the state it goes on from."""
+        """Install a view; a member of its chain needs the state that it starts with."""
         check_invariant(view.epoch > self.view.epoch, "views only go forward")
         if state is not None:
             self.replica.merge(state)
--- a/wickspring/controlplane/replication/diagnostics.py
+++ b/wickspring/controlplane/replication/diagnostics.py
@@ -26,7 +26,7 @@
 
 
 def _missing_commits(chain: ReplicationChain, status: NodeStatus) -> list[str]:
-    """Describe what of the committed state a node has not got."""
+    """Describe the committed state that a node is missing."""
     reasons = []
     committed = chain.committed
     if (status.config_epoch, status.config_version) < committed.config.rank:
--- a/wickspring/controlplane/replication/lease.py
+++ b/wickspring/controlplane/replication/lease.py
@@ -68,7 +68,7 @@
             self._grants[member] = Grant(epoch, asked_at)
 
     def is_held(self, now: float, chain: ReplicationChain) -> bool:
-        """Tell whether a majority of the present voters has granted it recently, this node among them."""
+        """Return whether a majority of the present voters, with this node, has granted the lease recently."""
         view = chain.view
         if not granted_epoch(chain) or view.epoch != self.epoch:
             return False
@@ -79,5 +79,5 @@
         return 1 + valid_count >= view.majority  # 1: this node's own
 
     def is_usable(self, now: float, chain: ReplicationChain) -> bool:
-        """Tell whether it is held, and nobody can hold one of an earlier view any more."""
+        """Return whether the lease is held, and all leases of earlier views have expired."""
         return self.is_held(now, chain) and now - self.installed_at >= WAIT_AFTER_VIEW_MS
--- a/wickspring/controlplane/replication/messages.py
+++ b/wickspring/controlplane/replication/messages.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Passed:
-    """Successor to predecessor: the state of this pass is stored here and at all that follow."""
+    """Successor to predecessor: the state of this pass is stored here and at all successors."""
 
     KIND: ClassVar = "passed"
     epoch: int
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fetch:
-    """A state came as a reference to a text that the sender does not store: send it in full."""
+    """Request of a full state: the sender does not store the document that a state referred to."""
 
     KIND: ClassVar = "fetch"
     epoch: int
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstallView:
-    """A view that has been agreed, with the state it goes on from where the sender has that."""
+    """A view that has been agreed, with the state that it starts with where the sender has that."""
 
     KIND: ClassVar = "view"
     view: View
--- a/wickspring/controlplane/replication/next_view.py
+++ b/wickspring/controlplane/replication/next_view.py
@@ -1,7 +1,7 @@
 """Chooses voters and chain of the next view by the wanted fault tolerance, the zones and the health of nodes.
 
 `next_view` is a pure and idempotent function: the same observation gives the same view, and from that view
-the same members again, so nodes that observe the same do not undo each other's changes.
+the same members again, so nodes with equal observations do not revert each other's changes.
 """
 
 from __future__ import annotations
@@ -125,7 +125,7 @@
 
 
 def differs(view: View, following: View) -> bool:
-    """Tell whether two views differ in their sets of voters or of chain members; order does not count."""
+    """Return whether two views differ in their sets of voters or of chain members; order does not count."""
     return set(view.voters) != set(following.voters) or set(view.chain) != set(following.chain)
 
 
--- a/wickspring/controlplane/replication/node.py
+++ b/wickspring/controlplane/replication/node.py
@@ -103,7 +103,7 @@
         return await self._updates.submit(update, read)
 
     def submit_in_background(self, update: Update) -> None:
-        """Submit an update whose outcome nobody waits for."""
+        """Submit an update without waiting for its outcome."""
         self._nursery.start_soon(self.submit, update)
 
     def submit_to_chain(self, ticket: int, update: Update) -> None:
@@ -158,7 +158,7 @@
         self._has_events.set()
 
     async def send_heartbeats(self) -> None:
-        """Start the chain; then, again and again, send heartbeats and have the chain observe the others."""
+        """Start the chain; then periodically send heartbeats, and have the chain observe its peers."""
         self._add_event(lambda: self.chain.start(self._clock.now()))
         while True:
             self.peers.send_heartbeats()
@@ -211,7 +211,7 @@
         self._listener.on_view_change()
 
     async def _save(self) -> None:
-        """Save what must outlive the process; again and again while the disk refuses."""
+        """Save the durable state; retry while the disk refuses."""
         durable = {**self.chain.durable(), "disk": self.chain.me.disk_id}
         replica = self.chain.replica.copy()
         self._saving_since = self._clock.now()
@@ -254,7 +254,7 @@
 
     @property
     def in_contact(self) -> bool:
-        """Tell whether a majority of the voters has answered recently, of the same epoch as this node's.
+        """Return whether a majority of the voters has answered recently, of the same epoch as this node's.
 
         Answers count by when they were asked for: after a cut, connections are up again before what is
         received on them is new.
@@ -274,17 +274,17 @@
 
     @property
     def may_stop(self) -> bool:
-        """Tell whether this node may end: nothing depends on it alone, or there is no other node."""
+        """Return whether this node may end: nothing depends on it alone, or there is no other node."""
         return self.chain.may_stop or not self.peers.statuses
 
     @property
     def holds_lease(self) -> bool:
-        """Tell whether a majority of the voters grants this node the lease."""
+        """Return whether a majority of the voters grants this node the lease."""
         return self.lease.is_held(self._clock.now(), self.chain)
 
     @property
     def may_use_lease(self) -> bool:
-        """Tell whether it holds the lease, and no lease of an earlier view can hold any more."""
+        """Return whether this node holds the lease, and all leases of earlier views have expired."""
         return self.lease.is_usable(self._clock.now(), self.chain)
 
     def reasons_behind(self, address: str) -> list[str]:
--- a/wickspring/controlplane/replication/peers.py
+++ b/wickspring/controlplane/replication/peers.py
@@ -35,7 +35,7 @@
 
 
 def observe(status: NodeStatus, reachable: bool) -> PeerObservation:
-    """Return what the chain is to know of a node that has reported this status."""
+    """Return the chain's observation of a node that has reported this status."""
     return PeerObservation(
         reachable=reachable,
         disk_id=status.disk_id,
@@ -58,7 +58,7 @@
         """Handle that a connection to a node is up."""
 
     def on_heartbeat_reply(self, reply: NodeHeartbeatReply) -> None:
-        """Handle a node's reply to a heartbeat, after its status has been noted."""
+        """Handle a node's reply to a heartbeat, after its status has been recorded."""
 
 
 class PeerSet:
@@ -124,7 +124,7 @@
             client.send(NodeHeartbeat(now))
 
     def is_reachable(self, address: str) -> bool:
-        """Tell whether a node has been received from recently; this node always has."""
+        """Return whether a message of a node has arrived recently; this node itself is always reachable."""
         if address == self._ip:
             return True
         client = self._clients.get(address)
@@ -144,7 +144,7 @@
         }
 
     def answered_since(self, address: str, since: float) -> bool:
-        """Tell whether a node has answered a heartbeat that was sent after `since` (ms)."""
+        """Return whether a node has answered a heartbeat that was sent after `since` (ms)."""
         return self.asked_at.get(address, since) > since
 
     def on_connect(self, connection: PeerConnection) -> None:
@@ -164,7 +164,7 @@
                 assert_never(message)
 
     def on_disconnect(self, client: ReconnectingClient) -> None:
-        """Do nothing: the client reconnects, and `is_reachable` goes by what arrives."""
+        """Do nothing: the client reconnects, and `is_reachable` depends on received messages."""
 
     def _on_heartbeat_reply(self, connection: PeerConnection, reply: NodeHeartbeatReply) -> None:
         self.statuses[reply.ip] = reply.status
--- a/wickspring/controlplane/replication/replica.py
+++ b/wickspring/controlplane/replication/replica.py
@@ -4,14 +4,14 @@
 document's digest, and the epoch of the view whose head passed it on last. Invariants:
 
 * Within one epoch the head alone assigns versions, so equal epoch and version mean equal text.
-* Of two replicas the one of higher rank (epoch first, then version) replaces the other. So a text that an
-  ended epoch left uncommitted gives way to the one that the next epoch started with, even where its version
-  is higher.
+* Of two replicas the one of higher rank (epoch first, then version) replaces the other. So a document
+  that an earlier epoch left uncommitted is replaced by the one that the next epoch started with, even where
+  its version is higher.
 * Departures only grow (draining, then gone) and are merged like a grow-only map; see Shapiro et al.,
   "Conflict-free Replicated Data Types", 2011.
 
 No I/O and no clock here. `pack` makes lists for messages and files; `unpack` checks the digest and raises
-ValueError for text that was truncated or altered on its way.
+ValueError for a document that was truncated or altered in transit.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 
 class CommitOutcome(IntEnum):
-    """The outcome of an update: whether its sender may take it for durable."""
+    """The outcome of an update: whether its sender may rely on its being durable."""
 
     NOT_YET = 0  # not shown to be committed: it may be later, or never
     COMMITTED = 1  # on every replica of the view, or of an old version that changes nothing
@@ -88,7 +88,7 @@
 
     @property
     def complete(self) -> bool:
-        """Tell whether the text is here, not a reference to it alone."""
+        """Return whether it has its document, and not only a reference to it."""
         return not self.reference and (bool(self.document) or not self.version)
 
     @property
@@ -156,7 +156,7 @@
 
     @property
     def is_read(self) -> bool:
-        """Tell whether it changes nothing."""
+        """Return whether it changes nothing."""
         return not self.version and not self.departures
 
     def pack(self) -> tuple[int, bytes, dict[str, int]]:
@@ -215,7 +215,7 @@
         return changed
 
     def merge(self, other: Replica) -> bool:
-        """Take over what another replica has more; True where that changed this one."""
+        """Merge another replica into this one; True where that changed this one."""
         adopted = self.adopt_config(other.config)
         return self.add_departures(other.departures) or adopted
 
--- a/wickspring/controlplane/replication/snapshot.py
+++ b/wickspring/controlplane/replication/snapshot.py
@@ -1,7 +1,7 @@
-"""Snapshots of the replicated state, as operators take and restore them: one JSON document with a checksum.
+"""Snapshots of the replicated state, for operators: one JSON document with a checksum.
 
 Restoring is an update like any other: its version is acknowledged and changes nothing where a higher one is
-stored, and departures are merged, so an old snapshot takes nothing back.
+stored, and departures are merged, so an old snapshot reverts nothing.
 
 Format 2 has version, digest and history of the configuration beside its text, and the epoch of the view in
 which it was taken. Format 1, which had the text and the departures alone, is still read.
--- a/wickspring/controlplane/replication/startup.py
+++ b/wickspring/controlplane/replication/startup.py
@@ -16,7 +16,7 @@
 def load_chain(settings: NodeSettings, store: ReplicaStore, seed: int) -> ReplicationChain:
     """Return the chain of this node: as saved, as a seed on the very first start, or as a new member.
 
-    A node whose disk was lost, or that is new, has no vote until a view takes it in. The chain is marked
+    A node whose disk was lost, or that is new, has no vote until a view includes it. The chain is marked
     dirty, so that its state is saved before anything is sent.
     """
     limits = settings.tolerates
--- a/wickspring/controlplane/replication/update_passing.py
+++ b/wickspring/controlplane/replication/update_passing.py
@@ -1,6 +1,6 @@
 """Passing updates down the chain, and confirmations back up (van Renesse & Schneider, 2004).
 
-One pass is under way at a time; it carries all updates that came meanwhile, as the full state of the head. A
+One pass is in progress at a time; it carries all updates since the pass before, as the head's full state. A
 member stores a state before it passes it on, and confirms it once its successor has.
 
 No I/O and no clock here; times are milliseconds.
@@ -56,7 +56,7 @@
         return other
 
     def on_installed(self, now: float) -> None:
-        """Start anew in a view that has just been installed: its head carries what is pending."""
+        """Reset the passes in a new view; its head passes the pending updates again."""
         self.stored_identities.clear()
         self.sequence = self._chain.random.randrange(MAX_SEQUENCE)
         self.passing = None
@@ -66,7 +66,7 @@
             self._give_up_pending()
 
     def submit(self, now: float, ticket: int, update: Update) -> None:
-        """Take an update, or a read, at the head; elsewhere its outcome is NOT_YET at once."""
+        """Accept an update or a read at the head; at other nodes its outcome is NOT_YET at once."""
         chain = self._chain
         if not chain.is_head:
             chain.report_outcome(ticket, CommitOutcome.NOT_YET)
@@ -180,7 +180,7 @@
             return
         self.stored_identities[Member(sender, message.disk_id)] = message.identity
         if message.sequence != self.sequence or self.passing is None:
-            return  # of a pass that is over: it says nothing of the one under way
+            return  # it confirms an earlier pass, not the one in progress
         self._confirm(message.sequence, self.passing)
         if chain.is_head:
             self._start_pass(now)
--- a/wickspring/controlplane/replication/view.py
+++ b/wickspring/controlplane/replication/view.py
@@ -1,7 +1,7 @@
 """Views of the replication group: who decides (voters), who stores replicas (the chain).
 
 A member is an address with the id of its disk: a node that returns with an empty disk is another member, has
-no vote and is no replica until a view takes it in. The chain is a subset of the voters, the head first. Which
+no vote and is no replica until a view includes it. The chain is a subset of the voters, the head first. Which
 view should follow is decided in `next_view`.
 
 No I/O and no clock here.
@@ -55,7 +55,7 @@
         return self.chain[0].address if self.chain else ""
 
     def is_majority(self, members: Collection[Member]) -> bool:
-        """Tell whether these are a majority of the voters."""
+        """Return whether these are a majority of the voters."""
         return len(set(members) & set(self.voters)) >= self.majority
 
     def predecessor(self, member: Member) -> Member | None:
@@ -122,7 +122,7 @@
         return self.committed_epoch, self.committed_version
 
     def is_missing(self, committed: Replica) -> bool:
-        """Tell whether it knows less of what is committed than `committed`."""
+        """Return whether a part of the state `committed` is not known to the node as committed."""
         count = len(committed.departures)
         if self.committed_rank < committed.config.rank or self.departure_count < count:
             return True
@@ -149,21 +149,21 @@
         return peer.zone if peer is not None and peer.zone else member.address
 
     def is_present(self, member: Member) -> bool:
-        """Tell whether a member answers, with the disk that it is known by."""
+        """Return whether a member answers, and has the disk that the view names."""
         if member == self.me or member in self.promised:
             return True
         peer = self.peers.get(member.address)
         return peer is not None and peer.reachable and peer.disk_id == member.disk_id
 
     def is_healthy(self, member: Member) -> bool:
-        """Tell whether a member answers and can store a replica."""
+        """Return whether a member answers and can store a replica."""
         if member == self.me:
             return not self.unhealthy
         peer = self.peers.get(member.address)
         return self.is_present(member) and not (peer is not None and peer.unhealthy)
 
     def are_connected(self, first: Member, second: Member) -> bool:
-        """Tell whether two members reach each other, as far as they have reported it."""
+        """Return whether two members reach each other, as far as they have reported it."""
         for here, there in ((first, second), (second, first)):
             peer = self.peers.get(here.address)
             if here == self.me or peer is None or not peer.reachable_peers:
@@ -173,7 +173,7 @@
         return True
 
     def candidates(self, view: View) -> list[Member]:
-        """Return the nodes that could be taken in as voters."""
+        """Return the healthy nodes outside of the view that could become voters."""
         known = [
             Member(address, peer.disk_id) for address, peer in sorted(self.peers.items()) if peer.disk_id
         ]
--- a/wickspring/controlplane/replication/view_change.py
+++ b/wickspring/controlplane/replication/view_change.py
@@ -33,11 +33,11 @@
 if TYPE_CHECKING:
     from wickspring.controlplane.replication.chain import ReplicationChain
 
-STABLE_MS = 60.0  # that a reason to change the view must last, beyond the time that tells unreachable nodes
+STABLE_MS = 60.0  # for which a reason to change the view must last once a node counts as unreachable
 TURN_MS = 180.0  # between the voters that may propose a change
 PROPOSAL_TIMEOUT_MS = 600.0  # until another proposal is made
 FROZEN_TIMEOUT_MS = 700.0  # that a voter waits for a promised view before it proposes one itself
-START_GRACE_MS = 1000.0  # after its start, in which a voter misses nobody: the others are starting as well
+START_GRACE_MS = 1000.0  # after a voter's start, in which it counts no node as lost
 
 
 class ViewChange:
@@ -57,13 +57,13 @@
         return other
 
     def start(self, now: float) -> None:
-        """Note the start of this node; a promise may be left from an earlier process."""
+        """Record the start of this node; an earlier process may have left a promise."""
         self._started_at = now
         if self._chain.frozen:
             self._frozen_at = now
 
     def on_installed(self) -> None:
-        """Forget what concerned the view before."""
+        """Discard the state that belonged to the previous view."""
         self._chain.paxos.end_slot()
         self._wanted_since = math.inf
         self._frozen_at = math.inf
@@ -185,7 +185,7 @@
         chain.install(now, view, state)
 
     def on_outbid(self, now: float, message: Outbid) -> None:
-        """Give a higher ballot its time; the next ballot of this node will be above it."""
+        """Wait for the higher ballot; the next ballot of this node will be above it."""
         paxos = self._chain.paxos
         proposal = paxos.proposal
         if proposal is None or message.slot != proposal.slot or message.ballot <= proposal.ballot:
--- a/wickspring/controlplane/storage.py
+++ b/wickspring/controlplane/storage.py
@@ -1,8 +1,8 @@
-"""What a control-plane node keeps on disk: one SQLite file, each save one transaction and one sync.
+"""The store of a control-plane node: one SQLite file; each save is one transaction and one sync.
 
 `storage_file` opens the file and keeps it durable, `storage_records` lays out the state in its tables, and
-`storage_legacy` reads files of schemas 1 and 2, which are migrated when they are opened. What cannot be read
-in full is set aside, and the node starts as one with an empty disk.
+`storage_legacy` reads files of schemas 1 and 2, which are migrated when they are opened. A file that
+cannot be read in full is quarantined, and the node starts with an empty store.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 ResultT = TypeVar("ResultT")
 
-OPEN_ATTEMPTS = 20  # while a disk refuses; what it stores is not given up for that
+OPEN_ATTEMPTS = 20  # while a disk refuses; after that, opening fails and the file stays
 OPEN_RETRY_S = 0.25
 
 
 class IReplicaStore(Interface):  # type: ignore[misc]
-    """Where a node's state outlives its process."""
+    """Durable storage of a node's state."""
 
     def load(self) -> tuple[PackedState, Replica] | None:
         """Return what was saved last, or None where nothing is there."""
@@ -66,7 +66,7 @@
 
     @property
     def quarantined(self) -> bool:
-        """Tell whether a file that could not be read has been set aside."""
+        """Return whether a file that could not be read has been set aside."""
         return self._file.quarantined
 
     def _retry(self, action: Callable[[], ResultT]) -> ResultT:
--- a/wickspring/controlplane/storage_file.py
+++ b/wickspring/controlplane/storage_file.py
@@ -25,7 +25,7 @@
 PAGE_BYTES = 4096
 LOG_FRAME_HEADER_BYTES = 24
 LOG_HEADER_BYTES = 32
-CHECKPOINT_PAGES = 1000  # of the log, after which they go to the file and the log starts anew
+CHECKPOINT_PAGES = 1000  # of the log, after which they go to the file and the log is restarted
 CACHE_KIB = 256
 # What the log keeps after one larger save.
 MAX_LOG_BYTES = CHECKPOINT_PAGES * (PAGE_BYTES + LOG_FRAME_HEADER_BYTES) + LOG_HEADER_BYTES
@@ -44,7 +44,7 @@
 
 
 def is_refusal(error: Exception) -> bool:
-    """Tell whether the disk does not do at present what it is asked; what it stores may be sound."""
+    """Return whether an error means that the disk refuses for now; the stored data may be intact."""
     if not isinstance(error, sqlite3.DatabaseError):
         return False
     code = getattr(error, "sqlite_errorcode", None)
@@ -90,7 +90,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the file is open."""
+        """Return whether the file is open."""
         return self._db is not None
 
     def open(self) -> None:
@@ -153,8 +153,8 @@
     def quarantine(self) -> None:
         """Set aside a file that cannot be read, in place of one that was set aside before.
 
-        The file goes before its log does, and each is synced: a file without its log might be read as an
-        older state, a log without its file is nothing.
+        The file is renamed before its log, and each rename is synced: a file without its log might be read as
+        an older state, while a log without its file is never read.
         """
         self.quarantined = True
         self.close()
--- a/wickspring/controlplane/storage_records.py
+++ b/wickspring/controlplane/storage_records.py
@@ -176,7 +176,7 @@
     forgotten_departures: set[str]
 
     def __bool__(self) -> bool:
-        """Tell whether there is anything to write."""
+        """Return whether there is anything to write."""
         return bool(
             self.parts
             or self.history
--- a/wickspring/controlplane/view_announcements.py
+++ b/wickspring/controlplane/view_announcements.py
@@ -1,4 +1,4 @@
-"""Announces to data planes which control-plane nodes there are."""
+"""Announcements of the present view and of the reachable control-plane nodes to data planes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ViewAnnouncer:
-    """Sends the present view, the nodes in reach and the number of data planes."""
+    """Sends the present view, the reachable nodes and the number of data planes."""
 
     def __init__(self, components: Components, data_planes: DataPlaneSessions) -> None:
         self._own_ip = components.settings.ip
