--- a/tests/controlplane/test_cold_start.py
+++ b/tests/controlplane/test_cold_start.py
@@ -9,7 +9,8 @@
 import trio
 import trio.testing
 
-from wickspring.common import connection
+from wickspring.common import reconnecting_client
+from wickspring.common.connection import PeerConnection
 from wickspring.common.messages import NODE_REPLIES, NodeReply
 from wickspring.controlplane.replication.chain import ReplicationChain
 from wickspring.controlplane.replication.messages import Prepare
@@ -74,13 +75,13 @@
 class SilentHandler:
     """Does nothing with a connection."""
 
-    def on_connect(self, connection: connection.PeerConnection) -> None:
+    def on_connect(self, connection: PeerConnection) -> None:
         pass
 
-    def on_message(self, connection: connection.PeerConnection, message: NodeReply) -> None:
+    def on_message(self, connection: PeerConnection, message: NodeReply) -> None:
         pass
 
-    def on_disconnect(self, client: connection.ReconnectingClient) -> None:
+    def on_disconnect(self, client: reconnecting_client.ReconnectingClient) -> None:
         pass
 
 
@@ -96,9 +97,9 @@
             if len(dialled) == 2:
                 twice.set()
 
-        monkeypatch.setattr(connection, "connect", nobody)
+        monkeypatch.setattr(reconnecting_client, "connect", nobody)
         async with trio.open_nursery() as nursery:
-            caller = connection.ReconnectingClient(
+            caller = reconnecting_client.ReconnectingClient(
                 ("10.1.0.1", 1), SilentHandler(), NODE_REPLIES, Clock(), nursery, Random(1)
             )
             nursery.start_soon(caller.run)
@@ -109,4 +110,4 @@
 
     trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
     pause = dialled[1] - dialled[0]
-    assert pause == 0.0 if hurried else 1000.0 * pause >= connection.RECONNECT_DELAY_MS[0]
+    assert pause == 0.0 if hurried else 1000.0 * pause >= reconnecting_client.RECONNECT_DELAY_MS[0]
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -16,7 +16,7 @@
 import trio.testing
 
 from tests.common.test_decoding import SETTINGS, document
-from wickspring.common import connection as connection_module
+from wickspring.common import reconnecting_client
 from wickspring.common import settings as settings_module
 from wickspring.common.connection import PeerConnection
 from wickspring.common.endpoints import Endpoint
@@ -308,7 +308,7 @@
             system = VirtualSystem(nursery, Random(seed))
             monkeypatch.setattr(controlplane_process, "ReplicaStore", lambda folder: system.stores[folder])
             monkeypatch.setattr(dataplane_process, "Udp", lambda ip, port: MemoryDatagrams(system, ip))
-            for module in (connection_module, state_exchange):
+            for module in (reconnecting_client, state_exchange):
                 monkeypatch.setattr(module, "connect", system.connect)
                 monkeypatch.setattr(module, "Link", lambda link, _: link)
             for ip in CONTROL_PLANES[:control_planes]:
--- a/wickspring/controlplane/replication/peers.py
+++ b/wickspring/controlplane/replication/peers.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from wickspring.common.connection import PeerConnection, ReconnectingClient
+from wickspring.common.connection import PeerConnection
 from wickspring.common.messages import (
     NODE_REPLIES,
     ROLE_NODE,
@@ -25,6 +25,7 @@
     NodeReply,
     NodeStatus,
 )
+from wickspring.common.reconnecting_client import ReconnectingClient
 from wickspring.common.seeds import SeedList
 from wickspring.common.settings import NodeSettings
 from wickspring.controlplane.replication.view import PeerObservation
--- a/wickspring/dataplane/control_client/client.py
+++ b/wickspring/dataplane/control_client/client.py
@@ -9,7 +9,7 @@
 import trio
 
 from wickspring.common.config_status import ConfigStatus, QuorumContact
-from wickspring.common.connection import HEARTBEAT_MS, PeerConnection, ReconnectingClient
+from wickspring.common.connection import HEARTBEAT_MS, PeerConnection
 from wickspring.common.messages import (
     ROLE_DATA_PLANE,
     ClusterView,
@@ -29,6 +29,7 @@
     QuotaOwnerMoved,
     QuotaTotal,
 )
+from wickspring.common.reconnecting_client import ReconnectingClient
 from wickspring.common.settings import NodeSettings
 from wickspring.dataplane.control_client.config_sync import ConfigSync
 from wickspring.dataplane.control_client.connections import ControlPlaneConnections, status_of
--- a/wickspring/dataplane/control_client/connections.py
+++ b/wickspring/dataplane/control_client/connections.py
@@ -15,8 +15,9 @@
 import trio
 
 from wickspring.common.config_status import QuorumContact
-from wickspring.common.connection import ConnectionHandler, PeerConnection, ReconnectingClient
+from wickspring.common.connection import PeerConnection
 from wickspring.common.messages import CONTROL_PLANE_MESSAGES, ControlPlaneMessage
+from wickspring.common.reconnecting_client import ConnectionHandler, ReconnectingClient
 from wickspring.common.seeds import SeedList
 from wickspring.common.settings import NodeSettings
 from wickspring.dataplane.control_client.owners import Owners
--- a/wickspring/dataplane/control_client/quota_client.py
+++ b/wickspring/dataplane/control_client/quota_client.py
@@ -6,8 +6,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from wickspring.common.connection import PeerConnection, ReconnectingClient
+from wickspring.common.connection import PeerConnection
 from wickspring.common.messages import AddQuota, QuotaRefund, QuotaSpent, QuotaTotal, UsageReport
+from wickspring.common.reconnecting_client import ReconnectingClient
 from wickspring.dataplane.control_client.connections import ControlPlaneConnections
 from wickspring.dataplane.control_client.listener import ControlListener
 
--- a/wickspring/lab/simulation/request_path/environment.py
+++ b/wickspring/lab/simulation/request_path/environment.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from wickspring.common.connection import ReconnectingClient
+from wickspring.common.reconnecting_client import ReconnectingClient
 from wickspring.dataplane import process
 from wickspring.lab.simulation.clock import VirtualClock
 from wickspring.lab.simulation.request_path.ledger import InvariantBrokenError
--- a/wickspring/lab/simulation/virtual_run.py
+++ b/wickspring/lab/simulation/virtual_run.py
@@ -15,7 +15,7 @@
 import trio.testing
 from trio._core import _run as trio_scheduler
 
-from wickspring.common import connection as connection_module
+from wickspring.common import reconnecting_client
 from wickspring.common.connection import PeerConnection
 from wickspring.common.lifecycle import GC_THRESHOLDS
 from wickspring.common.messages import Message
@@ -59,8 +59,8 @@
 
     replacements = (
         (http_server, "Clock", VirtualClock),
-        (connection_module, "connect", network.connect),
-        (connection_module, "Link", lambda link, _: link),
+        (reconnecting_client, "connect", network.connect),
+        (reconnecting_client, "Link", lambda link, _: link),
         (state_exchange, "connect", network.connect),
         (state_exchange, "Link", lambda link, _: link),
         (dataplane_process, "Udp", partial(DatagramEndpoint, network)),
