--- a/tests/dataplane/test_limits.py
+++ b/tests/dataplane/test_limits.py
@@ -10,8 +10,8 @@
     DEFAULT_DATA_PLANE_COUNT,
     MAX_CONNECTIONS,
     MIN_CONNECTIONS,
-    client_timeouts,
     connection_limits,
+    front_limits,
 )
 
 
@@ -34,7 +34,7 @@
 
 
 def test_timeouts_of_clients_are_milliseconds() -> None:
-    limits = client_timeouts(ClientLimits(1000, 2000, 3.0, 15.0))
+    limits = front_limits(ClientLimits(1000, 2000, 3.0, 15.0))
     assert (limits.head_ms, limits.idle_ms, limits.max_head_bytes, limits.max_body_bytes) == (
         3000.0,
         15_000.0,
--- a/wickspring/dataplane/endpoint_table.py
+++ b/wickspring/dataplane/endpoint_table.py
@@ -43,7 +43,7 @@
         known = self.by_id.get(endpoint.id)
         if known is None:
             self.by_id[endpoint.id] = known = KnownEndpoint(endpoint, last_response_at=now)
-            self._place(known)
+            self._update_accepting(known)
             return True
         previous = known.endpoint
         changed = (known.unresponsive and fresh) or endpoint.state > previous.state
@@ -53,7 +53,7 @@
             if previous.service != endpoint.service:
                 self.accepting.get(previous.service, {}).pop(endpoint.id, None)
         known.unresponsive = known.unresponsive and not fresh
-        self._place(known)
+        self._update_accepting(known)
         return changed
 
     def record_departures(self, departures: dict[str, int]) -> dict[str, int]:
@@ -62,7 +62,7 @@
         changes = {name: state for name, state in departures.items() if known.get(name, READY) < state}
         known.update(changes)
         for endpoint_id in changes.keys() & self.by_id.keys():
-            self._place(self.by_id[endpoint_id])
+            self._update_accepting(self.by_id[endpoint_id])
         return changes
 
     def record_unresponsive(self, endpoint_ids: Iterable[str]) -> None:
@@ -71,11 +71,11 @@
             if endpoint_id in self.by_id:
                 self.by_id[endpoint_id].unresponsive = True
 
-    def _place(self, candidate: KnownEndpoint) -> None:
-        endpoint = candidate.endpoint
+    def _update_accepting(self, known: KnownEndpoint) -> None:
+        endpoint = known.endpoint
         accepting = self.accepting.setdefault(endpoint.service, {})
         if max(endpoint.state, self.departures.get(endpoint.id, READY)) == READY:
-            accepting[endpoint.id] = candidate
+            accepting[endpoint.id] = known
         else:
             accepting.pop(endpoint.id, None)
 
@@ -93,8 +93,8 @@
 
     def forget(self, now: float, after_ms: float) -> None:
         """Forget departed and unresponsive endpoints that have nothing in flight."""
-        for endpoint_id, candidate in list(self.by_id.items()):
-            unused = candidate.unresponsive or not self.accepts(endpoint_id)
-            if unused and not candidate.in_flight and now - candidate.last_response_at > after_ms:
-                self.accepting.get(candidate.endpoint.service, {}).pop(endpoint_id, None)
+        for endpoint_id, known in list(self.by_id.items()):
+            unused = known.unresponsive or not self.accepts(endpoint_id)
+            if unused and not known.in_flight and now - known.last_response_at > after_ms:
+                self.accepting.get(known.endpoint.service, {}).pop(endpoint_id, None)
                 del self.by_id[endpoint_id]
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -92,8 +92,8 @@
 
     def broadcast(self, changes: GossipedEndpoints | GossipedDepartures) -> None:
         """Send changes to a few members, each of whom passes on what it did not know."""
-        living = self.members.active_members()
-        for ip in self.random.sample(living, min(FANOUT, len(living))):
+        active = self.members.active_members()
+        for ip in self.random.sample(active, min(FANOUT, len(active))):
             self._send(ip, changes)
 
     # Failure detection.
@@ -130,10 +130,10 @@
         self._pending_acks.pop(number, None)
         return is_acked
 
-    async def _probe_for(self, asker: str, number: int, ip: str) -> None:
+    async def _probe_for(self, requester: str, number: int, ip: str) -> None:
         """Probe a member for another one, which it did not answer."""
         if await self._probe_directly(ip, trio.Event()):
-            self._send(asker, ProbeRequestAck(self.ip, number))
+            self._send(requester, ProbeRequestAck(self.ip, number))
 
     def _send_probe(self, ip: str, on_ack: Callable[[], None] = lambda: None) -> int:
         number = self._expect_ack(on_ack)
--- a/wickspring/dataplane/limits.py
+++ b/wickspring/dataplane/limits.py
@@ -23,7 +23,7 @@
 )
 
 
-def client_timeouts(limits: ClientLimits) -> FrontLimits:
+def front_limits(limits: ClientLimits) -> FrontLimits:
     """Return the timeouts and sizes that connections of clients are held to."""
     return FrontLimits(
         first_byte_ms=1000.0 * limits.idle_timeout_s,
--- a/wickspring/dataplane/policy/attempts.py
+++ b/wickspring/dataplane/policy/attempts.py
@@ -79,7 +79,7 @@
         self.timed_out = self.timed_out or outcome is AttemptOutcome.TIMED_OUT
 
     def hedge_at(self, typical_ms: float) -> float:
-        """Return when an unanswered attempt of a repeatable request is followed by another."""
+        """Return when an unanswered attempt of an idempotent request is followed by another."""
         earliest_ms = HEDGE_TARGET_SHARE * 1000.0 * self.route.target_s
         return self.started_at + max(HEDGE_TYPICAL_FACTOR * typical_ms, earliest_ms)
 
--- a/wickspring/dataplane/process.py
+++ b/wickspring/dataplane/process.py
@@ -22,7 +22,7 @@
 from wickspring.dataplane.control_client.listener import UsageReports
 from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.dataplane.gossip import GossipNode
-from wickspring.dataplane.limits import INITIAL_LIMITS, client_timeouts, connection_limits
+from wickspring.dataplane.limits import INITIAL_LIMITS, connection_limits, front_limits
 from wickspring.dataplane.local_state import DataPlaneState
 from wickspring.dataplane.policy.endpoint_selection import EndpointSelector
 from wickspring.dataplane.policy.quota import QuotaPolicy
@@ -140,8 +140,8 @@
 
     def client_disconnected(self, request_number: int) -> None:
         """Note that a client has disconnected; an attempt that has been sent may still end."""
-        self.startup_queue.on_client_gone(request_number)
-        self.responder.on_client_gone(request_number)
+        self.startup_queue.on_client_disconnected(request_number)
+        self.responder.on_client_disconnected(request_number)
 
     def data_plane_count(self) -> int:
         """Return how many data planes there are, by the highest count; 0 where it is not known."""
@@ -156,7 +156,7 @@
 
     def on_routing_table(self, routing_table: RoutingTable) -> None:
         """Adapt timeouts and connection limits to a new configuration."""
-        self.front_limits = client_timeouts(routing_table.client_limits)
+        self.front_limits = front_limits(routing_table.client_limits)
         self.limits = connection_limits(routing_table, self.data_plane_count())
         self.upstream.limits = self.limits
         self.upstream.pools.settings.limits = self.limits
--- a/wickspring/dataplane/request/hedging.py
+++ b/wickspring/dataplane/request/hedging.py
@@ -1,6 +1,6 @@
 """Hedged attempts: a second attempt beside a slow first one.
 
-A repeatable request that is not answered within a multiple of its route's typical latency is also sent to a
+An idempotent request that is not answered within a multiple of its route's typical latency is also sent to a
 second endpoint (Dean and Barroso, "The Tail at Scale", 2013).
 """
 
--- a/wickspring/dataplane/request/response.py
+++ b/wickspring/dataplane/request/response.py
@@ -136,7 +136,7 @@
 
     # Ends.
 
-    def on_client_gone(self, number: int) -> None:
+    def on_client_disconnected(self, number: int) -> None:
         """Forget a client that has gone away; an attempt that has been sent may end."""
         request = self._context.requests.get(number)
         if request is None:
--- a/wickspring/dataplane/request/startup_queue.py
+++ b/wickspring/dataplane/request/startup_queue.py
@@ -46,7 +46,7 @@
             if incoming is not None:
                 self._admit(incoming)
 
-    def on_client_gone(self, number: int) -> None:
+    def on_client_disconnected(self, number: int) -> None:
         """Forget a request whose client has gone away."""
         self._waiting.pop(number, None)
 
