--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -342,13 +342,13 @@
 def test_rights_go_to_where_they_are_wanted_and_names_that_are_none_are_dropped() -> None:
     one, other = shares(Bounds(retries_per_s=8)), shares(Bounds(retries_per_s=8), 1)
     assert [one.take(0.0, "retries") for _ in range(5)] == [True] * 4 + [False]
-    assert one.slots_to_ask(1.0) == [1]
+    assert one.slots_to_request_from(1.0) == [1]
     messages = one.messages_to(1.0, "b", 1)
     one.on_messages(2.0, "b", 1, 1.0, other.answer(2.0, "a", 0, 0.0, messages))
     assert one.take(3.0, "retries")  # lent: half of the other's part at most
     assert [other.take(3.0, "retries") for _ in range(4)] == [True] * 3 + [False]
     names = ("x", "cap 9 9", "dials")
-    wrong = ShareMessages(tuple(msgspec.structs.replace(messages.asks[0], budget=name) for name in names))
+    wrong = ShareMessages(tuple(msgspec.structs.replace(messages.requests[0], budget=name) for name in names))
     assert other.answer(4.0, "a", 0, 0.0, wrong).grants == ()
     assert one.take(0.0, "probes")  # not bounded by this file
     assert len(other.held) == 1
@@ -357,7 +357,7 @@
 def test_a_plan_s_attempts_at_once_are_held_over_both_ingresses() -> None:
     bounds = Bounds()
     held = [shares(bounds, slot, plan={"max_in_flight": 4}) for slot in range(2)]
-    policies = [Policy(one.settings, one) for one in held]
+    policies = [Policy(one.catalog.settings, one) for one in held]
     entries = tuple(api.ServerEntry(bytes([n]), 0, 0, api.Readiness.READY, 1.0, 0.0) for n in range(8))
     out = []
     for policy in policies:
@@ -388,12 +388,12 @@
 
 def test_a_successor_spends_nothing_until_its_predecessor_does_not_any_more() -> None:
     old, new = shares(Bounds(retries_per_s=8)), shares(Bounds(retries_per_s=8))
-    new.overdue = True
+    new.waits_for_predecessor = True
     assert old.take(0.0, "retries")
     assert not new.take(0.0, "retries")
-    old.retire(10.0)
+    old.hand_over(10.0)
     assert not old.take(10.0, "retries")
-    new.begin(10.0)
+    new.take_over(10.0)
     assert not new.take(500.0, "retries")  # what the old one spent is still busy
     assert new.take(1100.0, "retries")
 
--- a/tests/peer_state/test_budgets.py
+++ b/tests/peer_state/test_budgets.py
@@ -15,7 +15,17 @@
 from pyModelChecking.CTL import AG, EF, AtomicProposition, Not, modelcheck
 
 from wickspring.peer_state import budgets
-from wickspring.peer_state.budgets import Ask, Back, Grant, Held, Loan, Terms
+from wickspring.peer_state.budgets import (
+    BorrowedUse,
+    BudgetTerms,
+    Grant,
+    HeldRights,
+    Loan,
+    LoanReturn,
+    Offer,
+    PendingRequest,
+    RightsRequest,
+)
 
 BUDGET = "b"
 FLIGHT = 2  # messages on their way at once
@@ -29,33 +39,37 @@
 
 
 Message = tuple[int, int, Any]  # from, to, what
-State = tuple[tuple[Held | None, ...], tuple[Message, ...], tuple[float, ...]]  # and the ages of uses
+State = tuple[tuple[HeldRights | None, ...], tuple[Message, ...], tuple[float, ...]]  # and the ages of uses
 Found = dict[State, list[State]]  # of a model whose clocks show 0 at every moment
 
 
 @pytest.fixture(autouse=True)
 def even_clocks(monkeypatch: pytest.MonkeyPatch, request: pytest.FixtureRequest) -> None:
     if "explored" in request.node.name or "defect" in request.node.name:
-        monkeypatch.setattr(budgets, "SPREAD", 1.0)  # whole ticks; unlike clocks are tried by chance below
+        monkeypatch.setattr(
+            budgets, "CLOCK_RATIO", 1.0
+        )  # whole ticks; unlike clocks are tried by chance below
 
 
-def passed(held: Held | None) -> Held | None:
+def passed(held: HeldRights | None) -> HeldRights | None:
     """Move all times of one ingress a tick nearer."""
     if held is None:
         return None
 
     def loans(some: tuple[Loan, ...]) -> tuple[Loan, ...]:
-        return tuple(msgspec.structs.replace(loan, until=loan.until - 1.0) for loan in some)
+        return tuple(msgspec.structs.replace(loan, expires_at=loan.expires_at - 1.0) for loan in some)
 
     later = msgspec.structs.replace(
         held,
-        busy=tuple(until - 1.0 for until in held.busy),
+        own_in_use=tuple(until - 1.0 for until in held.own_in_use),
         lent=loans(held.lent),
         borrowed=loans(held.borrowed),
-        used=tuple((number, until - 1.0) for number, until in held.used),
-        asked=tuple((number, at - 1.0, renew) for number, at, renew in held.asked if at > -4.0),
+        borrowed_in_use=tuple(BorrowedUse(number, until - 1.0) for number, until in held.borrowed_in_use),
+        pending=tuple(
+            PendingRequest(number, at - 1.0, renew) for number, at, renew in held.pending if at > -4.0
+        ),
     )
-    return budgets.settle(later, 0.0)
+    return budgets.expire(later, 0.0)
 
 
 def numbers(state: State) -> int:
@@ -65,22 +79,24 @@
     for held in helds:
         if held is not None:
             used |= {loan.number for loan in (*held.lent, *held.borrowed)}
-            used |= {number for one in held.asked for number in (one[0], one[2])}
+            used |= {number for one in held.pending for number in (one.number, one.renewed_loan)}
     return next(number for number in range(3, 100) if number not in used)
 
 
-def steps(state: State, parts: tuple[int, ...], terms: Terms, shape: Shape) -> Iterator[State]:
+def steps(state: State, parts: tuple[int, ...], terms: BudgetTerms, shape: Shape) -> Iterator[State]:
     """Return every state that one step leads to. Who is stopped takes none of its own for a while."""
     helds, flight, uses = state
 
-    def put(place: int, held: Held | None, sent: tuple[Message, ...] = flight, used: Any = uses) -> State:
+    def put(
+        place: int, held: HeldRights | None, sent: tuple[Message, ...] = flight, used: Any = uses
+    ) -> State:
         return (*helds[:place], held, *helds[place + 1 :]), tuple(sorted(sent, key=repr)), used
 
-    yield tuple(map(passed, helds)), flight, tuple(age + 1.0 for age in uses if age + 1.0 < terms.hold)
+    yield tuple(map(passed, helds)), flight, tuple(age + 1.0 for age in uses if age + 1.0 < terms.hold_ms)
     begins = not flight if shape.in_turn else all(isinstance(what, Grant) for _, _, what in flight)
     for place, held in enumerate(helds):
         if held is None:
-            yield put(place, budgets.begun(parts[place], terms, 0.0, 0.0))
+            yield put(place, budgets.initial_rights(parts[place], terms, 0.0, 0.0))
             continue
         spent = budgets.spend(held, 0.0, terms)
         if spent is not None:
@@ -90,20 +106,20 @@
         if len(flight) >= FLIGHT or not begins:
             continue
         for other in range(len(helds)):
-            wants = [Ask(BUDGET, numbers(state), 1)] if parts[other] and other != place else []
+            wants = [RightsRequest(BUDGET, numbers(state), 1)] if parts[other] and other != place else []
             wants += [
-                Ask(BUDGET, numbers(state), loan.amount, loan.number)
+                RightsRequest(BUDGET, numbers(state), loan.amount, loan.number)
                 for loan in held.borrowed
-                if loan.other == str(other)
+                if loan.peer == str(other)
             ]
             for want in wants:
-                asked = budgets.ask(held, 0.0, terms, want) if not held.asked else None
+                asked = budgets.record_request(held, 0.0, terms, want) if not held.pending else None
                 if asked is not None:
                     yield put(place, asked, (*flight, (place, other, want)))
         for loan in held.borrowed:
-            after, back = budgets.give_back(held, 0.0, BUDGET, loan.number)
+            after, back = budgets.return_loan(held, 0.0, BUDGET, loan.number)
             if back is not None:
-                yield put(place, after, (*flight, (place, int(loan.other), back)))
+                yield put(place, after, (*flight, (place, int(loan.peer), back)))
     for index, (source, to, what) in enumerate(flight):
         rest = flight[:index] + flight[index + 1 :]
         yield helds, rest, uses  # lost
@@ -111,19 +127,19 @@
         if target is None:
             continue
         for left in (rest, flight):  # once, or to come again
-            if isinstance(what, Ask):
-                after, grant = budgets.lend(target, 0.0, terms, str(source), what, numbers(state), 0)
+            if isinstance(what, RightsRequest):
+                after, grant = budgets.lend(target, 0.0, terms, str(source), what, Offer(numbers(state), 0))
                 answer = ((to, source, grant),) if grant is not None and len(left) < FLIGHT else ()
                 yield put(to, after, (*left, *answer))
             elif isinstance(what, Grant):
-                yield put(to, budgets.accept(target, 0.0, terms, str(source), what), left)
+                yield put(to, budgets.accept_grant(target, 0.0, terms, str(source), what), left)
             else:
-                yield put(to, budgets.take_back(target, 0.0, str(source), what), left)
+                yield put(to, budgets.accept_return(target, 0.0, str(source), what), left)
 
 
-def explore(parts: tuple[int, ...], terms: Terms, shape: Shape, most: int = 150_000) -> Found:
+def explore(parts: tuple[int, ...], terms: BudgetTerms, shape: Shape, most: int = 150_000) -> Found:
     """Return every state that can be reached, with where it leads; none may be over the bound."""
-    todo: deque[State] = deque([(tuple(Held(part) for part in parts), (), ())])
+    todo: deque[State] = deque([(tuple(HeldRights(part) for part in parts), (), ())])
     found: Found = {}
     while todo:
         state = todo.popleft()
@@ -135,17 +151,19 @@
     return found
 
 
-TWO = (1, 0), Terms(rights=1, hold=2.0, lease=2.0), Shape(mortal=(0,))
-SMALL = (1, 0), Terms(rights=1, hold=2.0, lease=1.0), Shape(mortal=(0,))
-THREE = (1, 0, 0), Terms(rights=1, hold=1.0, lease=1.0), Shape(mortal=(0,), in_turn=True)
+TWO = (1, 0), BudgetTerms(rights=1, hold_ms=2.0, lease_ms=2.0), Shape(mortal=(0,))
+SMALL = (1, 0), BudgetTerms(rights=1, hold_ms=2.0, lease_ms=1.0), Shape(mortal=(0,))
+THREE = (1, 0, 0), BudgetTerms(rights=1, hold_ms=1.0, lease_ms=1.0), Shape(mortal=(0,), in_turn=True)
 
 
 @pytest.mark.parametrize(("parts", "terms", "shape"), [TWO, THREE], ids=["explored-two", "explored-three"])
 def test_whatever_is_lost_repeated_late_killed_or_stopped_no_bound_is_passed_and_no_right_is_lost(
-    parts: tuple[int, ...], terms: Terms, shape: Shape
+    parts: tuple[int, ...], terms: BudgetTerms, shape: Shape
 ) -> None:
     found = explore(parts, terms, shape)
-    assert any(held is not None and held.used for helds, _, _ in found for held in helds)  # loans are spent
+    assert any(
+        held is not None and held.borrowed_in_use for helds, _, _ in found for held in helds
+    )  # loans are spent
     place = {state: number for number, state in enumerate(found)}
     whole = {
         number
@@ -167,7 +185,11 @@
 
 
 def test_explored_from_the_real_transitions_the_bound_holds_on_all_paths_as_ctl_says() -> None:
-    parts, terms, shape = (1, 0), Terms(rights=1, hold=1.0, lease=1.0), Shape(mortal=(0,), in_turn=True)
+    parts, terms, shape = (
+        (1, 0),
+        BudgetTerms(rights=1, hold_ms=1.0, lease_ms=1.0),
+        Shape(mortal=(0,), in_turn=True),
+    )
     found = explore(parts, terms, shape)
     place = {state: number for number, state in enumerate(found)}
     labels = {}
@@ -186,51 +208,55 @@
 
 
 def defects() -> dict[str, Callable[[pytest.MonkeyPatch], None]]:
-    real_lend, real_accept = budgets.lend, budgets.accept
-    real_give, real_take = budgets.give_back, budgets.take_back
+    real_lend, real_accept = budgets.lend, budgets.accept_grant
+    real_give, real_take = budgets.return_loan, budgets.accept_return
 
     def back_too_soon(patch: pytest.MonkeyPatch) -> None:
-        patch.setattr(Terms, "back", property(lambda self: self.lease))
+        patch.setattr(BudgetTerms, "return_ms", property(lambda self: self.lease_ms))
 
     def lost_when_given_back(patch: pytest.MonkeyPatch) -> None:
-        def take(held: Held, now: float, borrower: str, back: Back) -> Held:
+        def take(held: HeldRights, now: float, borrower: str, back: LoanReturn) -> HeldRights:
             after = real_take(held, now, borrower, back)
             return msgspec.structs.replace(after, part=held.part - len(held.lent) + len(after.lent))
 
-        patch.setattr(budgets, "take_back", take)
+        patch.setattr(budgets, "accept_return", take)
 
     def twice_accepted(patch: pytest.MonkeyPatch) -> None:
-        def accept(held: Held, now: float, terms: Terms, lender: str, grant: Grant) -> Held:
+        def accept(held: HeldRights, now: float, terms: BudgetTerms, lender: str, grant: Grant) -> HeldRights:
             after = real_accept(held, now, terms, lender, grant)
-            return msgspec.structs.replace(after, asked=held.asked)
+            return msgspec.structs.replace(after, pending=held.pending)
 
-        patch.setattr(budgets, "accept", accept)
+        patch.setattr(budgets, "accept_grant", accept)
 
     def held_from_the_answer(patch: pytest.MonkeyPatch) -> None:
-        def accept(held: Held, now: float, terms: Terms, lender: str, grant: Grant) -> Held:
-            fresh = tuple((number, now, renew) for number, _, renew in held.asked)
-            return real_accept(msgspec.structs.replace(held, asked=fresh), now, terms, lender, grant)
+        def accept(held: HeldRights, now: float, terms: BudgetTerms, lender: str, grant: Grant) -> HeldRights:
+            fresh = tuple(PendingRequest(number, now, renew) for number, _, renew in held.pending)
+            return real_accept(msgspec.structs.replace(held, pending=fresh), now, terms, lender, grant)
 
-        patch.setattr(budgets, "accept", accept)
+        patch.setattr(budgets, "accept_grant", accept)
 
     def forgets_its_loans(patch: pytest.MonkeyPatch) -> None:
-        patch.setattr(budgets, "begun", lambda part, terms, started, now: Held(part))
+        patch.setattr(budgets, "initial_rights", lambda part, terms, started, now: HeldRights(part))
 
     def kept_when_given_back(patch: pytest.MonkeyPatch) -> None:
-        def give(held: Held, now: float, budget: str, number: int) -> tuple[Held, Back | None]:
+        def give(
+            held: HeldRights, now: float, budget: str, number: int
+        ) -> tuple[HeldRights, LoanReturn | None]:
             return held, real_give(held, now, budget, number)[1]
 
-        patch.setattr(budgets, "give_back", give)
+        patch.setattr(budgets, "return_loan", give)
 
     def given_back_in_use(patch: pytest.MonkeyPatch) -> None:
-        def give(held: Held, now: float, budget: str, number: int) -> tuple[Held, Back | None]:
-            idle = msgspec.structs.replace(held, used=())
+        def give(
+            held: HeldRights, now: float, budget: str, number: int
+        ) -> tuple[HeldRights, LoanReturn | None]:
+            idle = msgspec.structs.replace(held, borrowed_in_use=())
             return real_give(idle, now, budget, number)
 
-        patch.setattr(budgets, "give_back", give)
+        patch.setattr(budgets, "return_loan", give)
 
     def lent_twice(patch: pytest.MonkeyPatch) -> None:
-        def lend(held: Held, *rest: Any) -> tuple[Held, Grant | None]:
+        def lend(held: HeldRights, *rest: Any) -> tuple[HeldRights, Grant | None]:
             after, grant = real_lend(held, *rest)
             return (held if grant is not None else after), grant
 
@@ -269,12 +295,15 @@
 @given(st.integers(0, 2**32), st.integers(2, 7), st.integers(1, 12))
 def test_by_chance_no_hold_ever_sees_more_spent_than_the_bound(seed: int, slots: int, rights: int) -> None:
     random = Random(seed)
-    terms = Terms(rights, hold=1000.0, lease=3000.0)
-    rates = [1.0 + random.choice((-1.0, 1.0, random.uniform(-1, 1))) * budgets.DRIFT for _ in range(slots)]
+    terms = BudgetTerms(rights, hold_ms=1000.0, lease_ms=3000.0)
+    rates = [
+        1.0 + random.choice((-1.0, 1.0, random.uniform(-1, 1))) * budgets.MAX_CLOCK_DRIFT
+        for _ in range(slots)
+    ]
     zeros = [random.uniform(0.0, 1e9) for _ in range(slots)]
     parts = [budgets.part_of(rights, slots, slot, BUDGET) for slot in range(slots)]
     assert sum(parts) == rights
-    helds, stopped = [Held(part) for part in parts], [-1.0] * slots
+    helds, stopped = [HeldRights(part) for part in parts], [-1.0] * slots
     true, number, spent, flight = 0.0, 10, list[float](), list[Message]()
     for _ in range(700):
         true += random.choice((0.0, 1.0, 30.0, random.uniform(0.0, 400.0)))
@@ -291,19 +320,21 @@
                     spent.append(true)
             case 3:
                 other = random.randrange(slots)
-                mine = [loan for loan in held.borrowed if loan.other == str(other)]
+                mine = [loan for loan in held.borrowed if loan.peer == str(other)]
                 renew = random.choice(mine).number if mine and random.random() < 0.5 else 0
-                want = Ask(BUDGET, number, random.randint(1, 4), renew)
-                asked = budgets.ask(held, now, terms, want) if other != place else None
+                want = RightsRequest(BUDGET, number, random.randint(1, 4), renew)
+                asked = budgets.record_request(held, now, terms, want) if other != place else None
                 if asked is not None:
                     helds[place] = asked
                     flight.append((place, other, want))
             case 4 if held.borrowed:
                 loan = random.choice(held.borrowed)
-                helds[place], back = budgets.give_back(held, now, BUDGET, loan.number)
-                flight += [(place, int(loan.other), back)] if back is not None else []
+                helds[place], back = budgets.return_loan(held, now, BUDGET, loan.number)
+                flight += [(place, int(loan.peer), back)] if back is not None else []
             case 5 if random.random() < 0.1:
-                helds[place] = budgets.begun(parts[place], terms, now, now)  # killed, and back at once
+                helds[place] = budgets.initial_rights(
+                    parts[place], terms, now, now
+                )  # killed, and back at once
             case 6 if random.random() < 0.1:
                 stopped[place] = true + random.uniform(0.0, 6000.0)
             case _ if flight:
@@ -312,42 +343,42 @@
                 if random.random() < 0.2 or true < stopped[to]:
                     continue
                 at = zeros[to] + true * rates[to]
-                if isinstance(what, Ask):
-                    helds[to], grant = budgets.lend(helds[to], at, terms, str(source), what, number, 0)
+                if isinstance(what, RightsRequest):
+                    helds[to], grant = budgets.lend(helds[to], at, terms, str(source), what, Offer(number, 0))
                     flight += [(to, source, grant)] if grant is not None else []
                 elif isinstance(what, Grant):
-                    helds[to] = budgets.accept(helds[to], at, terms, str(source), what)
+                    helds[to] = budgets.accept_grant(helds[to], at, terms, str(source), what)
                 else:
-                    helds[to] = budgets.take_back(helds[to], at, str(source), what)
-    real = terms.hold / (1.0 + budgets.DRIFT)  # the least that a hold is by any clock
+                    helds[to] = budgets.accept_return(helds[to], at, str(source), what)
+    real = terms.hold_ms / (1.0 + budgets.MAX_CLOCK_DRIFT)  # the least that a hold is by any clock
     for index, at in enumerate(spent):
         assert sum(at <= other < at + real - 0.01 for other in spent[index:]) <= rights
     for place in range(slots):  # and in the end all are back
         now = zeros[place] + (true + 60_000.0) * rates[place]
-        helds[place] = budgets.settle(helds[place], now)
+        helds[place] = budgets.expire(helds[place], now)
     assert [held.own_free for held in helds] == parts
 
 
 def test_a_use_that_is_over_leaves_those_that_go_on_busy_for_no_shorter() -> None:
-    terms = Terms(4, hold=100.0, lease=1000.0)
-    held = Held(3)
+    terms = BudgetTerms(4, hold_ms=100.0, lease_ms=1000.0)
+    held = HeldRights(3)
     for at in (0.0, 10.0, 20.0):
         after = budgets.spend(held, at, terms)
         assert after is not None
         held = after
     assert budgets.spend(held, 30.0, terms) is None
     held = budgets.release(held, 40.0)  # whichever it was
-    assert held.busy == (110.0, 120.0)
+    assert held.own_in_use == (110.0, 120.0)
     assert budgets.spend(held, 50.0, terms) is not None
 
 
 def test_half_of_a_part_is_never_lent_and_what_is_in_use_is_kept() -> None:
-    terms = Terms(8, hold=100.0, lease=1000.0)
-    want = Ask(BUDGET, 1, 8)
-    held, grant = budgets.lend(Held(8), 0.0, terms, "b", want, 5, 0)
+    terms = BudgetTerms(8, hold_ms=100.0, lease_ms=1000.0)
+    want = RightsRequest(BUDGET, 1, 8)
+    held, grant = budgets.lend(HeldRights(8), 0.0, terms, "b", want, Offer(5, 0))
     assert grant == Grant(BUDGET, 1, 5, 4)
     assert held.own_free == 4
-    assert budgets.lend(held, 0.0, terms, "c", want, 6, 0)[1] is None
-    assert budgets.lend(Held(8), 0.0, terms, "b", want, 5, 7)[1] == Grant(BUDGET, 1, 5, 1)
-    assert budgets.settle(held, terms.back - 1.0).own_free == 4
-    assert budgets.settle(held, terms.back).own_free == 8
+    assert budgets.lend(held, 0.0, terms, "c", want, Offer(6, 0))[1] is None
+    assert budgets.lend(HeldRights(8), 0.0, terms, "b", want, Offer(5, 7))[1] == Grant(BUDGET, 1, 5, 1)
+    assert budgets.expire(held, terms.return_ms - 1.0).own_free == 4
+    assert budgets.expire(held, terms.return_ms).own_free == 8
--- a/wickspring/lab/simulation/large_peers.py
+++ b/wickspring/lab/simulation/large_peers.py
@@ -27,7 +27,7 @@
 from wickspring.lab.simulation.timeline import Timeline
 from wickspring.lab.traffic import schedule
 from wickspring.peer_state.messages import PeerInfo, PeerMessage
-from wickspring.peer_state.participant import Participant
+from wickspring.peer_state.participant import Participant, ParticipantSettings
 from wickspring.peer_state.shares import Shares
 from wickspring.routing.aperture import subset
 from wickspring.settings.pairs import flatten
@@ -60,9 +60,8 @@
         shares = Shares(settings, bounds, EPOCH_MS, EPOCH_MS - AGE_MS, number, scenario.peers.counts)
         hall = f"hall-{number % scenario.servers.halls}"
         info = PeerInfo(f"at-{number}", hall=hall, slot=number, slots=scenario.ingresses.count)
-        self.participant = Participant(
-            self.name, info, shares, fleet.now, round_s=scenario.peers.round_s, seed=fleet.seed + number
-        )
+        participant_settings = ParticipantSettings(scenario.peers.round_s, fleet.seed + number)
+        self.participant = Participant(self.name, info, shares, fleet.now, participant_settings)
         self.subset = subset(fleet.servers, number, scenario.ingresses.count)
         self.bytes_sent = 0
         self.avoided_until: dict[api.ServerId, float] = {}  # ms, by its own clock
--- a/wickspring/net/ingress_process.py
+++ b/wickspring/net/ingress_process.py
@@ -130,8 +130,13 @@
         """Record how many descriptors the other process holds: 0 once it has ended."""
         self.runtime.peer_descriptors = descriptors
         peers = self.runtime.peers
-        if peers is not None and descriptors == 0 and peers.shares.overdue and not self.runtime.draining:
-            peers.shares.begin(self.runtime.clock.now())
+        if (
+            peers is not None
+            and descriptors == 0
+            and peers.shares.waits_for_predecessor
+            and not self.runtime.draining
+        ):
+            peers.shares.take_over(self.runtime.clock.now())
 
     def open_descriptors(self) -> int:
         """Return how many descriptors this process holds."""
--- a/wickspring/net/peers.py
+++ b/wickspring/net/peers.py
@@ -39,7 +39,7 @@
     StatusRequest,
     View,
 )
-from wickspring.peer_state.participant import Participant
+from wickspring.peer_state.participant import Participant, ParticipantSettings
 from wickspring.peer_state.shares import Shares
 from wickspring.settings.address import parse_address
 from wickspring.tls import Certificates
@@ -86,9 +86,7 @@
             self._own_info(),
             shares,
             self._started_at,
-            round_s=self.config.round_s,
-            seed=self.random.getrandbits(32),
-            hearsay_share=self.config.hearsay_share,
+            ParticipantSettings(self.config.round_s, self.random.getrandbits(32), self.config.hearsay_share),
         )
         self.members = self.participant.members
         self.error_counts = self.participant.error_counts
@@ -135,9 +133,9 @@
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Listen, and make exchanges for as long as this process serves."""
-        if self.shares.overdue:
+        if self.shares.waits_for_predecessor:
             task_status.started()  # it serves meanwhile; the process before this one still listens here
-            while self.shares.overdue:
+            while self.shares.waits_for_predecessor:
                 await trio.sleep(SUCCESSION_CHECK_S)
             listener = await self._listen(retry=True)
         else:
@@ -261,12 +259,12 @@
         self.shares.expire(self.clock.now())
 
     async def _write_spent_log(self, path: Path) -> None:
-        self.shares.spent = []
+        self.shares.spent_log = []
         with path.open("a") as file:
             while True:
                 with trio.CancelScope(shield=True):
-                    spent = self.shares.spent
-                    self.shares.spent = []
+                    spent = self.shares.spent_log
+                    self.shares.spent_log = []
                     file.writelines(f"{at:.3f} {name}\n" for at, name in spent)
                     file.flush()
                 await trio.sleep(SPENT_LOG_S)
--- a/wickspring/net/server.py
+++ b/wickspring/net/server.py
@@ -119,7 +119,7 @@
         if peers is None:
             return
         if successor is not None and successor.welcome is not None:
-            peers.shares.overdue = True  # until the process before this one spends no more
+            peers.shares.waits_for_predecessor = True  # until the process before this one spends no more
         await self.nursery.start(peers.run)
 
     def _make_fronts(self, listeners: list[socket.socket]) -> None:
@@ -139,7 +139,7 @@
         known = bool(runtime.directory.addresses)
         with trio.move_on_after(FIRST_LIST_S):
             await (runtime.discovery.tried if known else runtime.discovery.received).wait()
-        if runtime.peers is not None and not runtime.peers.shares.overdue:
+        if runtime.peers is not None and not runtime.peers.shares.waits_for_predecessor:
             await runtime.peers.wait_to_open()
 
     async def _listen_for_successor(self) -> None:
--- a/wickspring/peer_state/budgets.py
+++ b/wickspring/peer_state/budgets.py
@@ -1,269 +1,341 @@
-"""A quantity of which all ingresses together may use only so much, held as rights. Pure; times are ms.
+"""A quantity of which all data planes together may use only so much, held as rights. Pure; times are ms.
 
-A budget has B rights. A right that is spent is busy for a hold (the window of a rate, or the longest that
-what it pays for can last) and then free again, so never more than B are spent in any hold. Every right has
-a home: each of the N slots of the fleet is home to an even part of B, which it needs nobody's word to
-spend. A home lends what it does not need; a loan ends by itself, and no message is needed for it to end:
+A budget has B rights. A right that is spent is in use for a hold (the window of a rate, or the longest that
+what it pays for can last) and then free again, so never more than B are spent in any hold. Every right has a
+home: each of the N slots of the fleet is home to an even part of B, which it needs nobody's message to spend.
+A home lends what it does not need, under a lease (Gray and Cheriton, 1989): a loan ends by itself, and no
+message is needed for it to end:
 
-    the borrower holds it for `lease` ms by its own clock, from the moment in which it asked;
-    the home has it back after (lease + hold) x SPREAD ms by its own clock, from the moment in which it lent.
+    the borrower holds it for `lease_ms` by its own clock, from the moment in which it sent its request;
+    the home has it back after (lease_ms + hold_ms) x CLOCK_RATIO by its own clock, from when it lent.
 
-The home lent after it was asked, and SPREAD covers clocks whose rates differ from true time by 1% either
-way, so when the home has the rights back, the borrower cannot spend them any more and what it spent them on
-is over:
+The home lent after the request was sent, and CLOCK_RATIO covers clocks whose rates differ from true time by
+MAX_CLOCK_DRIFT either way, so when the home has the rights back, the borrower cannot spend them any more and
+what it spent them on is over:
 
-    own parts free + own parts busy + lent out and not back = part,   and the parts add up to B         (I)
+    own part: free + in use + lent out and not back = part,     and the parts add up to B               (I)
     spent by a borrower from a loan in any hold <= the loan, which its home counts as lent              (II)
 
-(I) and (II) hold at each ingress by itself, so messages lost, repeated or late, cuts, pauses and deaths
-cannot break them. A process that starts does not know what its earlier life spent and lent; it takes all of
-its part for lent to that life until the time for it is over (`begun`). A half of each part is never lent: an
-ingress that hears nobody serves by that, and by what has come back.
+(I) and (II) hold at each data plane by itself, so messages lost, repeated or late, partitions, pauses and
+crashes cannot break them. A process that starts does not know what the process before it in its slot spent
+and lent; it takes all of its part as lent to that one until the time for it is over (`initial_rights`). A
+half of each part is never lent: a data plane that receives from nobody serves by that, and by what has come
+back.
 
-Which rights go where is a matter of use alone, and none of safety: who was refused a right asks, and who has
-more than it has lately used lends.
+Which rights go where is a matter of use alone, and none of safety: who was refused a right requests some, and
+who has more than it has lately used lends.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
 from zlib import crc32
 
 import msgspec
 
-DRIFT = 0.01  # by which a clock's rate may differ from true time
-SPREAD = (1.0 + DRIFT) / (1.0 - DRIFT)
-EARLIER_LIFE = ""  # to which a process that starts takes its own part to be lent
-LOANS_MOST, ASKS_MOST = 64, 8  # of one budget: loans either way, asks that are out
-EARLY = 1e-6  # ms by which sums of times may fall short
+MAX_CLOCK_DRIFT = 0.01  # by which a clock's rate may differ from true time
+CLOCK_RATIO = (1.0 + MAX_CLOCK_DRIFT) / (1.0 - MAX_CLOCK_DRIFT)
+PREVIOUS_PROCESS = ""  # the borrower to which a process that starts takes its own part as lent
+MAX_LOANS = 64  # of one budget, either way
+MAX_PENDING_REQUESTS = 8  # of one budget
+ROUNDING_MS = 1e-6  # by which sums of times may fall short
 
 
-class Terms(msgspec.Struct, frozen=True):
-    """What all ingresses hold of one budget alike; it follows from settings and lists."""
+class BudgetTerms(msgspec.Struct, frozen=True):
+    """What all data planes know of one budget alike; it follows from settings and lists."""
 
     rights: int
-    hold: float
-    lease: float
+    hold_ms: float
+    lease_ms: float
 
     @property
-    def back(self) -> float:
-        """Return ms after which what was lent is back by the home's own clock."""
-        return (self.lease + self.hold) * SPREAD
+    def return_ms(self) -> float:
+        """The time after which what was lent is back, by the home's own clock."""
+        return (self.lease_ms + self.hold_ms) * CLOCK_RATIO
 
 
 class Loan(msgspec.Struct, frozen=True):
-    """Rights lent or borrowed."""
+    """Rights lent to or borrowed from a peer."""
 
-    other: str
+    peer: str
     number: int
     amount: int
-    until: float
+    expires_at: float
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True):
-    """A wish for rights, or (`renew`) to keep a loan."""
+class RightsRequest(msgspec.Struct, frozen=True, array_like=True):
+    """A request for rights, or to keep a loan; the order of the fields is fixed by the wire."""
 
     budget: str
     number: int
     amount: int
-    renew: int = 0
+    renewed_loan: int = 0  # 0 where rights are requested anew
 
 
 class Grant(msgspec.Struct, frozen=True, array_like=True):
-    """An answer to an ask: so many rights, as a loan of this number."""
+    """The answer to a request: a loan; the order of the fields is fixed by the wire."""
 
     budget: str
-    ask: int
-    number: int
+    request_number: int
+    loan_number: int
     amount: int
 
 
-class Back(msgspec.Struct, frozen=True, array_like=True):
-    """A loan given back before its time; its borrower holds it no more."""
+class LoanReturn(msgspec.Struct, frozen=True, array_like=True):
+    """A loan returned before its end; its borrower holds it no more. The wire fixes the order."""
 
     budget: str
+    loan_number: int
+
+
+class BorrowedUse(NamedTuple):
+    """A borrowed right that is in use."""
+
+    loan_number: int
+    until: float
+
+
+class PendingRequest(NamedTuple):
+    """A request that has been sent and not answered."""
+
     number: int
+    sent_at: float
+    renewed_loan: int
+
+
+class Offer(NamedTuple):
+    """What a lender answers a request with."""
 
+    loan_number: int
+    reserve: int  # rights that the lender keeps, by what it lately used
 
-class Held(msgspec.Struct, frozen=True):
-    """One ingress's rights of one budget."""
 
-    part: int  # whose home this is
-    busy: tuple[float, ...] = ()  # of the own: until when
+class HeldRights(msgspec.Struct, frozen=True):
+    """One data plane's rights of one budget."""
+
+    part: int  # of which this data plane is the home
+    own_in_use: tuple[float, ...] = ()  # the time at which each is free again
     lent: tuple[Loan, ...] = ()
     borrowed: tuple[Loan, ...] = ()
-    used: tuple[tuple[int, float], ...] = ()  # of the borrowed, by loan: until when they are busy
-    asked: tuple[tuple[int, float, int], ...] = ()  # asks that are out: number, when, and the loan to keep
+    borrowed_in_use: tuple[BorrowedUse, ...] = ()
+    pending: tuple[PendingRequest, ...] = ()
 
     @property
-    def floor(self) -> int:
-        """Return how many of the part are never lent."""
+    def never_lent(self) -> int:
+        """How many of the part are never lent."""
         return self.part // 2
 
+    @property
+    def total_lent(self) -> int:
+        """How many of the part are lent."""
+        return sum(loan.amount for loan in self.lent)
+
     @property
     def own_free(self) -> int:
-        """Return how many of the part may be spent now, once settled."""
-        return self.part - len(self.busy) - sum(loan.amount for loan in self.lent)
+        """How many of the part may be spent now, once expired."""
+        return self.part - len(self.own_in_use) - self.total_lent
 
-    def loan_free(self, loan: Loan) -> int:
+    def free_of_loan(self, loan: Loan) -> int:
         """Return how many of a borrowed loan may be spent now."""
-        return loan.amount - sum(number == loan.number for number, _ in self.used)
+        return loan.amount - sum(use.loan_number == loan.number for use in self.borrowed_in_use)
 
     @property
     def free(self) -> int:
-        """Return how many may be spent now, once settled."""
-        return self.own_free + sum(self.loan_free(loan) for loan in self.borrowed)
+        """How many may be spent now, once expired."""
+        return self.own_free + sum(self.free_of_loan(loan) for loan in self.borrowed)
 
     @property
-    def out(self) -> int:
-        """Return how many are busy here."""
-        return len(self.busy) + len(self.used)
+    def in_use(self) -> int:
+        """How many are in use here."""
+        return len(self.own_in_use) + len(self.borrowed_in_use)
 
     @property
-    def idle(self) -> bool:
-        """Tell whether nothing would be lost by forgetting this."""
-        return not (self.busy or self.lent or self.borrowed or self.asked)
+    def is_forgettable(self) -> bool:
+        """Whether nothing would be lost by forgetting this."""
+        return not (self.own_in_use or self.lent or self.borrowed or self.pending)
 
 
 def part_of(rights: int, slots: int, slot: int, name: str) -> int:
-    """Return a slot's part of a budget; what does not go round is dealt from a place that the name says."""
+    """Return a slot's part of a budget; the remainder is dealt from a slot that the name selects."""
     place = (slot + crc32(name.encode())) % slots
     return rights // slots + (place < rights % slots)
 
 
-def begun(part: int, terms: Terms, started: float, now: float) -> Held:
+def initial_rights(part: int, terms: BudgetTerms, started_at: float, now: float) -> HeldRights:
     """Return the rights of a process that started then, as of its first use of a budget.
 
-    An earlier life may have spent what is never lent until the very start, and lent the rest.
+    The process before it in its slot may have spent what is never lent until the very start, and lent the
+    rest.
     """
-    held = Held(part)
-    kept, given = part // 2, part - part // 2
+    held = HeldRights(part)
+    kept, lendable = part // 2, part - part // 2
     loans = (
-        Loan(EARLIER_LIFE, 1, kept, started + terms.hold * SPREAD),
-        Loan(EARLIER_LIFE, 2, given, started + terms.back),
+        Loan(PREVIOUS_PROCESS, 1, kept, started_at + terms.hold_ms * CLOCK_RATIO),
+        Loan(PREVIOUS_PROCESS, 2, lendable, started_at + terms.return_ms),
     )
-    return settle(msgspec.structs.replace(held, lent=tuple(loan for loan in loans if loan.amount)), now)
+    return expire(msgspec.structs.replace(held, lent=tuple(loan for loan in loans if loan.amount)), now)
 
 
-def settle(held: Held, now: float) -> Held:
-    """Let go what time has ended: loans either way, and rights that were busy."""
-    if held.idle:
+def expire(held: HeldRights, now: float) -> HeldRights:
+    """Drop what time has ended: loans either way, and uses."""
+    if held.is_forgettable:
         return held
-    borrowed = tuple(loan for loan in held.borrowed if now < loan.until)
+    borrowed = tuple(loan for loan in held.borrowed if now < loan.expires_at)
     numbers = {loan.number for loan in borrowed}
     return msgspec.structs.replace(
         held,
-        busy=tuple(until for until in held.busy if now < until - EARLY),
-        lent=tuple(loan for loan in held.lent if now < loan.until - EARLY),
+        own_in_use=tuple(until for until in held.own_in_use if now < until - ROUNDING_MS),
+        lent=tuple(loan for loan in held.lent if now < loan.expires_at - ROUNDING_MS),
         borrowed=borrowed,
-        used=tuple((n, until) for n, until in held.used if n in numbers and now < until - EARLY),
+        borrowed_in_use=tuple(
+            use
+            for use in held.borrowed_in_use
+            if use.loan_number in numbers and now < use.until - ROUNDING_MS
+        ),
     )
 
 
-def spend(held: Held, now: float, terms: Terms) -> Held | None:
+# Spending.
+
+
+def spend(held: HeldRights, now: float, terms: BudgetTerms) -> HeldRights | None:
     """Spend one right, a borrowed one first: those end, and the own may be lent; None where none is free."""
-    held = settle(held, now)
-    for loan in sorted(held.borrowed, key=lambda loan: loan.until):
-        if held.loan_free(loan) > 0:
-            return msgspec.structs.replace(held, used=(*held.used, (loan.number, now + terms.hold)))
+    held = expire(held, now)
+    until = now + terms.hold_ms
+    for loan in sorted(held.borrowed, key=lambda loan: loan.expires_at):
+        if held.free_of_loan(loan) > 0:
+            uses = (*held.borrowed_in_use, BorrowedUse(loan.number, until))
+            return msgspec.structs.replace(held, borrowed_in_use=uses)
     if held.own_free <= 0:
         return None
-    return msgspec.structs.replace(held, busy=(*held.busy, now + terms.hold))
+    return msgspec.structs.replace(held, own_in_use=(*held.own_in_use, until))
 
 
-def release(held: Held, now: float) -> Held:
+def release(held: HeldRights, now: float) -> HeldRights:
     """Free one right whose use is over for certain before its hold is.
 
     Rights are alike, so it need not be the one that was spent: it is the one that would be free first, which
-    leaves those that are busy for no shorter than the uses that go on.
+    leaves the others in use for no shorter than the uses that go on.
     """
-    held = settle(held, now)
-    own = min(held.busy, default=None)
-    borrowed = min(held.used, key=lambda pair: pair[1], default=None)
-    if borrowed is not None and (own is None or borrowed[1] < own):
-        at = held.used.index(borrowed)
-        return msgspec.structs.replace(held, used=held.used[:at] + held.used[at + 1 :])
+    held = expire(held, now)
+    own = min(held.own_in_use, default=None)
+    borrowed = min(held.borrowed_in_use, key=lambda use: use.until, default=None)
+    if borrowed is not None and (own is None or borrowed.until < own):
+        uses = list(held.borrowed_in_use)
+        uses.remove(borrowed)
+        return msgspec.structs.replace(held, borrowed_in_use=tuple(uses))
     if own is None:
         return held
-    at = held.busy.index(own)
-    return msgspec.structs.replace(held, busy=held.busy[:at] + held.busy[at + 1 :])
+    own_uses = list(held.own_in_use)
+    own_uses.remove(own)
+    return msgspec.structs.replace(held, own_in_use=tuple(own_uses))
+
+
+# Borrowing and lending.
 
 
-def ask(held: Held, now: float, terms: Terms, want: Ask) -> Held | None:
-    """Note an ask that goes out now; None where too many are out, or the loan to keep has ended."""
-    held = settle(held, now)
-    out = tuple(one for one in held.asked if now < one[1] + terms.lease)
-    if len(out) >= ASKS_MOST or (want.renew and all(loan.number != want.renew for loan in held.borrowed)):
+def record_request(
+    held: HeldRights, now: float, terms: BudgetTerms, request: RightsRequest
+) -> HeldRights | None:
+    """Record a request that is sent now; None where too many are pending, or the loan to keep has ended."""
+    held = expire(held, now)
+    pending = tuple(earlier for earlier in held.pending if now < earlier.sent_at + terms.lease_ms)
+    if len(pending) >= MAX_PENDING_REQUESTS:
         return None
-    return msgspec.structs.replace(held, asked=(*out, (want.number, now, want.renew)))
+    renewed = request.renewed_loan
+    if renewed and all(loan.number != renewed for loan in held.borrowed):
+        return None
+    return msgspec.structs.replace(held, pending=(*pending, PendingRequest(request.number, now, renewed)))
 
 
 def lend(
-    held: Held, now: float, terms: Terms, borrower: str, want: Ask, number: int, keep: int
-) -> tuple[Held, Grant | None]:
-    """Answer an ask, `keep` being what is lately used here; None where nothing can be given.
+    held: HeldRights, now: float, terms: BudgetTerms, borrower: str, request: RightsRequest, offer: Offer
+) -> tuple[HeldRights, Grant | None]:
+    """Answer a request; None where nothing can be lent."""
+    held = expire(held, now)
+    expires_at = now + terms.return_ms
+    if request.renewed_loan:
+        return _renew_loan(held, expires_at, borrower, request, offer.reserve)
+    lendable = min(
+        held.own_free,
+        held.part - held.never_lent - held.total_lent,
+        held.part - held.total_lent - offer.reserve,
+    )
+    amount = min(request.amount, lendable)
+    if amount <= 0 or len(held.lent) >= MAX_LOANS or borrower == PREVIOUS_PROCESS:
+        return held, None
+    loan = Loan(borrower, offer.loan_number, amount, expires_at)
+    grant = Grant(request.budget, request.number, offer.loan_number, amount)
+    return msgspec.structs.replace(held, lent=(*held.lent, loan)), grant
+
 
-    A loan that is renewed is out until its new end: should the answer be lost, the borrower goes by the old.
+def _renew_loan(
+    held: HeldRights, expires_at: float, borrower: str, request: RightsRequest, reserve: int
+) -> tuple[HeldRights, Grant | None]:
+    """Let a borrower keep a loan for longer; None where it has ended, or its rights are wanted here.
+
+    The loan is out until its new end: should the answer be lost, the borrower goes by the old one.
     """
-    held = settle(held, now)
-    until = now + terms.back
-    if want.renew:
-        mine = [loan for loan in held.lent if (loan.other, loan.number) == (borrower, want.renew)]
-        if not mine or held.own_free < keep - held.out:
-            return held, None  # ended, or wanted here: it goes on to its end, and comes back
-        later = msgspec.structs.replace(mine[0], until=max(until, mine[0].until))
-        lent = tuple(later if loan is mine[0] else loan for loan in held.lent)
-        grant = Grant(want.budget, want.number, later.number, later.amount)
-        return msgspec.structs.replace(held, lent=lent), grant
-    given = sum(loan.amount for loan in held.lent)
-    lendable = min(held.own_free, held.part - held.floor - given, held.part - given - keep)
-    amount = min(want.amount, lendable)
-    if amount <= 0 or len(held.lent) >= LOANS_MOST or borrower == EARLIER_LIFE:
+    loans = [loan for loan in held.lent if (loan.peer, loan.number) == (borrower, request.renewed_loan)]
+    if not loans or held.own_free < reserve - held.in_use:
         return held, None
-    loan = Loan(borrower, number, amount, until)
-    grant = Grant(want.budget, want.number, number, amount)
-    return msgspec.structs.replace(held, lent=(*held.lent, loan)), grant
+    renewed = msgspec.structs.replace(loans[0], expires_at=max(expires_at, loans[0].expires_at))
+    lent = tuple(renewed if loan is loans[0] else loan for loan in held.lent)
+    grant = Grant(request.budget, request.number, renewed.number, renewed.amount)
+    return msgspec.structs.replace(held, lent=lent), grant
 
 
-def accept(held: Held, now: float, terms: Terms, lender: str, grant: Grant) -> Held:
-    """Take in the answer to an ask that is out, and to none else.
+def accept_grant(held: HeldRights, now: float, terms: BudgetTerms, lender: str, grant: Grant) -> HeldRights:
+    """Take in the answer to a request that is pending, and to none else.
 
-    One that comes again finds its ask gone. Else a loan that was given back meanwhile would be held here
-    and at its home; for the same reason a loan that was to be kept is not taken for a new one.
+    A grant that is received again finds its request gone. Else a loan that was returned meanwhile would be
+    held here and at its home; for the same reason a loan that was to be kept is not taken for a new one.
     """
-    held = settle(held, now)
-    found = [one for one in held.asked if one[0] == grant.ask]
+    held = expire(held, now)
+    found = [request for request in held.pending if request.number == grant.request_number]
     if not found:
         return held
-    _, at, renew = found[0]
-    held = msgspec.structs.replace(held, asked=tuple(one for one in held.asked if one is not found[0]))
-    until = at + terms.lease
-    if now >= until or grant.amount <= 0:
+    request = found[0]
+    pending = tuple(other for other in held.pending if other is not request)
+    held = msgspec.structs.replace(held, pending=pending)
+    expires_at = request.sent_at + terms.lease_ms
+    if now >= expires_at or grant.amount <= 0:
         return held
-    if renew:
-        borrowed = tuple(
-            msgspec.structs.replace(loan, until=max(loan.until, until))
-            if (loan.other, loan.number) == (lender, grant.number) and renew == grant.number
-            else loan
-            for loan in held.borrowed
-        )
-        return msgspec.structs.replace(held, borrowed=borrowed)
-    if len(held.borrowed) >= LOANS_MOST or any(loan.number == grant.number for loan in held.borrowed):
+    if request.renewed_loan:
+        if request.renewed_loan != grant.loan_number:
+            return held
+        return _extend_loan(held, expires_at, lender, grant.loan_number)
+    if len(held.borrowed) >= MAX_LOANS or any(loan.number == grant.loan_number for loan in held.borrowed):
         return held
-    loan = Loan(lender, grant.number, grant.amount, until)
+    loan = Loan(lender, grant.loan_number, grant.amount, expires_at)
     return msgspec.structs.replace(held, borrowed=(*held.borrowed, loan))
 
 
-def give_back(held: Held, now: float, budget: str, number: int) -> tuple[Held, Back | None]:
-    """Let go of a borrowed loan of which nothing is busy; the word of it may be lost."""
-    held = settle(held, now)
-    kept = tuple(loan for loan in held.borrowed if loan.number != number)
-    if len(kept) == len(held.borrowed) or any(n == number for n, _ in held.used):
+def _extend_loan(held: HeldRights, expires_at: float, lender: str, loan_number: int) -> HeldRights:
+    """Hold a borrowed loan for longer."""
+    borrowed = tuple(
+        msgspec.structs.replace(loan, expires_at=max(loan.expires_at, expires_at))
+        if (loan.peer, loan.number) == (lender, loan_number)
+        else loan
+        for loan in held.borrowed
+    )
+    return msgspec.structs.replace(held, borrowed=borrowed)
+
+
+def return_loan(
+    held: HeldRights, now: float, budget: str, loan_number: int
+) -> tuple[HeldRights, LoanReturn | None]:
+    """Let go of a borrowed loan of which nothing is in use; the message of it may be lost."""
+    held = expire(held, now)
+    kept = tuple(loan for loan in held.borrowed if loan.number != loan_number)
+    in_use = any(use.loan_number == loan_number for use in held.borrowed_in_use)
+    if len(kept) == len(held.borrowed) or in_use:
         return held, None
-    return msgspec.structs.replace(held, borrowed=kept), Back(budget, number)
+    return msgspec.structs.replace(held, borrowed=kept), LoanReturn(budget, loan_number)
 
 
-def take_back(held: Held, now: float, borrower: str, back: Back) -> Held:
-    """Take in that a borrower has let go of a loan; for one that is not out it changes nothing."""
-    held = settle(held, now)
-    rest = tuple(loan for loan in held.lent if (loan.other, loan.number) != (borrower, back.number))
-    return msgspec.structs.replace(held, lent=rest)
+def accept_return(held: HeldRights, now: float, borrower: str, returned: LoanReturn) -> HeldRights:
+    """Take in that a borrower has returned a loan; for one that is not lent it changes nothing."""
+    held = expire(held, now)
+    lent = tuple(loan for loan in held.lent if (loan.peer, loan.number) != (borrower, returned.loan_number))
+    return msgspec.structs.replace(held, lent=lent)
--- a/wickspring/peer_state/participant.py
+++ b/wickspring/peer_state/participant.py
@@ -8,6 +8,7 @@
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 from random import Random
 
 import msgspec
@@ -30,9 +31,19 @@
 AVOID_MS = 1000.0  # for which one evaluation of others' reports holds
 COUNTS_MS = 900.0  # between exchanges with the others of a customer's set
 COUNTS_WITHOUT_COUNTER_MS = 300.0  # the same while the counter does not answer
+DEFAULT_HEARSAY_SHARE = 0.34
 COUNTER_LOST_MS = 100.0  # between the last unanswered call and the last answer
 
 
+@dataclass(slots=True, frozen=True)
+class ParticipantSettings:
+    """How a participant gossips, and what it heeds."""
+
+    round_s: float  # between two rounds of gossip
+    seed: int
+    hearsay_share: float = DEFAULT_HEARSAY_SHARE  # of the servers that others' reports may have it avoid
+
+
 class Participant:
     """What one data plane knows of the others, and what it tells them."""
 
@@ -42,18 +53,15 @@
         info: PeerInfo,
         shares: Shares,
         now: float,
-        *,
-        round_s: float,
-        seed: int,
-        hearsay_share: float = 0.34,
+        settings: ParticipantSettings,
     ) -> None:
         self.info = info
         self.shares = shares
-        self.hearsay_share = hearsay_share
-        self.random = Random(seed)
+        self.settings = settings
+        self.random = Random(settings.seed)
         now_s = now / MS_PER_S
         self.members: Membership[PeerInfo] = Membership(
-            name, round(now_s, 3), info, round_s, self.random.getrandbits(32), now_s
+            name, round(now_s, 3), info, settings.round_s, self.random.getrandbits(32), now_s
         )
         self.directory = PeerDirectory(self.members, info.hall)
         self.error_counts: Counter[str] = Counter()
@@ -88,7 +96,7 @@
     def leave(self, now: float, succeeded: bool) -> None:
         """Publish that this process stops; one that is `succeeded` by another spends nothing any more."""
         if succeeded:
-            self.shares.retire(now)
+            self.shares.hand_over(now)
         self._publish(msgspec.structs.replace(self.info, left=True))
 
     def _publish(self, info: PeerInfo) -> None:
@@ -121,7 +129,7 @@
 
     def lenders(self, now: float) -> list[str]:
         """Return those that may have a right that was refused here."""
-        return self._holders_of(self.shares.slots_to_ask(now))
+        return self._holders_of(self.shares.slots_to_request_from(now))
 
     def _holders_of(self, slots: Iterable[int]) -> list[str]:
         return [name for slot in slots if (name := self.directory.holder_of(slot)) is not None]
@@ -230,7 +238,7 @@
             self.directory.witnesses(now),
             {server_name(server): started_at for server, started_at in started.items()},
             self.directory.hall_count,
-            self.hearsay_share,
+            self.settings.hearsay_share,
         )
         if not self.avoided:
             return None
@@ -253,7 +261,7 @@
             budgets=tuple(BudgetView(*row) for row in self.shares.table(now)),
             avoided=self.avoided,
             customers=len(self.shares.ledger),
-            refused=self.shares.denied,
+            refused=self.shares.refused_count,
             error_counts=dict(self.error_counts),
         )
 
--- a/wickspring/peer_state/shares.py
+++ b/wickspring/peer_state/shares.py
@@ -13,9 +13,10 @@
 
 from wickspring import interface as api
 from wickspring.peer_state import counts
-from wickspring.peer_state.budget_rights import MAX_ASKS, NEVER, BudgetRights
-from wickspring.peer_state.budgets import Ask, Back, Grant
+from wickspring.peer_state.budget_rights import MAX_REQUESTS, BudgetRights
+from wickspring.peer_state.budgets import Grant, LoanReturn, RightsRequest
 from wickspring.peer_state.judgements import FailureReport, Judge
+from wickspring.peer_state.recent_usage import NEVER
 from wickspring.settings.peers_file import Bounds
 
 MAX_COUNTS = 48  # in one message
@@ -26,9 +27,9 @@
 class ShareMessages(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
     """What one data plane sends another, beside the gossip; the order of the fields is fixed by the wire."""
 
-    asks: tuple[Ask, ...] = ()
+    requests: tuple[RightsRequest, ...] = ()
     grants: tuple[Grant, ...] = ()
-    backs: tuple[Back, ...] = ()
+    returns: tuple[LoanReturn, ...] = ()
     sums: tuple[counts.UsageSum, ...] = ()
     relayed: tuple[counts.RelayedSum, ...] = ()
 
@@ -102,10 +103,10 @@
 
     def messages_to(self, now: float, name: str, slot: int) -> ShareMessages:
         """Return what to send another data plane as the one that starts an exchange."""
-        asks, backs = self.ask_for_rights(now, name, slot)
+        requests, returns = self.requests_for(now, name, slot)
         sums = self.ledger.take_sums(now, slot, MAX_COUNTS)
         relayed = self.ledger.take_relayed(now, slot, MAX_COUNTS)
-        return ShareMessages(asks=asks, backs=backs, sums=sums, relayed=relayed)
+        return ShareMessages(requests=requests, returns=returns, sums=sums, relayed=relayed)
 
     def on_messages(
         self, now: float, name: str, slot: int, incarnation: float, messages: ShareMessages
@@ -113,8 +114,8 @@
         """Take in what another data plane has sent."""
         self.last_received_at[slot] = now
         self.ledger.merge(now, slot, incarnation, messages.sums, messages.relayed)
-        for back in messages.backs:
-            self.on_returned(now, name, back)
+        for returned in messages.returns:
+            self.on_returned(now, name, returned)
         for grant in messages.grants:
             self.on_granted(now, name, grant)
 
@@ -123,7 +124,7 @@
     ) -> ShareMessages:
         """Take in what another data plane has sent, and return the answer."""
         self.on_messages(now, name, slot, incarnation, messages)
-        answers = [self.lend(now, name, request) for request in messages.asks[:MAX_ASKS]]
+        answers = [self.lend(now, name, request) for request in messages.requests[:MAX_REQUESTS]]
         grants = tuple(grant for grant in answers if grant is not None)
         sums = self.ledger.take_sums(now, slot, MAX_COUNTS)
         relayed = self.ledger.take_relayed(now, slot, MAX_COUNTS)
