--- a/wickspring/net/counter.py
+++ b/wickspring/net/counter.py
@@ -1,7 +1,7 @@
 """The counter service: a few pipelined connections, answers matched in order.
 
-A call that has timed out keeps its place in the line of its connection, or later answers would be taken
-for earlier ones. Calls for one name always take the same connection, so their answers come in order.
+A call that has timed out keeps its place among the unanswered of its connection, or later answers would be
+taken for earlier ones. Calls for one name always take the same connection, so their answers come in order.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTIONS = 4
-IDLE_MOST = 4000.0  # ms; the counter closes what is idle for about 10 s, so nothing older is written to
-SILENCE_MOST = 1000.0  # ms without an answer owed for so long: the connection is replaced
-LONGEST_LIFE = 60_000.0
-LONGEST_LINE = 64
+CONNECTION_COUNT = 4
+MAX_IDLE_MS = 4000.0  # the counter closes what is idle for about 10 s, so nothing older is written to
+MAX_SILENCE_MS = 1000.0  # a connection on which an answer has been owed for so long is replaced
+MAX_KEEP_MS = 60_000.0  # that the counter keeps a count
+MAX_LINE_BYTES = 64
 _ANSWER = re.compile(rb"ok -?[0-9]{1,18}(\.[0-9]{0,12})?(e[+-]?[0-9]{1,2})?", re.IGNORECASE)
 _BEGUN = re.compile(rb"(o|ok|ok [-+.0-9eE]*|b|bu|bus|busy|e|er|err|erro|error|p|po|pon|pong)\r?")
 
@@ -38,10 +38,10 @@
 
 
 def encode(call: api.Count) -> bytes:
-    """Write one call; the life is at least 1 ms and is capped where the counter would cap it."""
+    """Write one call; it is kept for 1 ms at least, and no longer than the counter would keep it."""
     amount = f"{call.amount:.6f}".rstrip("0").rstrip(".")
-    life = max(1, min(int(LONGEST_LIFE), round(call.keep_for)))
-    return b"bump %d %s %d\r\n" % (call.name, amount.encode(), life)
+    keep_ms = max(1, min(int(MAX_KEEP_MS), round(call.keep_for)))
+    return b"bump %d %s %d\r\n" % (call.name, amount.encode(), keep_ms)
 
 
 def decode(line: bytes) -> tuple[Status, float]:
@@ -72,13 +72,13 @@
 
         Waited for, it would hold up every call on its connection.
         """
-        if self._rest and (len(self._rest) > LONGEST_LINE or not _BEGUN.fullmatch(self._rest)):
-            raise CounterError(f"not an answer: {self._rest[:LONGEST_LINE]!r}")
+        if self._rest and (len(self._rest) > MAX_LINE_BYTES or not _BEGUN.fullmatch(self._rest)):
+            raise CounterError(f"not an answer: {self._rest[:MAX_LINE_BYTES]!r}")
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A call; `done` once its `answer` stands, which its caller is told in the order of calls for a name."""
+class PendingCall:
+    """A call; once `done` its `answer` is known, and reported in the order of the calls for its name."""
 
     name: int
     asked_at: float
@@ -88,18 +88,18 @@
 
 
 class Connection:
-    """One connection to the counter and the line of calls on it."""
+    """One connection to the counter, and the calls on it in the order of their answers."""
 
     def __init__(self, counter: Counter) -> None:
         self.counter, self.address = counter, counter.address
         self.link: Link | None = None
-        self.line: deque[Waiting] = deque()
-        self.unwritten: list[tuple[Waiting, bytes]] = []  # asked for while the dial is on
+        self.unanswered: deque[PendingCall] = deque()
+        self.unwritten: list[tuple[PendingCall, bytes]] = []  # made while it is being dialed
         self.used_at = counter.clock.now()
-        self.dead = False
-        self.leaving = False  # no new calls: it ends with the last answer owed
+        self.closed = False
+        self.stopping = False  # no new calls: it closes with the last answer owed
 
-    def call(self, waiting: Waiting, data: bytes) -> None:
+    def call(self, waiting: PendingCall, data: bytes) -> None:
         """Write a call, or keep it until the connection is up."""
         self.used_at = waiting.asked_at
         if self.link is None:
@@ -110,7 +110,7 @@
             self.counter.finish(waiting, Status.CONNECT_FAILED)
             self.close()
         else:
-            self.line.append(waiting)
+            self.unanswered.append(waiting)
 
     async def run(self) -> None:
         """Dial, then read answers until the connection ends."""
@@ -118,7 +118,7 @@
         if sock is None:
             self.close()
             return
-        if self.dead:
+        if self.closed:
             sock.close()
             return
         self.link = link = Link(sock, self.counter.nursery)
@@ -130,7 +130,7 @@
         try:
             while data := await link.receive() or b"":
                 for line in reader.feed(data):
-                    self._answered(line)
+                    self._on_answer(line)
                 reader.check()
         except CounterError as error:
             log.warning("counter_garbled", extra=kv(reason=error))
@@ -138,41 +138,41 @@
             log.exception("counter_connection_failed", extra=kv(reason=error))
         self.close()
 
-    def _answered(self, line: bytes) -> None:
+    def _on_answer(self, line: bytes) -> None:
         if line == b"pong":
             return
         status, total = decode(line)
-        if not self.line:
+        if not self.unanswered:
             raise CounterError("an answer to no call")
-        self.counter.finish(self.line.popleft(), status, total)
-        if self.leaving and not self.line:
+        self.counter.finish(self.unanswered.popleft(), status, total)
+        if self.stopping and not self.unanswered:
             self.close()
 
-    def leave(self) -> list[tuple[Waiting, bytes]]:
+    def stop(self) -> list[tuple[PendingCall, bytes]]:
         """Take no more calls, wait for the answers owed, and hand back what has not been written."""
         unwritten, self.unwritten = self.unwritten, []
-        self.leaving = True
-        if self.line:
+        self.stopping = True
+        if self.unanswered:
             self.counter.timers.at(self.counter.clock.now() + self.counter.settings.count_timeout, self.close)
         else:
             self.close()
         return unwritten
 
-    def silent(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Tell whether an answer has been owed for too long."""
-        return bool(self.line) and now - self.line[0].asked_at > SILENCE_MOST
+        return bool(self.unanswered) and now - self.unanswered[0].asked_at > MAX_SILENCE_MS
 
     def close(self) -> None:
         """End this connection; what was written may have been added, the rest has not."""
-        self.dead = True
+        self.closed = True
         if self.link is not None:
             self.link.close()
         for waiting, _ in self.unwritten:
             self.counter.finish(waiting, Status.CONNECT_FAILED)
-        for waiting in self.line:  # no time-outs, which would tell the module of a crowded counter
+        for waiting in self.unanswered:  # no time-outs, which would tell the module of a crowded counter
             self.counter.finish(waiting, Status.RESET)
         self.unwritten.clear()
-        self.line.clear()
+        self.unanswered.clear()
 
 
 class Counter:
@@ -185,12 +185,12 @@
         clock: Clock,
         timers: Timers,
         nursery: trio.Nursery,
-        answered: Callable[[api.CountAnswer], None],
+        on_answer: Callable[[api.CountAnswer], None],
     ) -> None:
         self.address, self.settings, self.clock = address, settings, clock
-        self.timers, self.nursery, self.answered = timers, nursery, answered
-        self.connections: list[Connection | None] = [None] * CONNECTIONS
-        self._order: dict[int, deque[Waiting]] = {}  # by name, calls whose callers have not been told
+        self.timers, self.nursery, self._report = timers, nursery, on_answer
+        self.connections: list[Connection | None] = [None] * CONNECTION_COUNT
+        self._order: dict[int, deque[PendingCall]] = {}  # by name, calls whose callers have not been told
 
     def move(self, address: tuple[str, int]) -> None:
         """Call at another address from now on; calls that are out are answered from the old one."""
@@ -199,24 +199,24 @@
         self.address = address
         for place, old in enumerate(self.connections):
             fresh = self._open(place)
-            if old is not None and not old.dead:
-                for waiting, data in old.leave():
+            if old is not None and not old.closed:
+                for waiting, data in old.stop():
                     fresh.call(waiting, data)
 
     def call(self, call: api.Count) -> None:
         """Add to a named count."""
         now = self.clock.now()
-        waiting = Waiting(call.name, now)
+        waiting = PendingCall(call.name, now)
         overdue = partial(self.finish, waiting, Status.TIMEOUT)
         waiting.timer = self.timers.at(now + self.settings.count_timeout, overdue)
         self._order.setdefault(call.name, deque()).append(waiting)
-        self._connection(call.name % 2**33 % CONNECTIONS, now).call(waiting, encode(call))
+        self._connection(call.name % 2**33 % CONNECTION_COUNT, now).call(waiting, encode(call))
 
     def _connection(self, place: int, now: float) -> Connection:
         connection = self.connections[place]
-        if connection is not None and not connection.dead:
-            idle = not connection.line and now - connection.used_at > IDLE_MOST
-            if not idle and not connection.silent(now):
+        if connection is not None and not connection.closed:
+            idle = not connection.unanswered and now - connection.used_at > MAX_IDLE_MS
+            if not idle and not connection.is_unresponsive(now):
                 return connection
             connection.close()
         return self._open(place)
@@ -226,8 +226,8 @@
         self.nursery.start_soon(connection.run)
         return connection
 
-    def finish(self, waiting: Waiting, status: Status, total: float = 0.0) -> None:
-        """Tell the caller of one call's answer, once.
+    def finish(self, waiting: PendingCall, status: Status, total: float = 0.0) -> None:
+        """Report one call's answer, once.
 
         The module takes answers for a name in the order of its calls. Two connections, an old one and its
         successor, would not keep that order; so an answer waits here for those of earlier calls.
@@ -243,4 +243,4 @@
             if not order:
                 del self._order[first.name]
             elapsed = self.clock.now() - first.asked_at
-            self.answered(api.CountAnswer(first.name, *first.answer, elapsed))
+            self._report(api.CountAnswer(first.name, *first.answer, elapsed))
--- a/wickspring/peer_state/budget_rights.py
+++ b/wickspring/peer_state/budget_rights.py
@@ -8,13 +8,13 @@
 import math
 from collections.abc import Callable
 from random import Random
-from typing import NamedTuple
 
 import msgspec
 
 from wickspring import interface as api
 from wickspring.peer_state import budgets
 from wickspring.peer_state.budget_catalog import MS_PER_S, BudgetCatalog
+from wickspring.peer_state.budget_view import BudgetView
 from wickspring.peer_state.budgets import BudgetTerms, Grant, HeldRights, LoanReturn, Offer, RightsRequest
 from wickspring.peer_state.recent_usage import NEVER, RecentUsage
 from wickspring.settings.peers_file import Bounds
@@ -27,18 +27,6 @@
 REQUEST_SEQUENCE_BITS = 12
 
 
-class BudgetStatus(NamedTuple):
-    """One budget as operators see it, in rights."""
-
-    name: str
-    rights: int
-    part: int
-    free: int
-    in_use: int
-    lent: int
-    borrowed: int
-
-
 class BudgetRights(api.PeerState):
     """One data plane's rights of all budgets."""
 
@@ -275,7 +263,7 @@
 
     # Status.
 
-    def table(self, now: float) -> list[BudgetStatus]:
+    def table(self, now: float) -> list[BudgetView]:
         """Return the status of each budget that is in use."""
         rows = []
         for name, held in sorted(self.held.items()):
@@ -284,7 +272,7 @@
                 held = budgets.expire(held, now)
                 borrowed = sum(loan.amount for loan in held.borrowed)
                 rows.append(
-                    BudgetStatus(
+                    BudgetView(
                         name,
                         terms.rights,
                         held.part,
--- a/wickspring/peer_state/messages.py
+++ b/wickspring/peer_state/messages.py
@@ -11,6 +11,7 @@
 from wickspring.membership.anti_entropy import Digest, Entry
 from wickspring.membership.members import MemberInfo
 from wickspring.membership.suspicions import Suspicion
+from wickspring.peer_state.budget_view import BudgetView as BudgetView
 from wickspring.peer_state.judgements import FailureReport
 from wickspring.peer_state.shares import ShareMessages
 from wickspring.wire import ProtocolVersions
@@ -79,18 +80,6 @@
     failing_servers: tuple[str, ...] = ()  # ticket servers that fail it, by its own report
 
 
-class BudgetView(msgspec.Struct, frozen=True, rename={"in_use": "busy"}):
-    """One budget as held here, in rights."""
-
-    name: str
-    rights: int
-    part: int
-    free: int
-    in_use: int
-    lent: int
-    borrowed: int
-
-
 class View(msgspec.Struct, frozen=True, rename={"error_counts": "troubles"}):
     """The status of one data plane among the others."""
 
--- a/wickspring/peer_state/participant.py
+++ b/wickspring/peer_state/participant.py
@@ -17,7 +17,7 @@
 from wickspring.membership.anti_entropy import Entry
 from wickspring.membership.swim import Membership
 from wickspring.peer_state.directory import NEVER, PeerDirectory
-from wickspring.peer_state.messages import BudgetView, MemberView, PeerInfo, PeerMessage, Reply, View
+from wickspring.peer_state.messages import MemberView, PeerInfo, PeerMessage, Reply, View
 from wickspring.peer_state.shares import ShareMessages, Shares, server_name
 
 MS_PER_S = 1000.0
@@ -258,7 +258,7 @@
                 for name, entry in sorted(self.members.entries.items())
                 if entry.content is not None
             ),
-            budgets=tuple(BudgetView(*row) for row in self.shares.table(now)),
+            budgets=tuple(self.shares.table(now)),
             avoided=self.avoided,
             customers=len(self.shares.ledger),
             refused=self.shares.refused_count,
