--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from tests.lab.test_lab import kept
+from tests.lab.short_scenarios import assert_rules_kept
 from wickspring.lab.experiments import scenario
 from wickspring.lab.experiments.run import run
 from wickspring.lab.reports.result import Result
@@ -31,7 +31,7 @@
 
 
 def test_a_rolling_upgrade_loses_nothing() -> None:
-    result = kept(run(fleet("rolling-upgrade", 10.0), 1))
+    result = assert_rules_kept(run(fleet("rolling-upgrade", 10.0), 1))
     assert (result.instances, result.rolled, result.did_not_follow) == (6, 6, 0)
     assert result.served_share > 0.95
     assert result.answers_lost == result.answers_doubled == result.hall_floor_broken == 0
@@ -40,7 +40,7 @@
 
 
 def test_agents_killed_halfway_come_back_adopt_and_go_on() -> None:
-    result = kept(run(fleet("agent-killed", 14.0), 1))
+    result = assert_rules_kept(run(fleet("agent-killed", 14.0), 1))
     assert (result.rolled, result.did_not_follow) == (6, 0)
     assert ends(result, "upgrade") == ["done"]
     assert result.answers_lost == 0
@@ -55,7 +55,7 @@
 
 
 def test_of_two_conflicting_drains_one_wins_and_the_other_is_told() -> None:
-    result = kept(run(fleet("conflicting-drains", 8.0), 1))
+    result = assert_rules_kept(run(fleet("conflicting-drains", 8.0), 1))
     words = ends(result, "drain")
     assert sorted(text.split()[0] for text in words) == ["done", "refused"]
     refused = next(text for text in words if text.startswith("refused"))
