--- a/tests/controlplane/test_chain_defects.py
+++ b/tests/controlplane/test_chain_defects.py
@@ -17,8 +17,8 @@
 from wickspring.lab.faults.chaos import Chaos
 from wickspring.lab.faults.episodes import Episodes
 from wickspring.lab.faults.fault_injector import FaultKind
+from wickspring.lab.simulation.invariants import InvariantBrokenError
 from wickspring.lab.simulation.replication.node import SimulatedNode
-from wickspring.lab.simulation.replication.seeded_run import InvariantBrokenError
 from wickspring.lab.simulation.state_exploration import ONE_VERSION, Exploration, explore
 
 
--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -20,10 +20,10 @@
 from wickspring.dataplane.request.model import Request
 from wickspring.dataplane.upstream import UpstreamConnection
 from wickspring.lab.emulation.local_gateway import API_KEY, HOST, PURE_PREFIX
+from wickspring.lab.simulation.invariants import InvariantBrokenError
 from wickspring.lab.simulation.request_path.faulty_server import FAULTS
 from wickspring.lab.simulation.request_path.ledger import (
     EFFECTFUL_PREFIX,
-    InvariantBrokenError,
     request_body,
 )
 from wickspring.lab.simulation.request_path.simulation import LONG_BODY_BYTES, Simulation
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -457,13 +457,13 @@
 def seen(monkeypatch: pytest.MonkeyPatch) -> list[peer_ingresses.PeerIngresses]:
     """Keep the talk of each run, to look at what the ingresses said last."""
     kept: list[peer_ingresses.PeerIngresses] = []
-    real = peer_ingresses.PeerIngresses.judge
+    real = peer_ingresses.PeerIngresses.add_figures
 
-    def judge(self: peer_ingresses.PeerIngresses, result: Result, record: Any) -> None:
+    def add_figures(self: peer_ingresses.PeerIngresses, result: Result, record: Any) -> None:
         kept.append(self)
         real(self, result, record)
 
-    monkeypatch.setattr(peer_ingresses.PeerIngresses, "judge", judge)
+    monkeypatch.setattr(peer_ingresses.PeerIngresses, "add_figures", add_figures)
     return kept
 
 
--- a/wickspring/lab/emulation/peer_ingresses.py
+++ b/wickspring/lab/emulation/peer_ingresses.py
@@ -25,10 +25,10 @@
 from wickspring.peer_state.messages import PROTOCOL_VERSIONS, Reply, StatusRequest, View
 from wickspring.wire import LineClient, WireError, connect
 
-SAMPLE_S = 0.5  # between looks at each gateway's status
+SAMPLE_S = 0.5  # between requests for each gateway's status
 STATUS_TIMEOUT_S = 1.0
-ARRIVAL_JITTER = 0.3  # of a hold by which arrivals may be drawn together on their way
-HEARSAY_END_MS = 6000.0  # after a fault's end until its reports have expired
+ARRIVAL_JITTER = 0.3  # of a budget's period by which arrivals may be closer together than the dials were
+REPORT_EXPIRY_MS = 6000.0  # after a fault's end until the reports of it have expired
 MS_PER_S = 1000.0
 COUNTER = "counter"
 DISCOVERY = "discovery"
@@ -123,8 +123,8 @@
     async def _inject(self, fault: NetFault) -> None:
         sources = parties(self.scenario, fault.source)
         targets = parties(self.scenario, fault.target)
-        for turn in range(fault.times):
-            at = MS_PER_S * (fault.at_s + turn * (fault.for_s + fault.off_s))
+        for number in range(fault.times):
+            at = MS_PER_S * (fault.at_s + number * (fault.for_s + fault.off_s))
             await trio.sleep(max(0.0, at - self.site.clock.now()) / MS_PER_S)
             rule = self.relay.apply(fault, sources, targets)
             await trio.sleep(fault.for_s)
@@ -147,14 +147,14 @@
         return None
 
     async def sample(self) -> None:
-        """Sample periodically whom each gateway avoids by hearsay."""
+        """Sample periodically which servers each gateway avoids by reports of others."""
         while self.config.enabled:
             async with trio.open_nursery() as nursery:
                 for number in range(self.count):
-                    nursery.start_soon(self._look, number)
+                    nursery.start_soon(self._sample_one, number)
             await trio.sleep(SAMPLE_S)
 
-    async def _look(self, number: int) -> None:
+    async def _sample_one(self, number: int) -> None:
         view = await self.view(number)
         if view is None:
             return
@@ -168,7 +168,7 @@
 
     # Evaluation.
 
-    def judge(self, result: Result, record: Record) -> None:
+    def add_figures(self, result: Result, record: Record) -> None:
         """Add the figures of shared state to a result."""
         run = ObservedRun(self.scenario, record, self.site.requests, self.site.script.plans)
         result.ingresses = self.count
@@ -179,7 +179,7 @@
             for request in record.requests
         )
         result.served_inside_share = served_inside / max(1, len(record.requests))
-        result.judged_s, result.judged_worst_s = judged(self.scenario, record, self.avoided_since)
+        result.judged_s, result.judged_worst_s = detection_times_s(self.scenario, record, self.avoided_since)
         if not self.config.enabled:
             return
         result.judged_wrong_share = self.wrongly_avoided / max(1, self.sampled)
@@ -241,27 +241,28 @@
         server
         for fault in scenario.fault
         if fault.kind in AVOIDABLE_FAULTS
-        and MS_PER_S * fault.at_s <= at_ms <= MS_PER_S * (fault.at_s + fault.for_s) + HEARSAY_END_MS
+        and MS_PER_S * fault.at_s <= at_ms <= MS_PER_S * (fault.at_s + fault.for_s) + REPORT_EXPIRY_MS
         for server in fault.servers
     }
 
 
-def judged(
+def detection_times_s(
     scenario: Scenario, record: Record, avoided_since: dict[tuple[int, str], float]
 ) -> tuple[float, float]:
-    """Return the seconds until a gateway has learnt of a bad server: the median, and of nine in ten.
+    """Return the seconds until a gateway has detected a failing server: the median, and for nine in ten.
 
-    It learns by an attempt of its own that failed, or by hearsay; one that never did, by the fault's end.
+    It detects one by a failed attempt of its own or by reports of others; one that never did counts with the
+    fault's end.
     """
     gateway_of_call = {request.scheduled.call_id: request.ingress for request in record.requests}
-    took_s = list[float]()
+    times_s = list[float]()
     for fault in scenario.fault:
         if fault.kind not in DETECTED_FAULTS:
             continue
         begin = MS_PER_S * fault.at_s
         end = MS_PER_S * (fault.at_s + fault.for_s)
         for server in (f"s-{number}" for number in fault.servers):
-            learnt_at = {
+            detected_at = {
                 number: at
                 for (number, name), at in avoided_since.items()
                 if name == server and begin <= at <= end
@@ -269,15 +270,15 @@
             for arrival in record.arrivals:
                 if arrival.server == server and begin <= arrival.received_at <= end:
                     number = gateway_of_call.get(arrival.call_id, -1)
-                    learnt_at[number] = min(arrival.received_at, learnt_at.get(number, end))
+                    detected_at[number] = min(arrival.received_at, detected_at.get(number, end))
             for number in range(scenario.ingresses.count):
-                took_s.append((learnt_at.get(number, end) - begin) / MS_PER_S)
-    return middle_and_ninth(took_s)
+                times_s.append((detected_at.get(number, end) - begin) / MS_PER_S)
+    return median_and_p90(times_s)
 
 
-def middle_and_ninth(took: list[float]) -> tuple[float, float]:
-    """Return the median and what nine in ten keep to; -1 where there is none."""
-    if not took:
+def median_and_p90(values: list[float]) -> tuple[float, float]:
+    """Return the median and the 90th percentile; -1 for no values."""
+    if not values:
         return -1.0, -1.0
-    ordered = sorted(took)
+    ordered = sorted(values)
     return ordered[len(ordered) // 2], ordered[math.ceil(0.9 * len(ordered)) - 1]
--- a/wickspring/lab/experiments/scenario.py
+++ b/wickspring/lab/experiments/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios: what site is emulated, what is asked of it, and what goes wrong when.
+"""Scenarios: which site is emulated, which load it gets, and which faults happen when.
 
-A scenario is a TOML file; the shipped ones lie in `scenarios/`. Times are seconds or milliseconds, as each
-key's ending says. A fault in a file is reported with the key at fault.
+A scenario is a TOML file; the shipped ones are in `scenarios/`. Times are seconds or milliseconds, as each
+key's suffix says. An error in a file is reported with the key at fault.
 """
 
 from __future__ import annotations
@@ -54,12 +54,12 @@
     count: int = 8
     cores: int = 2
     halls: int = 3
-    queue: int = 40  # requests that wait, beyond those in work
+    queue: int = 40  # requests that may wait for a core
     table: int = 0  # connections that one holds before it refuses more; 0: any number
     open_ms: float = 1.0  # of core time that a new connection costs
     cold_share: float = 0.2
     warm_s: float = 18.0
-    idle_close_ms: float = 30_000.0  # told in the settings; a connection idle for so long is closed
+    idle_close_ms: float = 30_000.0  # after which an idle connection is closed; part of the settings
     hop_ms: float = 0.0  # one way, between gateway and server
 
 
@@ -72,16 +72,16 @@
 
 
 class Clients(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who asks."""
+    """The clients and their load."""
 
-    rate: float = 200.0  # requests a second, first tries
+    rate: float = 200.0  # requests a second, without retries
     firms: int = 60
-    heavy: float = 0.0  # share of the firms that ask for `heavy_x` times their quota
+    heavy: float = 0.0  # share of the firms that send `heavy_x` times their quota
     heavy_x: float = 3.0
-    most_units: int = 4
+    most_units: int = 4  # of a request
     retry: Literal["never", "at-once", "advised"] = "never"
     work_ms: tuple[float, float, float] = (40.0, 60.0, 60.0)  # mean, by class
-    quota_x: float = 4.0  # quotas in all, over what the usual firms ask for
+    quota_x: float = 4.0  # all quotas together, over what the other firms send
     skew: float = 0.0  # of a firm's requests over its ingresses; 0: even, 1: one has most
     shift_s: float = 0.0  # after which a firm's busiest ingress is another; 0: never
 
@@ -89,14 +89,14 @@
 class Counter(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The quota counter."""
 
-    ms: float = 0.5
-    per_s: float = 2000.0
+    ms: float = 0.5  # that a call takes
+    per_s: float = 2000.0  # calls
 
 
 class Discovery(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The list of ticket servers."""
 
-    late_ms: float = 500.0
+    late_ms: float = 500.0  # from a change until it is announced
 
 
 class Ingresses(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -109,7 +109,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One thing that goes wrong."""
+    """One fault of servers, the counter, discovery or ingresses."""
 
     at_s: float
     kind: FaultKind
@@ -121,7 +121,7 @@
 
 
 class NetFault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One thing that goes wrong between parties: ingresses, the counter, discovery.
+    """One fault of the network between parties: ingresses, the counter, discovery.
 
     Parties are named by all, hall:N, not-hall:N, half:0, half:1, nN, counter, discovery.
     """
@@ -135,23 +135,23 @@
     ms: float = 0.0  # delay
     jitter_ms: float = 0.0
     bytes_s: float = 1e9  # throttle
-    times: int = 1  # that it comes
-    off_s: float = 1.0  # between these
+    times: int = 1  # that it happens
+    off_s: float = 1.0  # between two of these
 
 
 class PeersPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The talk between ingresses."""
+    """The exchange of state between ingresses."""
 
     enabled: bool = False
     round_s: float = 0.5
     counts: bool = True
     judgements: bool = True
     budgets: Bounds = Bounds()
-    liars: tuple[int, ...] = ()  # ingresses that say of every ticket server that it fails
+    liars: tuple[int, ...] = ()  # ingresses that report every ticket server as failing
 
 
 class HotKey(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Some firms' requests gather on one ingress of their set."""
+    """All requests of some firms go through one ingress of their set."""
 
     at_s: float
     for_s: float
@@ -159,22 +159,22 @@
 
 
 class HotCaller(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One firm asks far beyond its quota."""
+    """One firm sends far more than its quota."""
 
     at_s: float
     for_s: float
-    load: float = 0.5  # requests more, as a share of all
+    load: float = 0.5  # additional requests, as a share of all
 
 
 class Command(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An operator's command to the fleet, given at a time."""
+    """An operator's command to the fleet."""
 
     at_s: float
-    words: tuple[str, ...]  # after `fleet`: drain hall=hall-a
+    words: tuple[str, ...]  # arguments after `fleet`, such as drain hall=hall-a
 
 
 class AgentFault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An agent that is killed, and begins again after a time."""
+    """An agent that is killed, and started again after a time."""
 
     at_s: float
     agent: int
@@ -189,29 +189,29 @@
 
 
 class FleetPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A fleet in place of single gateways: instances dealt to agents, one agent a hall."""
+    """A fleet in place of single gateways: instances distributed over agents, one agent a hall."""
 
     agents: int = 3
     hold_s: float = 1.0
     ready_within_s: float = 10.0
     overlap: bool = True
-    bad: Literal["", "never-ready", "fails"] = ""  # what is wrong with build 2
+    bad: Literal["", "never-ready", "fails"] = ""  # defect of build 2
     command: tuple[Command, ...] = ()
     kill: tuple[AgentFault, ...] = ()
     lose: tuple[InstanceFault, ...] = ()
-    extra_s: float = 40.0  # after the load, for commands that go on
+    extra_s: float = 40.0  # after the load, for commands that are not done yet
 
 
 class Virtual(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What only a run in virtual time has."""
+    """Settings of runs in virtual time."""
 
-    bounded: bool = True  # False: the same storm without limits on dials, to compare
-    subset: int = 0  # servers that each gateway is told of; 0: all
+    bounded: bool = True  # False: without limits on dials, for comparison
+    subset: int = 0  # servers that each gateway knows; 0: all
     reset_hold_ms: float = 200.0  # over which the connections break after a reset of all
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole scenario."""
+    """A complete scenario."""
 
     name: str
     about: str
@@ -278,29 +278,29 @@
     return scenario
 
 
-def party(scenario: Scenario, word: str) -> list[str]:
-    """Return the processes that one word of a network fault names; none for an unknown word."""
-    kind, _, rest = word.partition(":")
+def party(scenario: Scenario, name: str) -> list[str]:
+    """Return the processes of a party of a network fault; none for an unknown name."""
+    kind, _, rest = name.partition(":")
     count, halls = scenario.ingresses.count, scenario.servers.halls
     everyone = [f"n{number}" for number in range(count)]
     if kind in ("hall", "not-hall", "half"):
         if not rest.isdigit() or int(rest) >= (2 if kind == "half" else halls):
             return []
         if kind == "half":
-            return [name for n, name in enumerate(everyone) if (2 * n >= count) == (int(rest) == 1)]
-        return [name for n, name in enumerate(everyone) if (n % halls == int(rest)) == (kind == "hall")]
-    if word == "all":
+            return [one for n, one in enumerate(everyone) if (2 * n >= count) == (int(rest) == 1)]
+        return [one for n, one in enumerate(everyone) if (n % halls == int(rest)) == (kind == "hall")]
+    if name == "all":
         return everyone
-    return [word] if word in ("counter", "discovery", *everyone) else []
+    return [name] if name in ("counter", "discovery", *everyone) else []
 
 
-def parties(scenario: Scenario, words: tuple[str, ...]) -> list[str]:
-    """Return the processes that a network fault names."""
-    return [name for word in words for name in party(scenario, word)]
+def parties(scenario: Scenario, names: tuple[str, ...]) -> list[str]:
+    """Return the processes of several parties of a network fault."""
+    return [process for name in names for process in party(scenario, name)]
 
 
 def _shaped(scenario: Scenario, shape: Shape) -> Scenario:
-    """Apply what the site's shape says of the servers."""
+    """Apply the servers' settings of the site's shape."""
     values = {"halls": shape.halls, "cold_share": shape.cold_share, "warm_s": shape.warm_s}
     changes = {key: value for key, value in values.items() if value}
     return msgspec.structs.replace(scenario, servers=msgspec.structs.replace(scenario.servers, **changes))
--- a/wickspring/lab/experiments/scenario_checks.py
+++ b/wickspring/lab/experiments/scenario_checks.py
@@ -78,10 +78,10 @@
         yield f"{key}.at_s lies outside the run: {fault.at_s}"
     if fault.times < 1 or fault.bytes_s <= 0:
         yield f"{key}: times must be 1 or more, bytes_s above 0"
-    for end, words in (("source", fault.source), ("target", fault.target)):
-        for word in words:
-            if not party(scenario, word):
-                yield f"{key}.{end}: there is no {word!r}"
+    for end, names in (("source", fault.source), ("target", fault.target)):
+        for name in names:
+            if not party(scenario, name):
+                yield f"{key}.{end}: there is no {name!r}"
 
 
 def _peer_problems(scenario: Scenario) -> Iterator[str]:
--- a/wickspring/lab/experiments/socket_run.py
+++ b/wickspring/lab/experiments/socket_run.py
@@ -175,7 +175,7 @@
 
     def _evaluate(self, peers: PeerIngresses) -> Result:
         result = evaluate(self.scenario, self.seed, self.script, self.site.requests, self.site.record)
-        peers.judge(result, self.site.record)
+        peers.add_figures(result, self.site.record)
         figures: Counter[str] = Counter()
         for gateway in self.gateways:
             figures.update({key: value for key, value in gateway.figures().items() if key != "at"})
--- a/wickspring/lab/faults/network_relay.py
+++ b/wickspring/lab/faults/network_relay.py
@@ -1,8 +1,8 @@
-"""A stand-in network: a user-space relay on loopback between parties, with faults by direction.
+"""An emulated network: a user-space relay on loopback between parties, with faults by direction.
 
-Between a source and a target lies one listener; what a source sends goes the one way, what it is answered the
-other way, and each way is a direction between two parties, whoever opened the connection. So a path that is
-cut one way also takes the answers away from connections that were opened the other way, as lost packets do.
+Each pair of source and target has a listener of its own. A direction is between two parties, whoever opened
+the connection: a path that is cut in one direction also loses the answers on connections that were opened in
+the other one, as with lost packets.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 
 from wickspring.lab.experiments.scenario import NetFault
 
-PIECE = 65536
-LOOK_S = 0.005  # between looks whether a cut is over
+RECEIVE_BYTES = 65536
+POLL_S = 0.005  # between checks whether a cut is over
 
 
 @dataclass(eq=False)
 class Rule:
-    """A fault that holds now, from any of some parties to any of others."""
+    """A fault that is active, from any of its sources to any of its targets."""
 
     fault: NetFault
     sources: frozenset[str]
     targets: frozenset[str]
 
-    def holds(self, source: str, target: str) -> bool:
-        """Tell whether it holds in this direction."""
+    def applies(self, source: str, target: str) -> bool:
+        """Tell whether it applies to this direction."""
         if source in self.sources and target in self.targets:
             return True
         return not self.fault.one_way and target in self.sources and source in self.targets
 
 
 @dataclass(eq=False)
-class _Passage:
+class _RelayedConnection:
     """One relayed connection."""
 
     source: str
@@ -51,7 +51,7 @@
         self.nursery, self.random = nursery, random
         self.rules: list[Rule] = []
         self._paths: dict[tuple[str, str], str] = {}
-        self._passages: set[_Passage] = set()
+        self._connections: set[_RelayedConnection] = set()
 
     async def path(self, source: str, target: str, address: Callable[[], str]) -> str:
         """Return where a source is to reach a target, whose own address may change."""
@@ -64,43 +64,45 @@
         return known
 
     def apply(self, fault: NetFault, sources: Iterable[str], targets: Iterable[str]) -> Rule:
-        """Have a fault hold from now on; a reset happens at once, and is over."""
+        """Activate a fault; a reset happens at once, and is over."""
         rule = Rule(fault, frozenset(sources), frozenset(targets))
         if fault.kind == "reset":
-            for passage in list(self._passages):
-                if rule.holds(passage.source, passage.target) or rule.holds(passage.target, passage.source):
-                    self.nursery.start_soon(self._end, passage)
+            for connection in list(self._connections):
+                if rule.applies(connection.source, connection.target) or rule.applies(
+                    connection.target, connection.source
+                ):
+                    self.nursery.start_soon(self._end, connection)
         else:
             self.rules.append(rule)
         return rule
 
     def lift(self, rule: Rule) -> None:
-        """Have a fault be over."""
+        """Deactivate a fault."""
         if rule in self.rules:
             self.rules.remove(rule)
 
-    def _holding(self, source: str, target: str, kind: str) -> NetFault | None:
+    def _active_fault(self, source: str, target: str, kind: str) -> NetFault | None:
         return next(
-            (rule.fault for rule in self.rules if rule.fault.kind == kind and rule.holds(source, target)),
+            (rule.fault for rule in self.rules if rule.fault.kind == kind and rule.applies(source, target)),
             None,
         )
 
     async def _open_path(self, source: str, target: str) -> None:
-        while self._holding(source, target, "cut") is not None:
-            await trio.sleep(LOOK_S)
+        while self._active_fault(source, target, "cut") is not None:
+            await trio.sleep(POLL_S)
 
     async def _serve(
         self, source: str, target: str, address: Callable[[], str], near: trio.SocketStream
     ) -> None:
-        passage = _Passage(source, target, [near])
-        self._passages.add(passage)
+        connection = _RelayedConnection(source, target, [near])
+        self._connections.add(connection)
         try:
             async with near:
                 await self._open_path(source, target)  # the first packet of a dial, and its answer
                 await self._open_path(target, source)
                 host, _, port = address().rpartition(":")
                 async with await trio.open_tcp_stream(host, int(port)) as far:
-                    passage.streams.append(far)
+                    connection.streams.append(far)
                     async with trio.open_nursery() as nursery:
                         nursery.start_soon(self._pump, near, far, source, target, nursery)
                         nursery.start_soon(self._pump, far, near, target, source, nursery)
@@ -111,26 +113,26 @@
             if rest is not None:
                 raise rest from group
         finally:
-            self._passages.discard(passage)
+            self._connections.discard(connection)
 
-    async def _end(self, passage: _Passage) -> None:
-        for stream in passage.streams:
+    async def _end(self, connection: _RelayedConnection) -> None:
+        for stream in connection.streams:
             await trio.aclose_forcefully(stream)
 
     async def _pump(
         self, near: trio.SocketStream, far: trio.SocketStream, source: str, target: str, nursery: trio.Nursery
     ) -> None:
         """Pass one direction on, as the faults of the moment have it."""
-        while data := await near.receive_some(PIECE):
+        while data := await near.receive_some(RECEIVE_BYTES):
             await self._open_path(source, target)
-            late = self._holding(source, target, "delay")
+            late = self._active_fault(source, target, "delay")
             if late is not None:
                 await trio.sleep((late.ms + late.jitter_ms * self.random.random()) / 1000.0)
                 await self._open_path(source, target)
-            slow = self._holding(source, target, "throttle")
+            slow = self._active_fault(source, target, "throttle")
             if slow is not None:
                 await trio.sleep(len(data) / slow.bytes_s)
-            if self._holding(source, target, "half") is not None:
+            if self._active_fault(source, target, "half") is not None:
                 await far.send_all(data[: len(data) // 2])
                 nursery.cancel_scope.cancel()  # half a message, and then nothing
                 return
--- a/wickspring/lab/reports/result.py
+++ b/wickspring/lab/reports/result.py
@@ -27,7 +27,7 @@
 
 
 class Result(msgspec.Struct, forbid_unknown_fields=True):
-    """What a run came to. Shares are of 1, times are milliseconds; -1 stands for what was not measured."""
+    """The figures of one run. Shares are of 1, times are milliseconds; -1: not measured."""
 
     scenario: str
     seed: int
@@ -37,7 +37,7 @@
     refused: int = 0
     failed: int = 0
     served_share: float = 0.0
-    served_in_aim_share: float = 0.0
+    served_in_aim_share: float = 0.0  # served within the latency target of their class
     latency_p50_ms: float = 0.0
     latency_p99_ms: float = 0.0
     answers_lost: int = 0
@@ -48,19 +48,19 @@
     drains_broken: int = 0
     drain_ms_most: float = 0.0
     cold_broken: int = 0
-    copies_beside: int = 0  # sent while an earlier attempt was out, where the site forbids it
+    copies_beside: int = 0  # sent while an earlier attempt was in flight, where the site forbids it
     ceilings_broken: int = 0
-    cold_load_most: float = 0.0  # of what makes a cold server fall
+    cold_load_most: float = 0.0  # over what overloads a cold server
     rules_broken: int = 0
     dials: int = 0
     dials_per_s_peak: int = 0  # in any second, to all servers
     dials_per_s_peak_server: int = 0  # in any second, to one
     reuses: int = 0
     reuse_share: float = 0.0
-    sent_on_dead: int = 0
+    sent_on_dead: int = 0  # requests written to a connection that was closing
     sent_on_dead_per_1000: float = 0.0
     attempts: int = 0
-    escalates: int = 0
+    escalates: int = 0  # requests that must not be executed twice
     escalate_failed: int = 0
     escalate_failed_share: float = 0.0
     connections_peak: int = 0
@@ -70,28 +70,28 @@
     cpu_ms_per_request: float = -1.0
     peak_rss_mb: float = -1.0
     instances: int = 0
-    rolled: int = 0  # instances that an upgrade brought to its build
+    rolled: int = 0  # instances that an upgrade has brought to its build
     did_not_follow: int = 0
     hall_floor_broken: int = 0  # samples in which a hall had more down than the rules allow
     operations: dict[str, str] = {}  # how each ended, and why
-    roll_s: float = -1.0  # from an upgrade's begin to its end
+    roll_s: float = -1.0  # from an upgrade's start to its end
     messages: int = 0  # between agents, in virtual time
     ingresses: int = 0
     budget_overspent_worst: float = 0.0  # share over a shared budget's bound, in its worst window
     quota_error_worst: float = 0.0  # units beyond, over the allowance of the firm with most of them
-    judged_s: float = -1.0  # median time until an ingress has learnt of a bad server
-    judged_worst_s: float = -1.0  # the same until nine in ten do
-    judged_wrong_share: float = 0.0  # sound servers avoided by hearsay, in server-seconds over all
-    served_inside_share: float = -1.0  # of all requests, those served and inside quotas
+    judged_s: float = -1.0  # median time until an ingress has detected a failing server
+    judged_worst_s: float = -1.0  # the same for nine in ten
+    judged_wrong_share: float = 0.0  # healthy servers avoided by reports of others, over all, in all samples
+    served_inside_share: float = -1.0  # of all requests, those served within quotas
     served_inside_share_alone: float = -1.0
-    served_share_alone: float = -1.0  # the same run and seed with the talk between ingresses off
+    served_share_alone: float = -1.0  # the same run and seed without exchanges between ingresses
     judged_alone_s: float = -1.0
     quota_error_alone: float = -1.0
     cpu_ms_per_request_alone: float = -1.0
     peak_rss_alone_mb: float = -1.0
     peer_bytes_s: float = -1.0  # sent to other ingresses, by the one that sent most
-    violations: list[str] = []  # the first few, in words
-    gateway: dict[str, float] = {}  # what the gateways themselves count, summed
+    violations: list[str] = []  # the first of each rule: name of the rule, colon, what broke it
+    gateway: dict[str, float] = {}  # the gateways' own counters, summed
     series: Series = msgspec.field(default_factory=Series)
 
 
--- a/wickspring/lab/simulation/large_fleet.py
+++ b/wickspring/lab/simulation/large_fleet.py
@@ -1,7 +1,7 @@
 """A large fleet in virtual time: the agents' real reducers, views and operations, and no process.
 
-Messages take a while and are counted; instances start, drain and prove themselves as real ones do. Agents may
-be killed for good: their instances serve on, unheard.
+Messages take a while and are counted; a replaced instance is ready after the time that a real one takes to
+start. Agents may be killed for good: their instances go on serving, and no longer report.
 """
 
 from __future__ import annotations
@@ -34,15 +34,17 @@
 from wickspring.fleet.views import AgentContent, FleetView
 from wickspring.lab.emulation.site import Progress
 from wickspring.lab.experiments.scenario import FleetPart, Scenario
-from wickspring.lab.reports.record import Record as Sights
+from wickspring.lab.reports.record import Record
 from wickspring.lab.reports.result import Result
 from wickspring.lab.simulation.timeline import Timeline
 from wickspring.membership.anti_entropy import Digest
 
-BASE = 1_000_000.0  # seconds; the agents' clock at the beginning
-HOP_MS = (0.5, 3.0)
-START_MS = (900.0, 2500.0)
-TURN_MS = 100.0
+EPOCH_S = 1_000_000.0  # the agents' clock at the beginning
+DELAY_MS = (0.5, 3.0)  # of a message, drawn evenly
+START_MS = (900.0, 2500.0)  # of an instance, drawn evenly
+REPLACE_DELAY_MS = 10.0  # from a request to an agent until the successor starts
+COORDINATION_MS = 100.0  # between steps of the coordinator
+REQUEST_RETRY_MS = 2000.0  # after which a request without a reply may be sent again
 SAMPLE_MS = 500.0
 HALLS = 10
 COORDINATOR = "a01"
@@ -54,20 +56,22 @@
     """One agent: its instances, its view of the fleet, and the operation that it coordinates."""
 
     def __init__(self, fleet: LargeFleet, name: str, hall: str, names: list[str]) -> None:
-        self.fleet, self.name, self.hall = fleet, name, hall
+        self.fleet = fleet
+        self.name = name
+        self.hall = hall
         self.owner_state = owner.OwnerState(name)
         self.alive = True
         for instance in names:
-            observed = ObservedState("ready", "1", version=1, ready_at=BASE)
+            observed = ObservedState("ready", "1", version=1, ready_at=EPOCH_S)
             self.owner_state = owner.register(
                 self.owner_state,
                 InstanceRecord(instance, hall, name, desired=DesiredState(True, "1", 1), observed=observed),
             )
         self.operation: Operation | None = None
-        self.busy: set[str] = set()
+        self.pending_requests: set[str] = set()  # by agent, kind and instance
 
-    def begin(self, agents: list[str]) -> None:
-        """Start gossip and turns."""
+    def start(self, agents: list[str]) -> None:
+        """Start gossip with the agents of these names."""
         fleet = self.fleet
         self.view = FleetView(self.name, agents, fleet.now, fleet.rules, fleet.random.getrandbits(32))
         fleet.every(1000.0 * fleet.rules.gossip_s, self._gossip)
@@ -86,9 +90,9 @@
         self.view.publish(AgentContent(tuple(self.owner_state.records.values()), operations, "virtual"))
         for peer in self.view.choose_peers():
             other = self.fleet.agents[peer]
-            self.fleet.send(other, partial(self._round, other, self.view.digest()))
+            self.fleet.send(other, partial(self._answer_digest, other, self.view.digest()))
 
-    def _round(self, other: VirtualAgent, digest: Digest) -> None:
+    def _answer_digest(self, other: VirtualAgent, digest: Digest) -> None:
         """Have another agent answer a digest, and send it the entries that it requests."""
         delta = other.view.delta(digest)
 
@@ -110,20 +114,20 @@
         for name, record in after.records.items():
             if record.desired != self.owner_state.records[name].desired:
                 self.fleet.timeline.at(
-                    self.fleet.timeline.now + 10.0, partial(self._replace, name, record.desired)
+                    self.fleet.timeline.now + REPLACE_DELAY_MS, partial(self._replace, name, record.desired)
                 )
         self.owner_state = after
         return reply
 
     def _replace(self, name: str, desired: DesiredState) -> None:
-        """Have the successor come up beside its predecessor, as real agents do."""
+        """Have the successor of an instance start beside it, as real agents do."""
         record = self.owner_state.records[name]
         self.owner_state = owner.observe(
             self.owner_state, name, msgspec.structs.replace(record.observed, version=desired.version)
         )
-        took = self.fleet.random.uniform(*START_MS)
+        start_ms = self.fleet.random.uniform(*START_MS)
 
-        def ready() -> None:
+        def on_ready() -> None:
             observed = ObservedState(
                 "ready",
                 desired.build,
@@ -136,7 +140,7 @@
             if self.owner_state.records[name].desired.version == desired.version:
                 self.owner_state = owner.observe(self.owner_state, name, observed)
 
-        self.fleet.timeline.at(self.fleet.timeline.now + took, ready)
+        self.fleet.timeline.at(self.fleet.timeline.now + start_ms, on_ready)
 
     # Coordinating.
 
@@ -145,8 +149,8 @@
         """Tell whether the operation that this agent coordinates has ended."""
         return self.operation is not None and self.operation.phase.ended
 
-    def turn(self) -> None:
-        """Take the operation a step further."""
+    def advance_operation(self) -> None:
+        """Take the operation that this agent coordinates a step further."""
         operation, fleet = self.operation, self.fleet
         if operation is None or operation.phase.ended or not self.alive:
             return
@@ -162,22 +166,24 @@
         for request in requests:
             kind, instance = type(request.request).__name__, getattr(request.request, "instance", "")
             key = f"{request.agent} {kind} {instance}"
-            if key not in self.busy:
-                self.busy.add(key)
-                fleet.timeline.at(fleet.timeline.now + 2000.0, partial(self.busy.discard, key))
+            if key not in self.pending_requests:
+                self.pending_requests.add(key)
+                fleet.timeline.at(
+                    fleet.timeline.now + REQUEST_RETRY_MS, partial(self.pending_requests.discard, key)
+                )
                 other = fleet.agents[request.agent]
-                fleet.send(other, partial(self._asked, other, request, key))
+                fleet.send(other, partial(self._deliver_request, other, request, key))
 
-    def _asked(self, other: VirtualAgent, request: AgentRequest, key: str) -> None:
+    def _deliver_request(self, other: VirtualAgent, request: AgentRequest, key: str) -> None:
         reply = other.request(request.request)
 
-        def back() -> None:
-            self.busy.discard(key)
+        def on_reply() -> None:
+            self.pending_requests.discard(key)
             if self.operation is not None:
                 now = self.fleet.now
                 self.operation = receive_reply(self.operation, now, request.agent, request.request, reply)
 
-        self.fleet.send(self, back)
+        self.fleet.send(self, on_reply)
 
 
 class LargeFleet:
@@ -198,16 +204,16 @@
             instances = [f"n{number * per + index:04d}" for index in range(per)]
             self.agents[name] = VirtualAgent(self, name, hall, instances)
         for agent in self.agents.values():
-            agent.begin(names)
+            agent.start(names)
         self.floor_broken = self.samples = 0
 
     @property
     def now(self) -> float:
         """Return the agents' time, s."""
-        return BASE + self.timeline.now / 1000.0
+        return EPOCH_S + self.timeline.now / 1000.0
 
     def every(self, ms: float, action: Callable[[], None]) -> None:
-        """Do something again and again, from a moment drawn."""
+        """Do something periodically, with a random phase."""
         self.timeline.every(ms, self.random.random(), action)
 
     def send(self, to: VirtualAgent, action: Callable[[], None]) -> None:
@@ -218,14 +224,14 @@
             if to.alive:
                 action()
 
-        self.timeline.at(self.timeline.now + self.random.uniform(*HOP_MS), arrive)
+        self.timeline.at(self.timeline.now + self.random.uniform(*DELAY_MS), arrive)
 
     def kill(self, number: int) -> None:
         """Kill an agent for good."""
         list(self.agents.values())[number].alive = False
 
     def sample(self) -> None:
-        """Hold every hall to its floor, by how its instances really are."""
+        """Count this sample if a hall has too many instances down, whatever is reported of them."""
         down, size = dict[str, int](), dict[str, int]()
         for agent in self.agents.values():
             for record in agent.owner_state.records.values():
@@ -244,7 +250,7 @@
     fleet = LargeFleet(scenario, seed)
     timeline = fleet.timeline
     coordinator = fleet.agents[COORDINATOR]
-    fleet.every(TURN_MS, coordinator.turn)
+    fleet.every(COORDINATION_MS, coordinator.advance_operation)
     fleet.every(SAMPLE_MS, fleet.sample)
     timeline.at(UPGRADE_AT_MS, partial(_start_upgrade, coordinator))
     for fault in part.kill:
@@ -253,7 +259,7 @@
     while timeline.now < end and not coordinator.has_ended:
         timeline.run(min(end, timeline.now + PROGRESS_MS))
         if progress is not None:
-            progress(timeline.now / 1000.0, Sights())
+            progress(timeline.now / 1000.0, Record())
     return _result(scenario, seed, fleet, time.process_time() - started_cpu_s)
 
 
--- a/wickspring/lab/simulation/large_peers.py
+++ b/wickspring/lab/simulation/large_peers.py
@@ -18,7 +18,7 @@
 
 from wickspring import interface as api
 from wickspring.config import build_settings
-from wickspring.lab.emulation.peer_ingresses import SAMPLE_S, middle_and_ninth
+from wickspring.lab.emulation.peer_ingresses import SAMPLE_S, median_and_p90
 from wickspring.lab.emulation.site import Progress
 from wickspring.lab.experiments.evaluate import peak
 from wickspring.lab.experiments.scenario import NetFault, Scenario, parties
@@ -325,7 +325,7 @@
     bytes_s = [ingress.bytes_sent / fleet.scenario.seconds for ingress in fleet.ingresses]
     result.peer_bytes_s = sum(bytes_s) / len(bytes_s)
     result.judged_wrong_share = fleet.wrongly_avoided / max(1, fleet.evaluated)
-    result.judged_s, result.judged_worst_s = middle_and_ninth(_detection_times_s(fleet))
+    result.judged_s, result.judged_worst_s = median_and_p90(_detection_times_s(fleet))
 
 
 def _add_violations(result: Result, fleet: LargePeers) -> None:
--- a/wickspring/lab/simulation/replication/seeded_run.py
+++ b/wickspring/lab/simulation/replication/seeded_run.py
@@ -7,9 +7,7 @@
 from itertools import count
 from random import Random
 
-
-class InvariantBrokenError(AssertionError):
-    """An invariant did not hold; the message says which, with the seed."""
+from wickspring.lab.simulation.invariants import InvariantBrokenError
 
 
 class SeededRun:
@@ -23,7 +21,7 @@
         self._positions = count()
 
     def fail(self, what: str) -> None:
-        """Raise InvariantBrokenError."""
+        """Raise InvariantBrokenError, with seed and time."""
         raise InvariantBrokenError(f"seed {self.seed} at {self.now:.0f} ms: {what}")
 
     def schedule(self, delay: float, action: Callable[[], None]) -> None:
--- a/wickspring/lab/simulation/request_path/environment.py
+++ b/wickspring/lab/simulation/request_path/environment.py
@@ -12,7 +12,7 @@
 from wickspring.common.reconnecting_client import ReconnectingClient
 from wickspring.dataplane import process
 from wickspring.lab.simulation.clock import VirtualClock
-from wickspring.lab.simulation.request_path.ledger import InvariantBrokenError
+from wickspring.lab.simulation.invariants import InvariantBrokenError
 from wickspring.net import http_server
 
 
--- a/wickspring/lab/simulation/request_path/ledger.py
+++ b/wickspring/lab/simulation/request_path/ledger.py
@@ -6,14 +6,12 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from wickspring.lab.simulation.invariants import InvariantBrokenError
+
 EFFECTFUL_PREFIX = "/do/"  # of the path of a request that may be executed only once
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})  # say that a request was not and will not be executed
 
 
-class InvariantBrokenError(Exception):
-    """An invariant of the gateway is broken."""
-
-
 @dataclass
 class Ledger:
     """The requests of one run and all that became of them, by request id."""
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -21,7 +21,7 @@
 from wickspring.controlplane.replication.paxos import PaxosVoter, Proposal
 from wickspring.controlplane.replication.replica import CommitOutcome, Rank, Replica, Update
 from wickspring.controlplane.replication.view import Member, PeerObservation, View
-from wickspring.lab.simulation.replication.seeded_run import InvariantBrokenError
+from wickspring.lab.simulation.invariants import InvariantBrokenError
 
 IPS = ("a", "b", "c")
 STEP_MS = 2000.0  # that pass with each observation: all that waits for time is due
