--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -200,7 +200,7 @@
     supervisor = Supervisor(settings.instances[0], settings.file)
     pauses = []
     for failures in range(7):
-        supervisor.failures = failures
+        supervisor.backoff.failures = failures
         pauses.append(supervisor.restart_delay())
     assert pauses == [0.0, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
 
@@ -214,7 +214,7 @@
         with trio.fail_after(20):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(supervisor.run)
-                while supervisor.failures < 3:
+                while supervisor.backoff.failures < 3:
                     await trio.sleep(0.02)
                 assert supervisor.last_exit == 2
                 supervisor.drain()
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -73,7 +73,7 @@
         process = processes.InstanceProcess(
             stubborn.pid, processes.start_ticks(stubborn.pid), "t", "1", 0, reported_ready=True
         )
-        controller.current = process
+        controller.processes.current = process
         node.instances.owner_state = owner.observe(node.instances.owner_state, "n0", ObservedState())
         held = node.instances.owner_state.records["n0"]
         stop = msgspec.structs.replace(held, desired=DesiredState(False, "1", 2))
--- a/wickspring/agent/instance_controller.py
+++ b/wickspring/agent/instance_controller.py
@@ -14,9 +14,10 @@
 import msgspec
 import trio
 
-from wickspring.agent import processes
+from wickspring.agent.backoff import RestartBackoff
 from wickspring.agent.context import AgentContext
 from wickspring.agent.notifications import Notification
+from wickspring.agent.process_group import ProcessGroup
 from wickspring.agent.process_launcher import LaunchError, ProcessLauncher
 from wickspring.agent.processes import InstanceProcess
 from wickspring.agent.store import Process, StoreError
@@ -28,10 +29,9 @@
 
 REPORT_TIMEOUT_S = 3.0  # a process without a report for this long is called silent
 ADOPTION_GRACE_S = 2.0  # for an adopted process to report its state
-MIN_PAUSE_S = 0.05
+MIN_DELAY_S = 0.05
 MAX_STEP_S = 1.0  # between two looks
 STORE_RETRY_S = 1.0  # until a start that could not be stored is tried again
-MAX_BACKOFF_DOUBLINGS = 16
 
 
 class InstanceRecords(Protocol):
@@ -52,25 +52,17 @@
         self.instance = instance  # replaced when the fleet file is read again
         self.records = records
         self.launcher = ProcessLauncher(context)
-        self.current: InstanceProcess | None = None
-        self.successor: InstanceProcess | None = None
-        self.draining: list[InstanceProcess] = []
+        self.processes = ProcessGroup()
+        self.backoff = RestartBackoff()
         self.starts = 0
-        self.failures = 0  # in a row
         self.last_exit: int | None = None
         self.note = ""
-        self.pause_until = 0.0
+        self.next_start_at = 0.0
         self.ready_at = 0.0
         self.changed = trio.Event()
         self.scope = trio.CancelScope()  # once cancelled, its processes go on without a controller
         self._nursery: trio.Nursery | None = None
 
-    @property
-    def processes(self) -> list[InstanceProcess]:
-        """Return all processes of the instance, the draining ones included."""
-        candidates = (self.current, self.successor, *self.draining)
-        return [process for process in candidates if process is not None]
-
     @property
     def _file(self) -> FleetFile:
         return self.context.fleet.file
@@ -90,7 +82,7 @@
     async def _run(self) -> None:
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            for process in self.processes:
+            for process in self.processes.all():
                 nursery.start_soon(self._watch, process)
             while True:
                 self.changed = trio.Event()
@@ -107,12 +99,7 @@
     def adopt(self, stored: list[Process]) -> None:
         """Adopt the processes that an earlier agent left running."""
         found = [process for process in map(self._find, stored) if process is not None]
-        found.sort(key=lambda process: process.start_ticks)
-        if found:
-            self.current = found[0]
-        if len(found) > 1:
-            self.successor = found[-1]
-            self.draining = found[1:-1]
+        self.processes.adopt(found)
 
     def _find(self, stored: Process) -> InstanceProcess | None:
         process = self.launcher.find(stored)
@@ -126,7 +113,7 @@
 
     def receive_report(self, notification: Notification) -> None:
         """Take in what a process reports of itself, if it is one of this instance's."""
-        for process in self.processes:
+        for process in self.processes.all():
             if process.token != notification.token:
                 continue
             changed = process.reported_ready != notification.ready
@@ -153,166 +140,132 @@
         self._report(now, record)
         return min(due, now + MAX_STEP_S)
 
-    def _remove_ended(self, now: float, wanted: bool) -> None:
-        for process in self.processes:
+    def _remove_ended(self, now: float, should_run: bool) -> None:
+        for process in self.processes.all():
             if not process.ended.is_set():
                 continue
             self._forget(process.token)
-            if process in self.draining:
-                self.draining.remove(process)
-            else:
-                self._remove_serving(process)
-                if wanted:
-                    steady = process.reported_ready and self._is_steady(process, now)
-                    self._failed(now, f"ended with {process.exit_code}", steady)
+            drained = process in self.processes.draining
+            self.processes.remove(process)
+            if should_run and not drained:
+                steady = process.reported_ready and self._is_steady(process, now)
+                self._record_failure(now, f"ended with {process.exit_code}", steady)
             self.last_exit = process.exit_code
-        if self.current is None:
-            self._promote_successor()
-
-    def _remove_serving(self, process: InstanceProcess) -> None:
-        if process is self.current:
-            self.current = None
-        if process is self.successor:
-            self.successor = None
-
-    def _promote_successor(self) -> None:
-        self.current = self.successor
-        self.successor = None
+        if self.processes.current is None:
+            self.processes.promote_successor()
 
     def _is_steady(self, process: InstanceProcess, now: float) -> bool:
         return now - process.started_at > self._file.steady_s
 
-    def _failed(self, now: float, note: str, steady: bool = False) -> None:
-        """Note a failure, and pause before the next start: longer with each failure in a row."""
-        self.failures = 1 if steady else self.failures + 1
-        file = self._file
-        doublings = min(self.failures - 1, MAX_BACKOFF_DOUBLINGS)
-        pause = min(file.backoff_most_s, file.backoff_first_s * 2.0**doublings)
-        self.pause_until = now + max(pause, MIN_PAUSE_S)
+    def _record_failure(self, now: float, note: str, steady: bool = False) -> None:
+        """Count a failure, and delay the next start: longer with each failure in a row."""
+        self.backoff.record_failure(steady=steady)
+        delay_s = self.backoff.delay_s(self._file.backoff_first_s, self._file.backoff_most_s)
+        self.next_start_at = now + max(delay_s, MIN_DELAY_S)
         self.note = note
-        fields = {"name": self.instance.name, "reason": note, "failures": self.failures, "pause": pause}
-        log.warning("instance_failed", extra=kv(**fields))
+        fields = {"name": self.instance.name, "reason": note, "failures": self.backoff.failures}
+        log.warning("instance_failed", extra=kv(**fields, pause=delay_s))
+
+    def _clear_failures(self) -> None:
+        self.backoff.reset()
+        self.note = ""
 
     def _kill_overdue(self, now: float) -> float:
         """Kill processes that have not drained in time; return when the next is due."""
-        due = math.inf
         drain_within_s = self._file.rules.drain_within_s
-        for process in self.draining:
-            deadline = process.draining_since + drain_within_s
-            if now >= deadline:
-                self.note = f"killed: it had not drained after {drain_within_s:g} s"
-                processes.terminate(process, force=True)
-            else:
-                due = min(due, deadline)
-        return due
-
-    def _drain(self, process: InstanceProcess | None, now: float, force: bool = False) -> None:
-        if process is not None and process not in self.draining:
-            process.draining_since = now
-            processes.terminate(process, force)
-            self.draining.append(process)
+        if self.processes.kill_overdue(now, drain_within_s):
+            self.note = f"killed: it had not drained after {drain_within_s:g} s"
+        return self.processes.next_drain_deadline(now, drain_within_s)
 
     def _stop(self, now: float) -> None:
-        self._drain(self.current, now)
-        self._drain(self.successor, now)
-        self.current = None
-        self.successor = None
-        self.failures = 0
-        self.pause_until = 0.0
+        self.processes.drain_serving(now)
+        self.backoff.reset()
+        self.next_start_at = 0.0
 
     def _reconcile(self, now: float, desired: DesiredState) -> float:
         """Come closer to the desired state of an instance that is to run; return when to look again."""
         if self._awaits_adopted(now):
-            assert self.current is not None
-            return self.current.started_at + ADOPTION_GRACE_S
+            assert self.processes.current is not None
+            return self.processes.current.started_at + ADOPTION_GRACE_S
         if self._replace(now, desired):
             return now
         self._give_up_late_starts(now)
-        current = self.current
+        current = self.processes.current
         if current is not None and current.reported_ready and current.runs(desired):
-            if self.failures and self._is_steady(current, now):
-                self.failures = 0
-                self.note = ""
+            if self.backoff.failures and self._is_steady(current, now):
+                self._clear_failures()
             return math.inf
-        starting = current if current is not None and current.runs(desired) else self.successor
+        starting = current if current is not None and current.runs(desired) else self.processes.successor
         if starting is not None:
             return starting.started_at + self._file.rules.ready_within_s
         return self._start(now, desired)
 
     def _awaits_adopted(self, now: float) -> bool:
         """Tell whether the current process was adopted and may still report that it is ready."""
-        current = self.current
+        current = self.processes.current
         if current is None or not current.adopted or current.reported_ready:
             return False
         return now < current.started_at + ADOPTION_GRACE_S
 
     def _replace(self, now: float, desired: DesiredState) -> bool:
         """Drain what runs another build than the desired one; True where a successor has taken over."""
-        if self.successor is not None and not self.successor.runs(desired):
-            self._drain(self.successor, now)
-            self.successor = None
-        if self.current is None:
+        group = self.processes
+        if group.successor is not None and not group.successor.runs(desired):
+            group.drain(group.successor, now)
+        if group.current is None:
             return False
-        if self.current.runs(desired):
-            self._drain(self.successor, now)
-            self.successor = None
+        if group.current.runs(desired):
+            group.drain(group.successor, now)
             return False
-        if not (self._file.overlap and self.current.reported_ready):
-            self._drain(self.current, now)
-            self._promote_successor()
-            return self.current is not None
-        if self.successor is None or not self.successor.reported_ready:
+        if not (self._file.overlap and group.current.reported_ready):
+            group.replace_current(now)
+            return group.current is not None
+        if group.successor is None or not group.successor.reported_ready:
             return False
-        self._drain(self.current, now)
-        self._promote_successor()
-        self.failures = 0
-        self.note = ""
+        group.replace_current(now)
+        self._clear_failures()
         return True
 
     def _give_up_late_starts(self, now: float) -> None:
         """Kill what was started here and did not become ready in time."""
         ready_within_s = self._file.rules.ready_within_s
-        for process in (self.current, self.successor):
+        for process in (self.processes.current, self.processes.successor):
             if process is None or process.reported_ready or process.adopted:
                 continue
             if now >= process.started_at + ready_within_s:
-                self._failed(now, f"not ready after {ready_within_s:g} s")
-                self._drain(process, now, force=True)
-                self._remove_serving(process)
+                self._record_failure(now, f"not ready after {ready_within_s:g} s")
+                self.processes.drain(process, now, force=True)
 
     def _start(self, now: float, desired: DesiredState) -> float:
-        """Start a process unless a pause holds it up; return when to look again."""
-        if now < self.pause_until:
-            return self.pause_until
-        if self.current is None and self.draining and not self._file.overlap:
-            return now + MIN_PAUSE_S  # its address is not free yet
+        """Start a process unless a delay holds it up; return when to look again."""
+        if now < self.next_start_at:
+            return self.next_start_at
+        if self.processes.current is None and self.processes.draining and not self._file.overlap:
+            return now + MIN_DELAY_S  # its address is not free yet
         process = self._launch(now, desired)
         if process is None:
-            return self.pause_until
-        if self.current is None:
-            self.current = process
-        else:
-            self.successor = process
+            return self.next_start_at
+        self.processes.add(process)
         return now + self._file.rules.ready_within_s
 
     # Processes.
 
     def _launch(self, now: float, desired: DesiredState) -> InstanceProcess | None:
-        """Start a process; None where that failed, with the pause set until the next attempt."""
+        """Start a process; None where that failed, with the delay set until the next attempt."""
         try:
             process = self.launcher.launch(self.instance, desired)
         except LaunchError as error:
-            self._failed(now, str(error))
+            self._record_failure(now, str(error))
             return None
         except StoreError as error:
             self.note = str(error)
-            self.pause_until = now + STORE_RETRY_S
+            self.next_start_at = now + STORE_RETRY_S
             return None
         process.started_at = process.last_report_at = now
-        self._note_start(process)
+        self._record_start(process)
         return process
 
-    def _note_start(self, process: InstanceProcess) -> None:
+    def _record_start(self, process: InstanceProcess) -> None:
         try:
             self.launcher.store_identity(self.instance.name, process)
         except StoreError as error:
@@ -334,12 +287,12 @@
     def _state(self, now: float, record: InstanceRecord) -> str:
         """Return the state in the words of `ObservedState.state`."""
         if not record.desired.run:
-            return "draining" if self.draining else "stopped"
-        if self.current is None:
-            return "waiting" if now < self.pause_until else "starting"
-        if not self.current.reported_ready:
+            return "draining" if self.processes.draining else "stopped"
+        if self.processes.current is None:
+            return "waiting" if now < self.next_start_at else "starting"
+        if not self.processes.current.reported_ready:
             return "starting"
-        return "silent" if now - self.current.last_report_at > REPORT_TIMEOUT_S else "ready"
+        return "silent" if now - self.processes.current.last_report_at > REPORT_TIMEOUT_S else "ready"
 
     def _report(self, now: float, record: InstanceRecord) -> None:
         state = self._state(now, record)
@@ -354,11 +307,11 @@
             version=record.desired.version,
             ready_at=self.ready_at,
             starts=self.starts,
-            failures=self.failures,
+            failures=self.backoff.failures,
             last_exit=self.last_exit,
             note=self.note,
         )
-        process = self.current
+        process = self.processes.current
         if process is not None:
             observed = msgspec.structs.replace(
                 observed,
--- a/wickspring/agent/supervisor.py
+++ b/wickspring/agent/supervisor.py
@@ -14,6 +14,7 @@
 import msgspec
 import trio
 
+from wickspring.agent.backoff import RestartBackoff
 from wickspring.agent.settings import AgentFile, Managed
 from wickspring.logs import kv
 
@@ -71,7 +72,8 @@
         self.should_run = True
         self.state = State.STOPPED
         self.process: trio.Process | None = None
-        self.starts = self.failures = 0
+        self.starts = 0
+        self.backoff = RestartBackoff()
         self.last_exit: int | None = None
         self._changed = trio.Event()
 
@@ -85,7 +87,7 @@
             pid,
             f"{host}:{port}",
             self.starts,
-            self.failures,
+            self.backoff.failures,
             self.last_exit,
         )
 
@@ -104,7 +106,8 @@
 
     def start(self) -> None:
         """Have it run; a restart delay after failures is cut short."""
-        self.should_run, self.failures = True, 0
+        self.should_run = True
+        self.backoff.reset()
         self._enter(self.state)
 
     def reload(self) -> bool:
@@ -121,9 +124,7 @@
 
     def restart_delay(self) -> float:
         """Return the seconds to wait before the next start."""
-        if not self.failures:
-            return 0.0
-        return min(self.file.backoff_most_s, self.file.backoff_first_s * 2.0 ** (self.failures - 1))
+        return self.backoff.delay_s(self.file.backoff_first_s, self.file.backoff_most_s)
 
     async def run(self) -> None:
         """Run the instance until cancelled, and then drain it."""
@@ -131,10 +132,10 @@
             if not self.should_run:
                 self._enter(State.STOPPED)
                 await self._until(lambda: self.should_run)
-            elif self.failures:
+            elif self.backoff.failures:
                 self._enter(State.WAITING)
                 with trio.move_on_after(self.restart_delay()):
-                    await self._until(lambda: not self.should_run or not self.failures)
+                    await self._until(lambda: not self.should_run or not self.backoff.failures)
             if self.should_run:
                 await self._run_process()
 
@@ -161,7 +162,7 @@
         finally:
             self.process = None
         if self.should_run:
-            self._note_failure(trio.current_time() - started)
+            self._record_failure(trio.current_time() - started)
 
     def _environment(self) -> dict[str, str]:
         host, port = self.managed.listen
@@ -179,9 +180,9 @@
             environment["GW_TENANTS"] = str(self.tenants)
         return environment
 
-    def _note_failure(self, uptime_s: float) -> None:
+    def _record_failure(self, uptime_s: float) -> None:
         """Count a failure in a row; after a steady run it counts as the first."""
-        self.failures = 1 if uptime_s > self.file.steady_s else self.failures + 1
+        self.backoff.record_failure(steady=uptime_s > self.file.steady_s)
         delay = self.restart_delay()
         log.warning("instance_ended", extra=kv(name=self.managed.name, exit=self.last_exit, pause=delay))
 
