--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -26,18 +26,21 @@
     try:
         while not pid_file.exists():
             pass
-        born = processes.start_ticks(started.pid)
-        assert processes.find(started.pid, born, "tok", pid_file) == (started.pid, born)
+        start_ticks = processes.start_ticks(started.pid)
+        assert processes.find(started.pid, start_ticks, "tok", pid_file) == (started.pid, start_ticks)
         assert processes.find(0, 0, "tok", pid_file) == (
             started.pid,
-            born,
-        )  # killed before its note was taken
-        assert processes.find(started.pid, born + 1, "tok", pid_file) == (0, 0)  # the number is another's now
-        assert processes.find(started.pid, born, "other", pid_file) == (0, 0)
+            start_ticks,
+        )  # the agent was killed before it stored the pid
+        assert processes.find(started.pid, start_ticks + 1, "tok", pid_file) == (
+            0,
+            0,
+        )  # the pid is in use by another process
+        assert processes.find(started.pid, start_ticks, "other", pid_file) == (0, 0)
     finally:
         started.kill()
         started.wait()
-    assert processes.find(started.pid, born, "tok", pid_file) == (0, 0)
+    assert processes.find(started.pid, start_ticks, "tok", pid_file) == (0, 0)
 
 
 def test_a_process_is_known_while_it_becomes_its_program(tmp_path: Path) -> None:
@@ -49,9 +52,10 @@
         try:
             while not pid_file.exists():
                 pass
-            born = processes.start_ticks(started.pid)
+            start_ticks = processes.start_ticks(started.pid)
             assert all(
-                processes.find(started.pid, born, "tok", pid_file) == (started.pid, born) for _ in range(20)
+                processes.find(started.pid, start_ticks, "tok", pid_file) == (started.pid, start_ticks)
+                for _ in range(20)
             )
         finally:
             started.kill()
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -18,7 +18,7 @@
 from wickspring.fleet.rollout.replies import receive_reply
 
 
-class Drive:
+class OperationDriver:
     """A coordinator and one owner of instances, whose observed states are set by hand."""
 
     def __init__(self, kind: Kind, count: int = 3, build: str = "2", batch: int = 1) -> None:
@@ -28,7 +28,7 @@
         request = OperationRequest("op", kind, by="x", coordinator="a0", at=NOW, build=build, batch=batch)
         self.operation = plan_operation(request, chosen)
 
-    def turn(self, times: int = 4) -> Operation:
+    def advance(self, times: int = 4) -> Operation:
         for _ in range(times):
             observation = FleetObservation(
                 self.owner_state.records, {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES, self.dead
@@ -41,7 +41,7 @@
                 self.operation = receive_reply(self.operation, self.now, one.agent, one.request, reply)
         return self.operation
 
-    def be(self, name: str, state: str, **more: object) -> None:
+    def set_observed(self, name: str, state: str, **more: object) -> None:
         old = self.owner_state.records[name]
         fields: dict[str, object] = {
             "state": state,
@@ -61,29 +61,29 @@
     def pass_time(self, seconds: float) -> None:
         for _ in range(int(seconds)):
             self.now += 1.0
-            self.turn()
+            self.advance()
 
 
 def test_an_upgrade_goes_one_after_another_and_holds_each() -> None:
-    drive = Drive(Kind.UPGRADE)
-    drive.turn()
-    assert [drive.step(f"n{n}") for n in range(3)] == [Step.MOVING, Step.PENDING, Step.PENDING]
-    assert drive.owner_state.records["n0"].desired.build == "2"
-    drive.be("n0", "starting")
-    drive.pass_time(2)
-    assert drive.step("n0") is Step.MOVING
-    drive.be("n0", "ready")
-    drive.turn()
-    assert drive.step("n0") is Step.PROVING
-    drive.pass_time(RULES.hold_s + 1)
-    assert drive.step("n0") is Step.DONE
-    assert drive.step("n1") is Step.MOVING
+    driver = OperationDriver(Kind.UPGRADE)
+    driver.advance()
+    assert [driver.step(f"n{n}") for n in range(3)] == [Step.MOVING, Step.PENDING, Step.PENDING]
+    assert driver.owner_state.records["n0"].desired.build == "2"
+    driver.set_observed("n0", "starting")
+    driver.pass_time(2)
+    assert driver.step("n0") is Step.MOVING
+    driver.set_observed("n0", "ready")
+    driver.advance()
+    assert driver.step("n0") is Step.PROVING
+    driver.pass_time(RULES.hold_s + 1)
+    assert driver.step("n0") is Step.DONE
+    assert driver.step("n1") is Step.MOVING
     for name in ("n1", "n2"):
-        drive.be(name, "ready")
-        drive.pass_time(RULES.hold_s + 3)
-    assert drive.turn().phase is Phase.DONE
-    assert all(one.claim is None for one in drive.owner_state.records.values())
-    assert not drive.owner_state.permits
+        driver.set_observed(name, "ready")
+        driver.pass_time(RULES.hold_s + 3)
+    assert driver.advance().phase is Phase.DONE
+    assert all(one.claim is None for one in driver.owner_state.records.values())
+    assert not driver.owner_state.permits
 
 
 @pytest.mark.parametrize(
@@ -97,119 +97,119 @@
 def test_a_build_that_fails_is_taken_back_from_all_it_reached(
     observed: dict[str, object], reason: str
 ) -> None:
-    drive = Drive(Kind.UPGRADE)
-    drive.turn()
-    drive.be("n0", "ready")
-    drive.pass_time(RULES.hold_s + 2)
-    assert drive.step("n0") is Step.DONE
+    driver = OperationDriver(Kind.UPGRADE)
+    driver.advance()
+    driver.set_observed("n0", "ready")
+    driver.pass_time(RULES.hold_s + 2)
+    assert driver.step("n0") is Step.DONE
     if observed["state"] != "waiting":
-        drive.be("n1", "ready")
-        drive.turn()
-    drive.be("n1", **observed)  # type: ignore[arg-type]
-    drive.turn()
-    assert drive.operation.phase is Phase.REVERTING
-    assert reason in drive.operation.reason
-    assert drive.owner_state.records["n1"].desired.build == "1"
-    drive.be("n1", "ready", failures=0)
-    drive.pass_time(3)
-    assert drive.owner_state.records["n0"].desired.build == "1"
-    drive.be("n0", "ready")
-    drive.pass_time(3)
-    assert drive.turn().phase is Phase.FAILED
-    assert [drive.step(f"n{n}") for n in range(3)] == [Step.REVERTED, Step.REVERTED, Step.UNTOUCHED]
+        driver.set_observed("n1", "ready")
+        driver.advance()
+    driver.set_observed("n1", **observed)  # type: ignore[arg-type]
+    driver.advance()
+    assert driver.operation.phase is Phase.REVERTING
+    assert reason in driver.operation.reason
+    assert driver.owner_state.records["n1"].desired.build == "1"
+    driver.set_observed("n1", "ready", failures=0)
+    driver.pass_time(3)
+    assert driver.owner_state.records["n0"].desired.build == "1"
+    driver.set_observed("n0", "ready")
+    driver.pass_time(3)
+    assert driver.advance().phase is Phase.FAILED
+    assert [driver.step(f"n{n}") for n in range(3)] == [Step.REVERTED, Step.REVERTED, Step.UNTOUCHED]
 
 
 def test_a_build_that_never_becomes_ready_ends_in_time() -> None:
-    drive = Drive(Kind.UPGRADE)
-    drive.turn()
-    drive.be("n0", "starting")
-    drive.pass_time(RULES.ready_within_s + RULES.drain_within_s + 2)
-    assert drive.operation.phase is Phase.REVERTING
-    assert "not ready after 30 s" in drive.operation.reason
+    driver = OperationDriver(Kind.UPGRADE)
+    driver.advance()
+    driver.set_observed("n0", "starting")
+    driver.pass_time(RULES.ready_within_s + RULES.drain_within_s + 2)
+    assert driver.operation.phase is Phase.REVERTING
+    assert "not ready after 30 s" in driver.operation.reason
 
 
 def test_an_agent_that_is_lost_is_no_fault_of_the_build_and_may_come_back() -> None:
-    drive = Drive(Kind.UPGRADE, count=2)
-    drive.turn()
-    drive.dead = frozenset({"a0"})
-    drive.turn(1)
-    assert drive.step("n0") is Step.LOST
-    assert drive.step("n1") is Step.LOST
-    drive = Drive(Kind.UPGRADE, count=1)
-    drive.turn()
-    drive.be("n0", "ready")
-    drive.turn(1)
-    assert drive.step("n0") is Step.PROVING
+    driver = OperationDriver(Kind.UPGRADE, count=2)
+    driver.advance()
+    driver.dead = frozenset({"a0"})
+    driver.advance(1)
+    assert driver.step("n0") is Step.LOST
+    assert driver.step("n1") is Step.LOST
+    driver = OperationDriver(Kind.UPGRADE, count=1)
+    driver.advance()
+    driver.set_observed("n0", "ready")
+    driver.advance(1)
+    assert driver.step("n0") is Step.PROVING
 
 
 def test_a_coordinator_that_has_come_back_waits_for_what_it_has_not_heard() -> None:
-    drive = Drive(Kind.UPGRADE, count=2)
-    drive.turn()
+    driver = OperationDriver(Kind.UPGRADE, count=2)
+    driver.advance()
     observation = FleetObservation(HashTrieMap(), {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES)
-    after, _ = coordinator.advance(drive.operation, NOW + 5.0, observation)
+    after, _ = coordinator.advance(driver.operation, NOW + 5.0, observation)
     assert after.instances[0].step is Step.MOVING and after.phase is Phase.RUNNING
-    after, _ = coordinator.advance(drive.operation, NOW + 60.0, observation)
+    after, _ = coordinator.advance(driver.operation, NOW + 60.0, observation)
     assert after.instances[0].step is Step.LOST
     others = replace(
-        observation, records=drive.owner_state.records.remove("n0")
+        observation, records=driver.owner_state.records.remove("n0")
     )  # its agent tells, not of it
-    after, _ = coordinator.advance(drive.operation, NOW + 5.0, others)
+    after, _ = coordinator.advance(driver.operation, NOW + 5.0, others)
     assert "no agent tells of it" in after.reason
 
 
 def test_an_instance_whose_agent_has_come_back_proves_itself_anew() -> None:
-    drive = Drive(Kind.UPGRADE)
-    drive.turn()
-    drive.be("n0", "ready")
-    drive.turn()
-    assert drive.step("n0") is Step.PROVING
-    drive.be("n0", "starting", pid=0)
-    drive.turn()
-    assert drive.step("n0") is Step.MOVING
-    drive.be("n0", "ready")
-    drive.pass_time(RULES.hold_s + 2)
-    assert drive.step("n0") is Step.DONE
-    drive.be("n1", "ready")
-    drive.turn()
-    drive.be("n1", "starting", failures=1)  # it has ended by itself
-    drive.turn()
-    assert drive.operation.phase is Phase.REVERTING
+    driver = OperationDriver(Kind.UPGRADE)
+    driver.advance()
+    driver.set_observed("n0", "ready")
+    driver.advance()
+    assert driver.step("n0") is Step.PROVING
+    driver.set_observed("n0", "starting", pid=0)
+    driver.advance()
+    assert driver.step("n0") is Step.MOVING
+    driver.set_observed("n0", "ready")
+    driver.pass_time(RULES.hold_s + 2)
+    assert driver.step("n0") is Step.DONE
+    driver.set_observed("n1", "ready")
+    driver.advance()
+    driver.set_observed("n1", "starting", failures=1)  # it has ended by itself
+    driver.advance()
+    assert driver.operation.phase is Phase.REVERTING
 
 
 def test_drains_end_with_who_stopped_and_a_restart_has_a_new_generation() -> None:
-    drive = Drive(Kind.DRAIN, count=1)
-    drive.turn()
-    assert not drive.owner_state.records["n0"].desired.run
-    drive.be("n0", "draining")
-    drive.turn()
-    assert drive.step("n0") is Step.MOVING
-    drive.be("n0", "stopped")
-    assert drive.turn(6).phase is Phase.DONE
-    drive = Drive(Kind.RESTART, count=1)
-    drive.turn()
-    assert drive.owner_state.records["n0"].desired.generation == 1
-    drive.be("n0", "ready")
-    drive.pass_time(RULES.hold_s + 3)
-    assert drive.operation.phase is Phase.DONE
+    driver = OperationDriver(Kind.DRAIN, count=1)
+    driver.advance()
+    assert not driver.owner_state.records["n0"].desired.run
+    driver.set_observed("n0", "draining")
+    driver.advance()
+    assert driver.step("n0") is Step.MOVING
+    driver.set_observed("n0", "stopped")
+    assert driver.advance(6).phase is Phase.DONE
+    driver = OperationDriver(Kind.RESTART, count=1)
+    driver.advance()
+    assert driver.owner_state.records["n0"].desired.generation == 1
+    driver.set_observed("n0", "ready")
+    driver.pass_time(RULES.hold_s + 3)
+    assert driver.operation.phase is Phase.DONE
 
 
 def test_a_cancelled_operation_ends_what_is_under_way_and_begins_nothing() -> None:
-    drive = Drive(Kind.UPGRADE)
-    drive.turn()
-    drive.operation = coordinator.cancel(drive.operation, drive.now, "boss")
-    drive.be("n0", "ready")
-    drive.pass_time(RULES.hold_s + 3)
-    assert drive.operation.phase is Phase.CANCELLED
-    assert [drive.step(f"n{n}") for n in range(3)] == [Step.DONE, Step.UNTOUCHED, Step.UNTOUCHED]
-    assert "boss" in drive.operation.reason
+    driver = OperationDriver(Kind.UPGRADE)
+    driver.advance()
+    driver.operation = coordinator.cancel(driver.operation, driver.now, "boss")
+    driver.set_observed("n0", "ready")
+    driver.pass_time(RULES.hold_s + 3)
+    assert driver.operation.phase is Phase.CANCELLED
+    assert [driver.step(f"n{n}") for n in range(3)] == [Step.DONE, Step.UNTOUCHED, Step.UNTOUCHED]
+    assert "boss" in driver.operation.reason
 
 
 def test_nothing_new_is_begun_without_a_quorum() -> None:
-    drive = Drive(Kind.UPGRADE)
+    driver = OperationDriver(Kind.UPGRADE)
     observation = FleetObservation(
-        drive.owner_state.records, {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES, quorum=False
+        driver.owner_state.records, {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES, quorum=False
     )
-    after, requests = coordinator.advance(drive.operation, NOW, observation)
+    after, requests = coordinator.advance(driver.operation, NOW, observation)
     assert requests == []
     assert after.phase is Phase.CLAIMING
 
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -11,11 +11,11 @@
 from wickspring.agent.store import Process, Store, StoreChange, StoreError
 
 
-def test_the_store_keeps_all_of_a_change_or_nothing(tmp_path: Path) -> None:
+def test_a_change_is_stored_whole_or_not_at_all(tmp_path: Path) -> None:
     store = Store(tmp_path / "a.db")
     store.apply(
         StoreChange(
-            records=[record("n0")], processes=[Process("n0", "t", 0, 0, "1", 0)], events=[(1.0, "begun")]
+            records=[record("n0")], processes=[Process("n0", "t", 0, 0, "1", 0)], events=[(1.0, "started")]
         )
     )
     with pytest.raises(StoreError):
@@ -23,7 +23,7 @@
     store.close()
     again = Store(tmp_path / "a.db")
     assert [one.name for one in again.records()] == ["n0"]
-    assert [event.text for event in again.history()] == ["begun"]
+    assert [event.text for event in again.history()] == ["started"]
     assert again.processes() == [Process("n0", "t", 0, 0, "1", 0)]
 
 
--- a/wickspring/agent/process_launcher.py
+++ b/wickspring/agent/process_launcher.py
@@ -65,7 +65,7 @@
     def find(self, stored: Process) -> InstanceProcess | None:
         """Return a stored process if it still runs; None if it has ended."""
         pid_file = self._pid_file(stored.name, stored.token)
-        pid, start_ticks = processes.find(stored.pid, stored.born, stored.token, pid_file)
+        pid, start_ticks = processes.find(stored.pid, stored.start_ticks, stored.token, pid_file)
         if not pid:
             return None
         return InstanceProcess(pid, start_ticks, stored.token, stored.build, stored.generation, adopted=True)
--- a/wickspring/agent/store.py
+++ b/wickspring/agent/store.py
@@ -1,7 +1,7 @@
 """Persistent state of an agent in SQLite with WAL: its instances, operations it coordinates, and a history.
 
-Every change is one transaction that is on disk (synchronous=FULL) before anyone is answered. A store that
-cannot keep a change (a full disk) says so, and the change has not happened.
+Every change is one transaction that is on disk (synchronous=FULL) before anyone is answered. A change that
+cannot be stored (a full disk) raises an error, and has not happened.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from wickspring.fleet.model import InstanceRecord, Operation, Permit
 
-FORM = 1  # of the tables; a later one is not read by an earlier program
+SCHEMA_VERSION = 1  # a store of a later version is refused
 MAX_HISTORY = 10_000
 _TABLES = """
 create table if not exists meta (key text primary key, value text not null) without rowid;
@@ -31,16 +31,16 @@
 
 
 class StoreError(Exception):
-    """A change that could not be kept, or a store that can't be read."""
+    """A change that could not be stored, or a store that cannot be read."""
 
 
-class Process(msgspec.Struct, frozen=True):
-    """A process that was started for an instance; pid 0 while it was about to be."""
+class Process(msgspec.Struct, frozen=True, rename={"start_ticks": "born"}):
+    """A process of an instance; its pid is 0 until it has been started."""
 
     name: str
     token: str
     pid: int
-    born: int  # its start, in clock ticks since the machine's
+    start_ticks: int  # when it was started, in clock ticks since boot (proc(5))
     build: str
     generation: int
 
@@ -73,7 +73,11 @@
 
 
 class Store:
-    """One agent's database."""
+    """One agent's database.
+
+    Raises:
+        StoreError: by every method but `close`, where the database cannot be read or written.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -84,16 +88,16 @@
             self._db.executescript(_TABLES)
             row = self._db.execute("select value from meta where key='form'").fetchone()
             if row is None:
-                self._db.execute("insert into meta values ('form', ?)", (str(FORM),))
-            elif int(row[0]) > FORM:
+                self._db.execute("insert into meta values ('form', ?)", (str(SCHEMA_VERSION),))
+            elif int(row[0]) > SCHEMA_VERSION:
                 raise StoreError(
-                    f"{path} was written by a later program (form {row[0]}, this one reads {FORM})"
+                    f"{path} was written by a later program (form {row[0]}, this one reads {SCHEMA_VERSION})"
                 )
         except sqlite3.Error as error:
             raise StoreError(f"{path}: {error}") from error
 
     def close(self) -> None:
-        """Close it."""
+        """Close the database."""
         self._db.close()
 
     # Reading.
@@ -119,9 +123,9 @@
         rows = self._rows("select name, token, pid, born, build, generation from process")
         return [Process(*row) for row in rows]  # type: ignore[arg-type]
 
-    def history(self, most: int = 100) -> list[Event]:
+    def history(self, limit: int = 100) -> list[Event]:
         """Return the latest events, the latest last."""
-        rows = self._rows(f"select number, at, text from history order by number desc limit {int(most)}")
+        rows = self._rows(f"select number, at, text from history order by number desc limit {int(limit)}")
         return [Event(*row) for row in reversed(list(rows))]  # type: ignore[arg-type]
 
     def _rows(self, sql: str) -> list[tuple[bytes, ...]]:
@@ -169,7 +173,7 @@
                 process.token,
                 process.name,
                 process.pid,
-                process.born,
+                process.start_ticks,
                 process.build,
                 process.generation,
             )
--- a/wickspring/commands/fleet/operations.py
+++ b/wickspring/commands/fleet/operations.py
@@ -13,7 +13,7 @@
 from wickspring.commands.fleet.client import FleetClient
 from wickspring.commands.fleet.output import plan_steps, plan_table
 from wickspring.fleet.model import InstanceRecord, Kind, Operation, Phase, Progress, Step
-from wickspring.fleet.selector import SelectorError, parse
+from wickspring.fleet.selector import SelectorError, parse_selector
 from wickspring.wire import WireError
 
 POLL_INTERVAL_S = 0.4  # between two requests while following
@@ -96,7 +96,7 @@
 def choose(select: Sequence[str], answer: wire.Answer) -> tuple[InstanceRecord, ...]:
     """Apply a selection to the instances that an agent reports."""
     try:
-        return parse(tuple(select)).choose(answer.records)
+        return parse_selector(tuple(select)).select(answer.records)
     except SelectorError as error:
         raise CommandError(error, ExitCode.USAGE) from error
 
--- a/wickspring/fleet/selector.py
+++ b/wickspring/fleet/selector.py
@@ -1,6 +1,6 @@
-"""Choosing instances: `hall=hall-a,build!=3,n4`.
+"""Selection of instances: `hall=hall-a,build!=3,n4`.
 
-Terms are parted by commas. `key=value` and `key!=value` all have to hold; where several names stand
+Terms are separated by commas. `key=value` and `key!=value` all have to hold; where several names stand
 alone, an instance has to be one of them. Keys are name, hall, agent, build (the desired one),
 state, run, and the labels of the fleet file. A value may end in `*`.
 """
@@ -12,11 +12,11 @@
 
 from wickspring.fleet.model import InstanceRecord
 
-OWN = ("name", "hall", "agent", "build", "state", "run")
+RECORD_KEYS = ("name", "hall", "agent", "build", "state", "run")
 
 
 class SelectorError(ValueError):
-    """A selection that cannot be read, or that names what there is not."""
+    """A selection that cannot be read, or that names an unknown instance or key."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,9 +27,9 @@
     value: str
     equal: bool
 
-    def holds(self, record: InstanceRecord) -> bool:
-        """Tell whether an instance meets it."""
-        own = {
+    def matches(self, record: InstanceRecord) -> bool:
+        """Tell whether an instance meets the condition."""
+        fields = {
             "name": record.name,
             "hall": record.hall,
             "agent": record.agent,
@@ -37,38 +37,46 @@
             "state": record.observed.state,
             "run": str(record.desired.run).lower(),
         }
-        value = own.get(self.key, record.labels.get(self.key, ""))
+        value = fields.get(self.key, record.labels.get(self.key, ""))
         same = value.startswith(self.value[:-1]) if self.value.endswith("*") else value == self.value
         return same == self.equal
 
 
 @dataclass(slots=True, frozen=True)
 class Selector:
-    """A whole selection; an empty one chooses all."""
+    """A whole selection; an empty one selects all instances."""
 
     names: tuple[str, ...]
     terms: tuple[Term, ...]
 
-    def choose(self, records: Iterable[InstanceRecord]) -> tuple[InstanceRecord, ...]:
-        """Return the instances chosen, by hall and name; an unknown name or key is an error."""
+    def select(self, records: Iterable[InstanceRecord]) -> tuple[InstanceRecord, ...]:
+        """Return the selected instances, ordered by hall and name.
+
+        Raises:
+            SelectorError: an instance or a key is unknown.
+        """
         known = sorted(records, key=lambda record: (record.hall, record.name))
         missing = [name for name in self.names if name not in {record.name for record in known}]
         if missing:
             raise SelectorError(f"no instance is called {', '.join(missing)}")
         labels = {label for record in known for label in record.labels}
         for term in self.terms:
-            if term.key not in OWN and term.key not in labels:
+            if term.key not in RECORD_KEYS and term.key not in labels:
                 raise SelectorError(f"no instance has a label {term.key}")
         return tuple(
             record
             for record in known
             if (not self.names or record.name in self.names)
-            and all(term.holds(record) for term in self.terms)
+            and all(term.matches(record) for term in self.terms)
         )
 
 
-def parse(words: Iterable[str]) -> Selector:
-    """Read a selection from one or more words."""
+def parse_selector(words: Iterable[str]) -> Selector:
+    """Read a selection from one or more words.
+
+    Raises:
+        SelectorError: a term is empty or not key=value.
+    """
     names, terms = list[str](), list[Term]()
     for part in (part.strip() for word in words for part in word.split(",")):
         if not part:
