--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -10,8 +10,8 @@
 import pytest
 import trio
 
-from tests.agent.test_config import example
 from tests.net.test_parsers import CALLS, GOOD
+from tests.support.example_config import example_config
 from tests.support.ldap_server import NO_SUCH_OBJECT, Entry, LdapServer
 from wickspring import cli
 from wickspring.agent import agent, control, directory
@@ -127,7 +127,7 @@
 def agent_file(folder: Path, names: tuple[str, ...], extra: str = "", ldap: str = "") -> Path:
     lines = ['control = "agent.sock"', "backoff_first_s = 0.1", "drain_s = 6.0", extra]
     for name in names:
-        data = example(listen=f"127.0.0.1:{free_port()}")
+        data = example_config(listen=f"127.0.0.1:{free_port()}")
         (folder / f"{name}.json").write_text(json.dumps(data))
         lines += ["[[instance]]", f'name = "{name}"', f'config = "{name}.json"']
     if ldap:
@@ -176,7 +176,7 @@
                 assert (await ask("restart")).error == ""
                 await states(n0="ready", n1="ready")
                 before = [one.pid for one in (await ask("status")).instances]
-                (tmp_path / "n0.json").write_text(json.dumps(example(counter="127.0.0.1:6499")))
+                (tmp_path / "n0.json").write_text(json.dumps(example_config(counter="127.0.0.1:6499")))
                 assert (await ask("reload")).error == ""
                 await trio.sleep(0.2)
                 assert [one.pid for one in (await ask("status")).instances] == before
--- a/tests/agent/test_config.py
+++ b/tests/agent/test_config.py
@@ -9,27 +9,12 @@
 import pytest
 
 from tests.policy.test_simwire import SETTINGS
+from tests.support.example_config import EXAMPLE_CONFIG, example_config
 from wickspring import cli, config, simwire
 from wickspring.settings.errors import ConfigError
 from wickspring.settings.http2_file import HTTP2_FILE, load_http2
 from wickspring.settings.pairs import flatten
 
-EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
-
-
-def example(**changes: Any) -> dict[str, Any]:
-    data: dict[str, Any] = json.loads(EXAMPLE.read_text())
-    for path, value in changes.items():
-        inner = data
-        *keys, last = path.split("__")
-        for key in keys:
-            inner = inner[int(key)] if isinstance(inner, list) else inner[key]
-        if value is None:
-            del inner[last]
-        else:
-            inner[last] = value
-    return data
-
 
 def load(tmp_path: Path, data: Any, http2: str = "", **env: str) -> config.Instance:
     (tmp_path / "c.json").write_text(data if isinstance(data, str) else json.dumps(data))
@@ -38,14 +23,14 @@
 
 
 def test_example_loads_and_the_environment_wins(tmp_path: Path) -> None:
-    instance = load(tmp_path, example(), GW_LISTEN="127.0.0.9:5001", GW_NAME="n9")
+    instance = load(tmp_path, example_config(), GW_LISTEN="127.0.0.9:5001", GW_NAME="n9")
     assert (instance.name, instance.listen) == ("n9", ("127.0.0.9", 5001))
     assert not instance.http2.enabled
     assert instance.settings.classes[0].name == "ticket-view"
 
 
 def test_nested_json_and_the_simulators_lines_come_to_the_same(tmp_path: Path) -> None:
-    data = example()
+    data = example_config()
     lines = "\n".join(f"{key}={value}" for key, value in flatten(data["settings"]).items())
     instance = load(tmp_path, data)
     assert simwire.parse_settings(lines, int(data["seed"], 16)) == instance.settings
@@ -78,7 +63,7 @@
 )
 def test_message_names_the_key(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError) as caught:
-        load(tmp_path, example(**changes))
+        load(tmp_path, example_config(**changes))
     assert named in str(caught.value)
 
 
@@ -87,7 +72,7 @@
 )
 def test_http2_file_is_checked(tmp_path: Path, text: str, named: str) -> None:
     with pytest.raises(ConfigError, match=named):
-        load(tmp_path, example(), http2=text)
+        load(tmp_path, example_config(), http2=text)
 
 
 def test_http2_is_off_as_deployed() -> None:
@@ -95,8 +80,8 @@
 
 
 def test_check_config_tells_the_key_and_fails(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert cli.main(["check-config", str(EXAMPLE)]) == 0
-    (tmp_path / "bad.json").write_text(json.dumps(example(settings__Siblings=None)))
+    assert cli.main(["check-config", str(EXAMPLE_CONFIG)]) == 0
+    (tmp_path / "bad.json").write_text(json.dumps(example_config(settings__Siblings=None)))
     assert cli.main(["check-config", str(tmp_path / "bad.json")]) == 2
     assert "Siblings" in capsys.readouterr().err
     (tmp_path / "bad.json").write_text("{")
@@ -106,7 +91,7 @@
 def test_serve_ends_with_the_key_named(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (tmp_path / "bad.json").write_text(json.dumps(example(listen="x")))
+    (tmp_path / "bad.json").write_text(json.dumps(example_config(listen="x")))
     monkeypatch.setenv("GW_CONFIG", str(tmp_path / "bad.json"))
     monkeypatch.delenv("GW_LISTEN", raising=False)
     assert cli.main(["serve"]) == 2
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -18,8 +18,8 @@
 import trio
 
 from example import toy
-from tests.agent.test_config import example
 from tests.net.test_operating import call, listed, put
+from tests.support.example_config import example_config
 from tests.support.ingress import client1, request
 from tests.support.policy_gateway import Gateway, make_settings
 from wickspring import interface as api
@@ -69,7 +69,7 @@
 
 @contextlib.asynccontextmanager
 async def example_site(folder: Path) -> AsyncIterator[tuple[Path, tuple[str, int], list[Process]]]:
-    data = example()
+    data = example_config()
     for place in ("listen", "discovery", "counter"):
         data[place] = f"127.0.0.1:{free_port()}"
     for entry in data["known"]["servers"]:
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -11,8 +11,8 @@
 import pytest
 import trio
 
-from tests.agent.test_config import example
 from tests.support.command_line import run_command
+from tests.support.example_config import example_config
 from tests.support.ingress import client1, request, site
 from tests.support.policy_gateway import Gateway, make_settings
 from wickspring import interface as api
@@ -250,7 +250,7 @@
     thread = threading.Thread(target=trio.run, args=(serve,))
     thread.start()
     begun.wait()
-    (tmp_path / "config.json").write_text(json.dumps(example()))
+    (tmp_path / "config.json").write_text(json.dumps(example_config()))
     file, text = tmp_path / "agent.toml", f'control = "{tmp_path / "a.sock"}"\n'
     for number, port in enumerate((places[0][1], free_port())):
         text += f'[[instance]]\nname = "n{number}"\nconfig = "config.json"\n'
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -12,7 +12,7 @@
 import trio
 
 from example.toy import Answer, Seen, ToyCounter, ToyDiscovery, ToyServer, echo, start
-from tests.agent.test_config import example
+from tests.support.example_config import example_config
 from tests.support.ingress import client1, request, site
 from wickspring import config
 from wickspring.config import Instance
@@ -23,7 +23,7 @@
 def test_the_file_wins_over_the_environment_after_the_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    (tmp_path / "c.json").write_bytes(msgspec.json.encode(example(discovery="127.0.0.1:8501")))
+    (tmp_path / "c.json").write_bytes(msgspec.json.encode(example_config(discovery="127.0.0.1:8501")))
     monkeypatch.setenv("GW_CONFIG", str(tmp_path / "c.json"))
     monkeypatch.setenv("GW_DISCOVERY", "127.0.0.1:8502")
     assert config.from_environment().discovery == ("127.0.0.1", 8502)
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -6,7 +6,7 @@
 import sys
 from pathlib import Path
 
-from tests.agent.test_config import example
+from tests.support.example_config import example_config
 from wickspring.fleet import owner
 from wickspring.fleet.model import DesiredState, InstanceRecord, ObservedState, Rules
 from wickspring.fleet.owner import OwnerState
@@ -46,7 +46,7 @@
     lines += ["[[build]]", 'name = "1"', f'path = "{root}"', f'python = "{sys.executable}"']
     lines += ["[[build]]", 'name = "2"', f'path = "{root}"', f'python = "{sys.executable}"']
     for number in range(instances):
-        data = example(listen=f"127.0.0.1:{free_port()}")
+        data = example_config(listen=f"127.0.0.1:{free_port()}")
         (folder / f"n{number}.json").write_text(json.dumps(data))
         lines += [
             "[[instance]]",
--- a/tests/system/test_example.py
+++ b/tests/system/test_example.py
@@ -8,7 +8,7 @@
 import trio
 
 from example import toy
-from tests.agent.test_config import example
+from tests.support.example_config import example_config
 from tests.support.ingress import client1, request
 from wickspring import config
 from wickspring.agent.settings import load_agent
@@ -18,7 +18,7 @@
 
 def test_example_site_serves(tmp_path: Path) -> None:
     async def main() -> None:
-        data = example()
+        data = example_config()
         for place in ("listen", "discovery", "counter"):
             data[place] = f"127.0.0.1:{free_port()}"
         for entry in data["known"]["servers"]:
