--- a/tests/net/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -190,7 +190,7 @@
         self.asked: list[tuple[str, str, str, bytes]] = []
         self.sent, self.ended = b"", False
         self.clock, self.draining, self.near_connection_limit, self.flushed = Clock(), False, False, True
-        self.taken, self.broken = 0, False
+        self.bytes_sent, self.broken = 0, False
 
     def handle_request(self, client: Client, request: HttpRequest) -> None:
         assert request.body_stream is None
--- a/wickspring/dataplane/upstream.py
+++ b/wickspring/dataplane/upstream.py
@@ -140,12 +140,12 @@
         """Write the request; nothing of an earlier response may be unread."""
         check_invariant(not self.reader.http.trailing_data[0], "no bytes of an earlier response are unread")
         if self.link is not None:
-            self._taken_before = self.link.taken
+            self._taken_before = self.link.bytes_sent
         super().begin(exchange)
 
     def may_have_run(self) -> bool:
         """Return whether the endpoint can have read a byte; one that executes by the head alone may have."""
-        return self.sent and self.link is not None and self.link.taken > self._taken_before
+        return self.sent and self.link is not None and self.link.bytes_sent > self._taken_before
 
     def read_result(self, response: Response) -> ExchangeResult:
         """Return a complete response as the endpoint's own, or close the connection it came on."""
--- a/wickspring/lab/simulation/request_path/memory_connection.py
+++ b/wickspring/lab/simulation/request_path/memory_connection.py
@@ -28,8 +28,8 @@
         self.random = random
         self.kernel_bytes = kernel_bytes  # that the kernels of both sides buffer
         self.broken = False
-        self.given = 0  # bytes to send
-        self.taken = 0  # of which the kernel has taken
+        self.bytes_queued = 0  # bytes to send
+        self.bytes_sent = 0  # of which the kernel has taken
         self.peer = PeerEnd(self)
         self._closing = False
         self._shut = False
@@ -60,11 +60,11 @@
     @property
     def flushed(self) -> bool:
         """True once the kernel has taken every byte."""
-        return self.taken == self.given
+        return self.bytes_sent == self.bytes_queued
 
     def send(self, data: bytes) -> None:
         """Write what the kernel takes."""
-        self.given += len(data)
+        self.bytes_queued += len(data)
         self._arrive()
         if self.broken or self._shut or not data:
             return
@@ -82,13 +82,13 @@
         if room:
             self.peer.received += self._unsent[:room]
             del self._unsent[:room]
-            self.taken += room
+            self.bytes_sent += room
             self.peer.wake()
         if self._shut and not self._unsent:
             self.peer.end()
         self.wake()
 
-    async def room(self) -> bool:
+    async def wait_writable(self) -> bool:
         """Wait until all is taken."""
         while self._unsent and not self.broken:
             await self._moved.wait()
--- a/wickspring/net/http1_front.py
+++ b/wickspring/net/http1_front.py
@@ -331,7 +331,7 @@
         self.body = bytearray()
         self.server.record_buffered(self, 0)
         self.link.finish()
-        self._linger(self.link.taken, self.server.clock.now())
+        self._linger(self.link.bytes_sent, self.server.clock.now())
 
     def _linger(self, taken: int, moved_at: float) -> None:
         """Close a while after all has left; a client that reads slowly gets its response whole."""
@@ -339,8 +339,8 @@
             self.server.call_later(LINGER_MS, self.link.close)
             return
         now = self.server.clock.now()
-        if self.link.taken > taken:
-            taken, moved_at = self.link.taken, now
+        if self.link.bytes_sent > taken:
+            taken, moved_at = self.link.bytes_sent, now
         if now - moved_at > READ_TIMEOUT_MS:
             self.link.close()
         else:
@@ -411,7 +411,7 @@
 
     async def wait_writable(self) -> bool:
         """Wait until the kernel has taken what was passed on; False where the client has gone."""
-        return await self.link.room()
+        return await self.link.wait_writable()
 
     def end_response(self, complete: bool) -> None:
         """End a response; an incomplete one ends with a reset, so that it cannot pass for complete."""
--- a/wickspring/net/http2_front.py
+++ b/wickspring/net/http2_front.py
@@ -74,7 +74,9 @@
         while self.outgoing and not self.owner.closing and self.id in self.owner.streams:
             self._writable = trio.Event()
             await self._writable.wait()
-        return not self.owner.closing and self.id in self.owner.streams and await self.owner.link.room()
+        return (
+            not self.owner.closing and self.id in self.owner.streams and await self.owner.link.wait_writable()
+        )
 
     def wake_writer(self) -> None:
         """Wake the task that waits until more may be written."""
--- a/wickspring/net/link.py
+++ b/wickspring/net/link.py
@@ -21,7 +21,17 @@
 class Link:
     """A connected, non-blocking socket."""
 
-    __slots__ = ("_closing", "_drained", "_nursery", "_shut", "_sock", "_unsent", "broken", "given", "taken")
+    __slots__ = (
+        "_closing",
+        "_drained",
+        "_nursery",
+        "_shut",
+        "_sock",
+        "_unsent",
+        "broken",
+        "bytes_queued",
+        "bytes_sent",
+    )
 
     def __init__(self, sock: socket.socket, nursery: trio.Nursery) -> None:
         sock.setblocking(False)
@@ -32,7 +42,7 @@
         self._drained: trio.Event | None = None  # of who waits until all is written
         self._shut = False
         self._closing = False
-        self.given = self.taken = 0  # bytes handed to `send`, and those of them that the kernel took
+        self.bytes_queued = self.bytes_sent = 0  # handed to `send`, and those of them that the kernel took
         self.broken = False  # the peer is gone or this side has closed
 
     @property
@@ -41,11 +51,11 @@
 
         A reset that comes after the last byte is no proof that nothing ran.
         """
-        return self.taken == self.given
+        return self.bytes_sent == self.bytes_queued
 
     def send(self, data: bytes) -> None:
         """Write now what the kernel takes and the rest as it can; errors show in `broken`."""
-        self.given += len(data)
+        self.bytes_queued += len(data)
         if self.broken or self._shut or not data:
             return
         if self._unsent:
@@ -60,12 +70,12 @@
         except OSError:
             self.broken = True
             return
-        self.taken += taken
+        self.bytes_sent += taken
         if taken < len(data):
             self._unsent += data[taken:]
             self._nursery.start_soon(self._flush)
 
-    async def room(self) -> bool:
+    async def wait_writable(self) -> bool:
         """Wait until the kernel has taken all that was sent; False where that will not be any more."""
         while self._unsent and not self.broken:
             if self._drained is None:
@@ -83,7 +93,7 @@
             while self._unsent and not self._closing:
                 await trio.lowlevel.wait_writable(self._sock)
                 taken = self._sock.send(self._unsent)
-                self.taken += taken
+                self.bytes_sent += taken
                 del self._unsent[:taken]
         except BlockingIOError:
             self._nursery.start_soon(self._flush)
--- a/wickspring/net/upstream/http1.py
+++ b/wickspring/net/upstream/http1.py
@@ -68,7 +68,7 @@
         """Write the rest of a long body as it arrives and as the server reads it."""
         while True:
             with trio.move_on_after(STALL_S) as stalled:
-                await link.room()
+                await link.wait_writable()
             if stalled.cancelled_caught and self.exchange is exchange:
                 self.close(ClosedBy.PEER)
             more = not link.broken and await body_stream.wait_readable()
--- a/wickspring/net/upstream/http2.py
+++ b/wickspring/net/upstream/http2.py
@@ -121,7 +121,7 @@
             return
         self.link.send(self.http.data_to_send())
         for stream in self._completed:
-            stream.ends_at = self.link.given
+            stream.ends_at = self.link.bytes_queued
         self._completed.clear()
 
     # The connection.
@@ -243,7 +243,7 @@
 
     def _taken(self) -> int:
         """Return how many bytes of the connection the kernel has taken."""
-        return self.link.taken if self.link is not None else 0
+        return self.link.bytes_sent if self.link is not None else 0
 
     def _end(self, stream_id: int, result: ExchangeResult) -> None:
         stream = self.streams.pop(stream_id, None)
