--- a/wickspring/lab/experiments/capacity_site.py
+++ b/wickspring/lab/experiments/capacity_site.py
@@ -48,7 +48,7 @@
 async def start_site(gateway: VirtualGateway, size: SiteSize) -> None:
     """Start a site and wait until it is stable."""
     await gateway.apply_config(generate_config(1, size.config))
-    gateway.add_servers(size.servers, [backend["name"] for backend in gateway.config["backends"]])
+    gateway.add_servers(size.servers, gateway.config.services)
     gateway.nursery.start_soon(gateway.send_heartbeats, HEARTBEAT_S)
     await trio.sleep(2 * HEARTBEAT_S)
     for number in range(size.ingresses):
--- a/wickspring/lab/experiments/capacity_sweeps.py
+++ b/wickspring/lab/experiments/capacity_sweeps.py
@@ -8,7 +8,6 @@
 
 from collections.abc import Callable
 from dataclasses import asdict, dataclass
-from typing import Any
 
 import trio
 
@@ -156,10 +155,10 @@
 
     async def scenario(gateway: VirtualGateway) -> Figures:
         await start_site(gateway, size)
-        services = [backend["name"] for backend in gateway.config["backends"]]
+        services = gateway.config.services
         gateway.meter.reset()
         for server_id in list(gateway.servers)[:count]:
-            gateway.servers[server_id]["condition"]["state"] = "draining"
+            gateway.servers[server_id].state = "draining"
             gateway.send_heartbeat(server_id)
             await trio.sleep(0.5 * seconds / count)
             gateway.deregister(server_id)
@@ -192,18 +191,14 @@
     """
     size = SiteSize(ingresses=1, servers=20)
 
-    def depart(gateway: VirtualGateway, server_id: str) -> None:
-        gateway.servers[server_id] = {}
-        gateway.deregister(server_id)
-
     async def scenario(gateway: VirtualGateway) -> Figures:
         await start_site(gateway, size)
         for number in range(count):
-            depart(gateway, f"i-{number:06d}-gone00")
+            gateway.deregister(f"i-{number:06d}-gone00")
         await trio.sleep(3.0)
         gateway.meter.reset()
         for number in range(DEPARTURES_MEASURED):
-            depart(gateway, f"i-{number:06d}-gone11")
+            gateway.deregister(f"i-{number:06d}-gone11")
             await trio.sleep(1.0)
         meter = gateway.meter
         return {
@@ -229,8 +224,8 @@
 LINK_COPIES = (1, 2, 3)
 
 
-def measure_target(seed: int) -> dict[str, Any]:
-    """Measure at the target's own size what one machine bears of it: steps, and four of the data planes."""
+def measure_target(seed: int) -> dict[str, object]:
+    """Measure at the target's own size the load of one machine: single steps, and four of the data planes."""
     size = TARGET_SIZE
     config = steps.config_steps(size.config)
     config_bytes = int(config["text_bytes"])
--- a/wickspring/lab/simulation/request_path/simulation.py
+++ b/wickspring/lab/simulation/request_path/simulation.py
@@ -15,6 +15,7 @@
 from wickspring.common.endpoints import Endpoint
 from wickspring.common.routing_table import build_routing_table
 from wickspring.common.settings import Limits, NodeSettings
+from wickspring.connections.model import ConnectionState, PooledConnection
 from wickspring.dataplane import server
 from wickspring.dataplane.process import DataPlane
 from wickspring.dataplane.upstream import NOT_EXECUTED_HEADER
@@ -160,13 +161,13 @@
         self.requests_per_client = 0
         await data_plane.drain()
 
-    async def _connect(self, conn: Any) -> Link | None:
+    async def _connect(self, conn: PooledConnection) -> Link | None:
         random = self.random
         await trio.sleep(random.choice((0.0, 0.001, 0.01)))
         if random.random() < CONNECT_FAILURE_SHARE * self.fault_share:
             self.data_plane.upstream.dial_failed(conn)
             return None
-        if conn.state.value == "closed":
+        if conn.state is ConnectionState.CLOSED:
             return None
         near = DataPlaneEnd(random, random.choice((math.inf, math.inf, 300, 30_000)))
         self.nursery.start_soon(self.faulty_servers[conn.server.decode()].serve, near.peer)
--- a/wickspring/lab/simulation/virtual_gateway.py
+++ b/wickspring/lab/simulation/virtual_gateway.py
@@ -10,9 +10,10 @@
 
 import json
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 from random import Random
-from typing import Any
 
+import msgspec
 import trio
 
 from wickspring.common import settings as settings_module
@@ -32,6 +33,60 @@
 READY_TIMEOUT_S = 120.0
 
 
+class _Pattern(msgspec.Struct, frozen=True):
+    path_prefix: str
+
+
+class _Route(msgspec.Struct, frozen=True):
+    pattern: _Pattern
+
+
+class _Host(msgspec.Struct, frozen=True):
+    host: str
+    policy: list[_Route]
+
+
+class _Tenant(msgspec.Struct, frozen=True):
+    api_keys: list[str]
+
+
+class _Backend(msgspec.Struct, frozen=True):
+    name: str
+
+
+class ConfigDocument(msgspec.Struct, frozen=True):
+    """The parts of a configuration from which requests and servers are drawn."""
+
+    sockets: list[_Host]
+    tenants: list[_Tenant]
+    backends: list[_Backend]
+
+    @property
+    def services(self) -> list[str]:
+        """Return the names of the services."""
+        return [backend.name for backend in self.backends]
+
+
+@dataclass(slots=True)
+class RegisteredServer:
+    """A server that sends heartbeats."""
+
+    address: str
+    service: str
+    state: str = "ready"
+    call_seq: int = 0  # of its last heartbeat
+
+    def next_heartbeat(self) -> bytes:
+        """Return the body of its next heartbeat."""
+        self.call_seq += 1
+        body = {
+            "address": self.address,
+            "build_info": {"service": self.service, "generation": "v1", "zone": "a", "capacity": 8},
+            "condition": {"state": self.state, "call_seq": self.call_seq, "cold_left_s": 0},
+        }
+        return json.dumps(body).encode()
+
+
 class VirtualGateway:
     """The processes of one gateway, its registered servers, its operator and its clients."""
 
@@ -46,8 +101,8 @@
         self.control_plane_ips = [f"10.1.0.{number + 1}" for number in range(node_count)]
         self.control_planes: dict[str, controlplane_process.ControlPlane] = {}
         self.data_planes: dict[str, dataplane_process.DataPlane] = {}
-        self.config: dict[str, Any] = {}  # the configuration in force
-        self.servers: dict[str, dict[str, Any]] = {}  # heartbeat bodies by server id
+        self.config = ConfigDocument([], [], [])  # the configuration in force
+        self.servers: dict[str, RegisteredServer] = {}  # by server id
         self._scopes: dict[str, trio.CancelScope] = {}
         self._servers_added = 0
 
@@ -139,26 +194,17 @@
             self._servers_added += 1
             number = self._servers_added
             server_id = f"i-{number:06d}-{self.random.getrandbits(24):06x}"
-            self.servers[server_id] = {
-                "address": f"10.{2 + number // 60000}.{number // 250 % 240}.{number % 250 + 1}:8080",
-                "build_info": {
-                    "service": services[number % len(services)],
-                    "generation": "v1",
-                    "zone": "a",
-                    "capacity": 8,
-                },
-                "condition": {"state": "ready", "call_seq": 0, "cold_left_s": 0},
-            }
+            address = f"10.{2 + number // 60000}.{number // 250 % 240}.{number % 250 + 1}:8080"
+            self.servers[server_id] = RegisteredServer(address, services[number % len(services)])
 
     def send_heartbeat(self, server_id: str) -> None:
         """Send a server's heartbeat to a control-plane node, the same one each time."""
-        body = self.servers[server_id]
-        body["condition"]["call_seq"] += 1
-        self._call_for_server(server_id, "heartbeat", json.dumps(body).encode())
+        body = self.servers[server_id].next_heartbeat()
+        self._call_for_server(server_id, "heartbeat", body)
 
     def deregister(self, server_id: str) -> None:
-        """Send a server's deregistration."""
-        self.servers.pop(server_id)
+        """Send a server's deregistration, also of one that has never registered."""
+        self.servers.pop(server_id, None)
         self._call_for_server(server_id, "deregister", b"")
 
     def _call_for_server(self, server_id: str, operation: str, body: bytes) -> None:
@@ -208,7 +254,7 @@
         """
         for _ in range(CONFIG_ATTEMPTS):
             if await self.replace_config(body) == 200:
-                self.config = json.loads(body)
+                self.config = msgspec.json.decode(body, type=ConfigDocument)
                 return
             await trio.sleep(POLL_S)
         raise TimeoutError("the configuration was not acknowledged")
@@ -216,11 +262,9 @@
     async def send_requests(self, ip: str, rate: float) -> None:
         """Send requests for random tenants and routes to a data plane, so many a second."""
         targets = [
-            (socket["host"], route["pattern"]["path_prefix"])
-            for socket in self.config["sockets"]
-            for route in socket["policy"]
+            (host.host, route.pattern.path_prefix) for host in self.config.sockets for route in host.policy
         ]
-        keys = [tenant["api_keys"][0] for tenant in self.config["tenants"]]
+        keys = [tenant.api_keys[0] for tenant in self.config.tenants]
         number = 0
         while True:
             await trio.sleep(self.random.expovariate(rate))
