--- a/tests/controlplane/test_chain.py
+++ b/tests/controlplane/test_chain.py
@@ -17,8 +17,9 @@
 )
 from wickspring.lab.faults.chaos import Chaos
 from wickspring.lab.faults.episodes import Episodes
+from wickspring.lab.simulation.exploration_steps import Exploration, Return
 from wickspring.lab.simulation.replication.group import ANSWER_MS, SimulatedGroup
-from wickspring.lab.simulation.state_exploration import ONE_VERSION, Exploration, Return, explore
+from wickspring.lab.simulation.state_exploration import ONE_VERSION, explore
 
 ONE, TWO, THREE, ZONE = FaultTolerance(1), FaultTolerance(2), FaultTolerance(3), FaultTolerance(1, 1)
 
--- a/tests/controlplane/test_chain_defects.py
+++ b/tests/controlplane/test_chain_defects.py
@@ -17,9 +17,10 @@
 from wickspring.lab.faults.chaos import Chaos
 from wickspring.lab.faults.episodes import Episodes
 from wickspring.lab.faults.fault_injector import FaultKind
+from wickspring.lab.simulation.exploration_steps import Exploration
 from wickspring.lab.simulation.invariants import InvariantBrokenError
 from wickspring.lab.simulation.replication.node import SimulatedNode
-from wickspring.lab.simulation.state_exploration import ONE_VERSION, Exploration, explore
+from wickspring.lab.simulation.state_exploration import ONE_VERSION, explore
 
 
 class _AcknowledgesAnyTextPassing(UpdatePassing):
--- a/wickspring/lab/simulation/state_exploration.py
+++ b/wickspring/lab/simulation/state_exploration.py
@@ -11,7 +11,6 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
-from enum import Enum
 from random import Random
 
 from wickspring.common.digest import digest_of
@@ -21,6 +20,16 @@
 from wickspring.controlplane.replication.paxos import PaxosVoter, Proposal
 from wickspring.controlplane.replication.replica import CommitOutcome, Rank, Replica, Update
 from wickspring.controlplane.replication.view import Member, PeerObservation, View
+from wickspring.lab.simulation.exploration_steps import (
+    ComeBack,
+    Deliver,
+    Exploration,
+    Lose,
+    Observe,
+    Return,
+    Step,
+    Submit,
+)
 from wickspring.lab.simulation.invariants import InvariantBrokenError
 
 IPS = ("a", "b", "c")
@@ -42,62 +51,6 @@
         return 0
 
 
-class Return(Enum):
-    """How the node that was lost comes back."""
-
-    NEVER = "never"
-    WITH_DISK = "with its disk"
-    WITH_EMPTY_DISK = "with an empty disk"
-
-
-@dataclass(slots=True, frozen=True)
-class Deliver:
-    """A message arrives."""
-
-    key: str  # in `World.network`
-
-
-@dataclass(slots=True, frozen=True)
-class Submit:
-    """The next writer submits its update to a head."""
-
-    ip: str
-
-
-@dataclass(slots=True, frozen=True)
-class Lose:
-    """A node ends, and the messages to it are lost."""
-
-    ip: str
-
-
-@dataclass(slots=True, frozen=True)
-class Observe:
-    """A node observes the others for so long that it proposes a view if it ever does."""
-
-    ip: str
-
-
-@dataclass(slots=True, frozen=True)
-class ComeBack:
-    """The node that was lost starts again."""
-
-    ip: str
-    with_disk: bool
-
-
-Step = Deliver | Submit | Lose | Observe | ComeBack
-
-
-@dataclass(slots=True, frozen=True)
-class Exploration:
-    """Which steps are explored."""
-
-    loses: str  # the node that is lost
-    observations: int = 1  # of each other node, after the loss
-    returns: Return = Return.NEVER
-
-
 @dataclass(slots=True, frozen=True)
 class LostDisk:
     """What the node that was lost has left on its disk."""
