--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -142,7 +142,7 @@
         settings = load_agent(path)
 
         async def ask(action: str, *names: str) -> control.Result:
-            return await control.ask(settings.control, Command(action, names))
+            return await control.send_command(settings.control, Command(action, names))
 
         async def states(**wanted: str) -> None:
             while wanted.items() - {(one.name, one.state) for one in (await ask("status")).instances}:
--- a/tests/commands/test_groups.py
+++ b/tests/commands/test_groups.py
@@ -64,7 +64,7 @@
 @pytest.fixture
 def agent(monkeypatch: pytest.MonkeyPatch) -> Agent:
     answering = Agent()
-    monkeypatch.setattr(control, "ask", answering.ask)
+    monkeypatch.setattr(control, "send_command", answering.ask)
     return answering
 
 
@@ -109,7 +109,7 @@
     def interrupt(*_: object) -> None:
         raise KeyboardInterrupt
 
-    monkeypatch.setattr(control, "ask", interrupt)
+    monkeypatch.setattr(control, "send_command", interrupt)
     assert run_command("drain", str(agent_file(tmp_path, ("n0",)))) == CommandResult(1, "", "interrupted\n")
 
 
--- a/wickspring/agent/agent.py
+++ b/wickspring/agent/agent.py
@@ -10,7 +10,7 @@
 from wickspring.agent import control
 from wickspring.agent.control import Action, Command, Result
 from wickspring.agent.directory import DirectorySync
-from wickspring.agent.settings import Agent as Settings
+from wickspring.agent.settings import AgentSettings
 from wickspring.agent.supervisor import State, Supervisor
 from wickspring.logs import kv
 
@@ -26,10 +26,11 @@
 class Agent:
     """Manages the instances that one file names."""
 
-    def __init__(self, settings: Settings) -> None:
+    def __init__(self, settings: AgentSettings) -> None:
         self.settings = settings
         self.supervisors = {
-            managed.name: Supervisor(managed, settings.file, settings.copy) for managed in settings.instances
+            managed.name: Supervisor(managed, settings.file, settings.tenants_file)
+            for managed in settings.instances
         }
         self.directory_sync = _make_directory_sync(settings)
 
@@ -93,13 +94,13 @@
         return Result(error, reports, tenants, sync.error)
 
 
-def _make_directory_sync(settings: Settings) -> DirectorySync | None:
+def _make_directory_sync(settings: AgentSettings) -> DirectorySync | None:
     """Return what keeps the tenants in step with the directory; None where there is no directory."""
-    directory, copy = settings.file.directory, settings.copy
-    if directory is None or copy is None:
+    directory, tenants_file = settings.file.directory, settings.tenants_file
+    if directory is None or tenants_file is None:
         return None
     plans = frozenset(plan for managed in settings.instances for plan in managed.plans)
-    return DirectorySync(directory, settings.password, plans, copy)
+    return DirectorySync(directory, settings.password, plans, tenants_file)
 
 
 async def _becomes_ready(supervisor: Supervisor) -> bool:
@@ -108,7 +109,7 @@
     return False
 
 
-async def run(settings: Settings) -> None:
+async def run(settings: AgentSettings) -> None:
     """Run until SIGTERM or SIGINT; then drain all instances at once.
 
     Raises:
--- a/wickspring/agent/control.py
+++ b/wickspring/agent/control.py
@@ -126,7 +126,7 @@
         return Result(error=str(error))
 
 
-async def ask(path: Path, command: Command) -> Result:
+async def send_command(path: Path, command: Command) -> Result:
     """Send a command to a running agent, and return its result.
 
     Raises:
--- a/wickspring/agent/directory.py
+++ b/wickspring/agent/directory.py
@@ -149,15 +149,15 @@
 class DirectorySync:
     """Keeps the tenants in step with the directory for as long as it runs."""
 
-    def __init__(self, file: DirectoryFile, password: str, plans: frozenset[str], copy: Path) -> None:
+    def __init__(self, file: DirectoryFile, password: str, plans: frozenset[str], tenants_file: Path) -> None:
         self.file = file
         self.password = password
         self.plans = plans
-        self.copy = copy
+        self.tenants_file = tenants_file
         self.tenants = Tenants()  # the last good list
         self.error = ""  # of the last attempt; empty where it succeeded
         try:
-            self.tenants = load_tenants(copy)
+            self.tenants = load_tenants(tenants_file)
         except TenantsError as error:
             log.warning("copy_unusable", extra=kv(reason=error))
 
@@ -169,7 +169,7 @@
                 log.info("tenants", extra=kv(count=len(tenants.tenants), faulty=len(tenants.faults)))
             self.tenants = tenants
             self.error = ""
-            await trio.to_thread.run_sync(save_tenants, self.copy, tenants)
+            await trio.to_thread.run_sync(save_tenants, self.tenants_file, tenants)
         except (DirectoryError, OSError) as error:
             self.error = str(error)
             log.warning("directory_failed", extra=kv(reason=error, kept=len(self.tenants.tenants)))
--- a/wickspring/agent/gossip.py
+++ b/wickspring/agent/gossip.py
@@ -13,7 +13,7 @@
 from wickspring.fleet.views import AgentContent
 from wickspring.wire import WireError
 
-LEAVE_PEERS = 3  # agents that are told when this one leaves
+LEAVE_PEERS = 3  # agents that are notified when this one leaves
 LEAVE_TIMEOUT_S = 0.5  # for each of them
 
 
--- a/wickspring/agent/operation_runner.py
+++ b/wickspring/agent/operation_runner.py
@@ -1,6 +1,6 @@
 """The operations that this agent coordinates: stored, advanced side by side, and shown to the others.
 
-What is decided is stored before any agent is asked, and a coordinator that was killed continues from there.
+What is decided is stored before any request is sent, and a coordinator that was killed continues from there.
 """
 
 from __future__ import annotations
--- a/wickspring/agent/peer_client.py
+++ b/wickspring/agent/peer_client.py
@@ -27,7 +27,7 @@
         """
         try:
             address = self.context.fleet.agent(agent).address
-        except ConfigError as error:  # the fleet file has changed since the agent was heard of
+        except ConfigError as error:  # the fleet file no longer names the agent
             raise WireError(str(error)) from error
         tls = self.certificates.client() if self.certificates is not None else None
         answer = await wire.exchange(address, f"agent {agent}", message, tls, agent, REQUEST_TIMEOUT_S)
--- a/wickspring/agent/process_launcher.py
+++ b/wickspring/agent/process_launcher.py
@@ -71,7 +71,7 @@
         return InstanceProcess(pid, start_ticks, stored.token, stored.build, stored.generation, adopted=True)
 
     def forget(self, name: str, token: str) -> None:
-        """Remove what is kept of a process that has ended.
+        """Remove what is stored of a process that has ended.
 
         Raises:
             StoreError: the store still has it, which does no harm: no process has its token.
--- a/wickspring/agent/settings.py
+++ b/wickspring/agent/settings.py
@@ -20,7 +20,7 @@
 
     url: str
     base: str
-    copy: str  # the last good copy is kept in this file
+    copy: str  # file that has the last good list of tenants
     filter: str = "(objectClass=organization)"
     customer: str = "uid"
     plan: str = "businessCategory"
@@ -55,7 +55,7 @@
     drain_s: float = 5.0  # after SIGTERM, before SIGKILL
 
 
-class Managed(msgspec.Struct, frozen=True):
+class ManagedInstance(msgspec.Struct, frozen=True):
     """One instance of the agent's, checked."""
 
     name: str
@@ -63,20 +63,20 @@
     http2: Path
     listen: tuple[str, int]
     plans: frozenset[str]
-    door: tuple[str, int] | None = None  # where its admin API listens
+    admin_address: tuple[str, int] | None = None  # of its admin API
 
 
-class Agent(msgspec.Struct, frozen=True):
+class AgentSettings(msgspec.Struct, frozen=True):
     """The agent's file, checked, with the configuration of every instance."""
 
     file: AgentFile
     control: Path
-    instances: tuple[Managed, ...]
-    copy: Path | None
-    password: str
+    instances: tuple[ManagedInstance, ...]
+    tenants_file: Path | None  # None where there is no directory
+    password: str  # for the directory; empty: none
 
 
-def load_agent(path: Path) -> Agent:
+def load_agent(path: Path) -> AgentSettings:
     """Read and check the agent's file and all that it names.
 
     Raises:
@@ -89,14 +89,14 @@
     folder = path.parent
     instances = tuple(_load_entry(folder, entry) for entry in file.instance)
     _check_unique(path.name, instances)
-    copy, password = None, ""
+    tenants_file, password = None, ""
     if file.directory is not None:
-        copy = folder / file.directory.copy
+        tenants_file = folder / file.directory.copy
         password = _load_password(folder, file.directory)
-    return Agent(file, folder / file.control, instances, copy, password)
+    return AgentSettings(file, folder / file.control, instances, tenants_file, password)
 
 
-def _load_entry(folder: Path, entry: InstanceEntry) -> Managed:
+def _load_entry(folder: Path, entry: InstanceEntry) -> ManagedInstance:
     config = folder / entry.config
     http2 = folder / entry.http2 if entry.http2 else HTTP2_FILE
     env = {"GW_NAME": entry.name}
@@ -106,13 +106,13 @@
         env["GW_ADMIN_ADDR"] = entry.admin_addr
     instance = load_instance(config, env, http2)
     plans = frozenset(plan.name for plan in instance.settings.plans)
-    return Managed(entry.name, config, http2, instance.listen, plans, instance.door)
+    return ManagedInstance(entry.name, config, http2, instance.listen, plans, instance.door)
 
 
-def _check_unique(file_name: str, instances: tuple[Managed, ...]) -> None:
+def _check_unique(file_name: str, instances: tuple[ManagedInstance, ...]) -> None:
     names = [one.name for one in instances]
     listen = [one.listen for one in instances]
-    admin = [one.door for one in instances if one.door is not None]
+    admin = [one.admin_address for one in instances if one.admin_address is not None]
     for key, values in (("name", names), ("listen", listen), ("admin_addr", admin)):
         if len(set(values)) < len(values):
             raise ConfigError(f"{file_name}: instance: two have the same {key}")
--- a/wickspring/agent/supervisor.py
+++ b/wickspring/agent/supervisor.py
@@ -15,7 +15,7 @@
 import trio
 
 from wickspring.agent.backoff import RestartBackoff
-from wickspring.agent.settings import AgentFile, Managed
+from wickspring.agent.settings import AgentFile, ManagedInstance
 from wickspring.logs import kv
 
 log = logging.getLogger(__name__)
@@ -67,7 +67,7 @@
 class Supervisor:
     """Keeps one instance running, or stopped, as commands say."""
 
-    def __init__(self, managed: Managed, file: AgentFile, tenants: Path | None = None) -> None:
+    def __init__(self, managed: ManagedInstance, file: AgentFile, tenants: Path | None = None) -> None:
         self.managed, self.file, self.tenants = managed, file, tenants
         self.should_run = True
         self.state = State.STOPPED
@@ -173,8 +173,8 @@
             "GW_LISTEN": f"{host}:{port}",
             "GW_HTTP2": str(self.managed.http2),
         }
-        if self.managed.door is not None:
-            admin_host, admin_port = self.managed.door
+        if self.managed.admin_address is not None:
+            admin_host, admin_port = self.managed.admin_address
             environment["GW_ADMIN_ADDR"] = f"{admin_host}:{admin_port}"
         if self.tenants is not None:
             environment["GW_TENANTS"] = str(self.tenants)
--- a/wickspring/agent/wire.py
+++ b/wickspring/agent/wire.py
@@ -43,7 +43,7 @@
 
 
 class Submit(msgspec.Struct, frozen=True, tag="submit"):
-    """An operator's operation; the agent asked becomes its coordinator."""
+    """An operator's operation; the agent that receives it becomes its coordinator."""
 
     kind: Kind
     instances: tuple[str, ...]
@@ -51,11 +51,11 @@
     batch: int = 1
     below_floor: bool = False
     by: str = ""  # taken from a local socket alone
-    id: str = ""  # chosen by who asks, so that asking again does not begin a second one
+    id: str = ""  # chosen by the client, so that a repeated request does not begin a second operation
 
 
 class Cancel(msgspec.Struct, frozen=True, tag="cancel"):
-    """Have an operation begin nothing more."""
+    """Cancel an operation: it begins nothing more."""
 
     id: str
     by: str = ""
@@ -102,7 +102,7 @@
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """Who speaks: an agent or an operator by name, and the role."""
+    """The other end of a connection: an agent or an operator by name, and its role."""
 
     name: str
     agent: bool = False
@@ -127,7 +127,7 @@
                 continue
             await lines.write(await handle(peer, message))
     except (WireError, msgspec.DecodeError, trio.BrokenResourceError, trio.ClosedResourceError, ssl.SSLError):
-        return  # who asked has left, or speaks something else
+        return  # the client has left, or speaks another protocol
 
 
 async def exchange(
--- a/wickspring/commands/admin.py
+++ b/wickspring/commands/admin.py
@@ -112,7 +112,7 @@
 def _admin_addresses(file: Path) -> dict[str, Address | None]:
     """Return the instances of an agent's file with the addresses of their admin APIs."""
     try:
-        return {managed.name: managed.door for managed in load_agent(file).instances}
+        return {managed.name: managed.admin_address for managed in load_agent(file).instances}
     except ConfigError as error:
         raise CommandError(error, ExitCode.USAGE) from error
 
--- a/wickspring/commands/local.py
+++ b/wickspring/commands/local.py
@@ -12,7 +12,7 @@
 import trio
 
 from wickspring import __version__, cli, config, logs
-from wickspring.agent.settings import Agent, load_agent
+from wickspring.agent.settings import AgentSettings, load_agent
 from wickspring.command_line.errors import CommandError, ExitCode
 from wickspring.settings.errors import ConfigError
 from wickspring.settings.http2_file import HTTP2_FILE
@@ -125,7 +125,7 @@
 
     try:
         path = load_agent(file).control
-        result = trio.run(control.ask, path, control.Command(name, tuple(instances)))
+        result = trio.run(control.send_command, path, control.Command(name, tuple(instances)))
     except ConfigError as error:
         raise CommandError(error, ExitCode.USAGE) from error
     except control.ControlError as error:
@@ -147,10 +147,10 @@
     )
 
 
-def _tenants_of_agent(agent: Agent) -> Tenants:
+def _tenants_of_agent(agent: AgentSettings) -> Tenants:
     from wickspring.agent import control
 
-    result = trio.run(control.ask, agent.control, control.Command("tenants"))
+    result = trio.run(control.send_command, agent.control, control.Command("tenants"))
     if result.directory_error:
         print(f"directory: {result.directory_error}", file=sys.stderr)
     return result.tenants or Tenants()
--- a/wickspring/config.py
+++ b/wickspring/config.py
@@ -107,11 +107,11 @@
     get = SettingPairs(pairs)
     return api.Settings(
         seed=seed,
-        own_number=get.whole("SelfIndex"),
-        gateways=get.whole("Siblings"),
-        zone=get.whole("Zone"),
-        classes=tuple(_request_class(get, f"Lanes.{index}") for index in range(get.whole("Lanes.count"))),
-        plans=tuple(_plan(get, f"Packages.{index}") for index in range(get.whole("Packages.count"))),
+        own_number=get.integer("SelfIndex"),
+        gateways=get.integer("Siblings"),
+        zone=get.integer("Zone"),
+        classes=tuple(_request_class(get, f"Lanes.{index}") for index in range(get.integer("Lanes.count"))),
+        plans=tuple(_plan(get, f"Packages.{index}") for index in range(get.integer("Packages.count"))),
         may_count=get.flag("Domain.MayCount"),
         count_timeout=get.number("Domain.CountLimit"),
         largest_units=get.number("Domain.Largest"),
@@ -120,7 +120,7 @@
         may_probe=get.flag("Permissions.Probing"),
         may_cancel=get.flag("Permissions.Cancelling"),
         parallel_attempts=get.flag("Permissions.ParallelTries"),
-        max_attempts=get.whole("Permissions.MaxAttempts"),
+        max_attempts=get.integer("Permissions.MaxAttempts"),
         list_on_request=get.text("Discovery") == "on_request",
         list_ask_within=get.number("Obligations.AskWithin"),
         answer_slack=get.number("Obligations.AnswerSlack"),
@@ -135,7 +135,7 @@
         zones=get.words("Zones"),
         dial_timeout=get.number("Permissions.DialTimeout", 250.0),
         idle_close=get.number("Permissions.IdleClose", 30_000.0),
-        streams_per_connection=get.whole("Permissions.StreamsPerConn", 100, 1),
+        streams_per_connection=get.integer("Permissions.StreamsPerConn", 100, 1),
     )
 
 
@@ -144,7 +144,7 @@
         effect=_effect(get, f"{path}.Effect"),
         group=_group(get, f"{path}.Group"),
         repeat_window=get.number(f"{path}.Window"),
-        target_latency=get.number(f"{path}.Promise", least=MIN_TARGET_LATENCY_MS),
+        target_latency=get.number(f"{path}.Promise", minimum=MIN_TARGET_LATENCY_MS),
         deadline=get.number(f"{path}.Deadline"),
         value=get.number(f"{path}.Worth"),
         late_value=get.number(f"{path}.LateWorth"),
@@ -157,7 +157,7 @@
     return api.PlanSettings(
         rate=get.number(f"{path}.UnitsPerS") / MS_PER_S,
         burst=get.number(f"{path}.PeakUnits"),
-        max_in_flight=get.whole(f"{path}.MaxOut"),
+        max_in_flight=get.integer(f"{path}.MaxOut"),
         ceiling_rate=get.number(f"{path}.NeverOverRate") / MS_PER_S,
         ceiling_burst=get.number(f"{path}.NeverOverDepth"),
         ceiling_slack=get.number(f"{path}.HardSlack"),
--- a/wickspring/fleet/rollout/instance_steps.py
+++ b/wickspring/fleet/rollout/instance_steps.py
@@ -107,7 +107,7 @@
 def _judge_start(
     progress: Progress, record: InstanceRecord, rules: Rules, now: float, timed_out: bool
 ) -> Progress | None:
-    """Watch the instance once it is ready as wanted; fail it if it crashes or takes too long."""
+    """Watch the instance once it is ready as desired; fail it if it crashes or takes too long."""
     observed, desired = record.observed, record.desired
     if observed.ready and (observed.build, observed.generation) == (desired.build, desired.generation):
         proving = enter_step(progress, Step.PROVING, now)
--- a/wickspring/fleet/rollout/progress.py
+++ b/wickspring/fleet/rollout/progress.py
@@ -29,7 +29,7 @@
 
 
 def finish(operation: Operation, progress: Progress, now: float) -> Progress:
-    """Return the progress of an instance that is as wanted."""
+    """Return the progress of an instance that is as the operation wants it."""
     reverting = operation.phase is Phase.REVERTING
     return enter_step(progress, Step.REVERTED if reverting else Step.DONE, now, progress.note)
 
--- a/wickspring/settings/pairs.py
+++ b/wickspring/settings/pairs.py
@@ -58,8 +58,8 @@
             raise ConfigError(f"missing setting {path}")
         return self.pairs[path]
 
-    def number(self, path: str, default: float | None = None, least: float = 0.0) -> float:
-        """Return a finite number that is not below `least`."""
+    def number(self, path: str, default: float | None = None, minimum: float = 0.0) -> float:
+        """Return a finite number that is not below `minimum`."""
         if default is not None and path not in self.pairs:
             return default
         text = self.text(path)
@@ -67,13 +67,13 @@
             value = float(text)
         except ValueError as error:
             raise ConfigError(f"setting {path} is not a number: {text!r}") from error
-        if not math.isfinite(value) or value < least:
-            raise ConfigError(f"setting {path} must be a number from {least:g} up: {text!r}")
+        if not math.isfinite(value) or value < minimum:
+            raise ConfigError(f"setting {path} must be a number from {minimum:g} up: {text!r}")
         return value
 
-    def whole(self, path: str, default: int | None = None, least: int = 0) -> int:
-        """Return a whole number that is not below `least`."""
-        value = self.number(path, default, least)
+    def integer(self, path: str, default: int | None = None, minimum: int = 0) -> int:
+        """Return a whole number that is not below `minimum`."""
+        value = self.number(path, default, minimum)
         if value != int(value):
             raise ConfigError(f"setting {path} is not a whole number: {self.pairs[path]!r}")
         return int(value)
