--- a/wickspring/connections/retirement.py
+++ b/wickspring/connections/retirement.py
@@ -1,4 +1,8 @@
-"""When an idle connection is closed: by age, requests carried, idle time, or the risk of a loss. No I/O."""
+"""When a connection is retired: by age, requests carried, idle time, or the risk of a loss. No I/O.
+
+The limits are `ConnectionLimits`. A connection that is retired while it carries requests takes no more, and
+is closed once they have ended (`pools`); no time limit of its own ends it earlier.
+"""
 
 from __future__ import annotations
 
--- a/wickspring/controlplane/quota_counter.py
+++ b/wickspring/controlplane/quota_counter.py
@@ -12,7 +12,9 @@
 A data plane that has timed out may be cut off, and then goes on in isolation within its share
 (`wickspring.dataplane.policy.quota`). So what it may use in a span is reserved for a while: units given out
 and units reserved stay together under the ceiling. A data plane whose connection was reset has ended, and
-uses nothing.
+uses nothing. A connection times out after `common.connection.RECEIVE_TIMEOUT_MS`; the time of the reservation
+(`UNRESPONSIVE_MS`) counts from then. The data plane itself sets its isolation no end: one that is cut off for
+longer may use what has been given out again.
 
 The nodes that do not own a count receive it while it runs low, so what data planes have used that ended
 together with the owner is not forgotten. They receive each data plane's share too: so the next owner reserves
--- a/wickspring/controlplane/replication/diagnostics.py
+++ b/wickspring/controlplane/replication/diagnostics.py
@@ -1,4 +1,4 @@
-"""Descriptions for operators of what the replicas of other nodes are missing."""
+"""Descriptions for operators of what the replicas of other nodes are missing: `behind` in `ctl chain`."""
 
 from __future__ import annotations
 
--- a/wickspring/dataplane/control_client/client.py
+++ b/wickspring/dataplane/control_client/client.py
@@ -40,7 +40,7 @@
 from wickspring.dataplane.endpoint_table import EndpointTable
 from wickspring.net.clock import Clock
 
-COMPARE_MS = 2000.0  # between comparisons of endpoints with the control plane's
+COMPARE_MS = 2000.0  # between comparisons of endpoints with the control plane's, and up to a heartbeat more
 HEARTBEAT_JITTER = (0.85, 1.15)
 
 
--- a/wickspring/dataplane/gossip.py
+++ b/wickspring/dataplane/gossip.py
@@ -6,7 +6,9 @@
 
 Each probe and ack carry the digest of the sender's state: the version of its configuration, how many departed
 endpoints it knows, a checksum of its endpoints. Changes of endpoints are sent to a few members at once; one
-that finds itself behind fetches the rest over a connection (`dataplane.state_exchange`). So a data plane that
+that finds itself behind fetches the rest over a connection (`dataplane.state_exchange`): for another checksum
+of endpoints alone only while it reaches no control plane, with which it compares endpoints otherwise
+(`dataplane.control_client.client`). So a data plane that
 reaches no control plane still learns what the others learn, and no version ever goes back.
 """
 
--- a/wickspring/dataplane/readiness.py
+++ b/wickspring/dataplane/readiness.py
@@ -1,4 +1,7 @@
-"""Readiness: whether clients are to connect to this data plane, and the probe by which the platform asks."""
+"""Readiness: when the start of this data plane is complete, and the probe by which the platform asks.
+
+`DataPlane.is_ready` in `dataplane.process` decides: the start is complete, and the process does not drain.
+"""
 
 from __future__ import annotations
 
--- a/wickspring/dataplane/request/hedging.py
+++ b/wickspring/dataplane/request/hedging.py
@@ -1,7 +1,9 @@
 """Hedged attempts: a second attempt beside a slow first one.
 
 An idempotent request that is not answered within a multiple of its route's typical latency is also sent to a
-second endpoint (Dean and Barroso, "The Tail at Scale", 2013).
+second endpoint (Dean and Barroso, "The Tail at Scale", 2013). The timer is set once, with the first attempt,
+so a request is hedged once at most. From then on a hedge is an attempt like any other: it takes from the
+retry budget, and `request.forwarding` does not tell its end from that of a retry.
 """
 
 from __future__ import annotations
--- a/wickspring/lab/emulation/gateway_process.py
+++ b/wickspring/lab/emulation/gateway_process.py
@@ -1,4 +1,7 @@
-"""One `serve` process of a run on sockets: its files, its start and end, what it has used and logged."""
+"""One ingress process (`serve`) of a run on sockets: its files, start and end, what it has used and logged.
+
+The processes of control planes and data planes are those of `local_gateway`.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +45,7 @@
 
 
 class GatewayProcess:
-    """One `serve` process, started as often as the run's faults require."""
+    """One ingress process (`serve`), started as often as the run's faults require."""
 
     def __init__(self, name: str, files: GatewayFiles) -> None:
         self.name = name
--- a/wickspring/net/upstream/__init__.py
+++ b/wickspring/net/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Ticket servers: jobs, and the connections that carry them."""
+"""Connections to servers, in HTTP/1.1 and HTTP/2, and the exchanges that they carry."""
