--- a/tests/core/test_call_ids.py
+++ b/tests/core/test_call_ids.py
@@ -21,7 +21,7 @@
     assert not ids.open and not ids.unrepeatable
 
 
-def test_ids_of_the_process_before_are_kept_until_their_time() -> None:
+def test_ids_of_the_predecessor_are_kept_until_they_expire() -> None:
     ids = CallIds()
     ids.forbid_repeat("b", 900.0)
     ids.take_over({"a": 500.0}, {"b": 700.0, "c": 800.0})
--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -65,7 +65,7 @@
     return core.AttemptEnded(1, attempt, status, body=body)
 
 
-def test_request_to_answer() -> None:
+def test_a_request_is_sent_and_answered() -> None:
     front = Core()
     assert front.request(send(0)) == [core.StartAttempt(1, 0, S[0], 4000.0)]
     front.now += 50
@@ -79,7 +79,7 @@
     assert not invariants.broken
 
 
-def test_second_answer_is_not_given() -> None:
+def test_a_second_response_is_not_forwarded() -> None:
     front = Core()
     front.request(send(0), send(1), api.Refuse(1, 5.0))
     assert front.feed(ended(Status.OK), [api.Fail(1), api.Refuse(1, 1.0)]) == []
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED])
-def test_unsafe_that_may_have_run_is_neither_sent_again_nor_refused(status: Status) -> None:
+def test_an_unsafe_request_that_may_have_run_is_neither_retried_nor_rejected(status: Status) -> None:
     front = Core(effect=Effect.UNSAFE)
     front.request(send(0))
     effects = front.feed(ended(status), [send(1)], [api.Refuse(1, 5.0)])
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("status", [Status.FULL, Status.CONNECT_FAILED])
-def test_unsafe_that_never_ran_goes_on(status: Status) -> None:
+def test_an_unsafe_request_that_was_not_executed_is_retried(status: Status) -> None:
     front = Core(effect=Effect.UNSAFE)
     front.request(send(0))
     assert front.feed(ended(status), [send(1)]) == [core.StartAttempt(1, 1, S[1], 4000.0)]
@@ -117,7 +117,9 @@
         (Group.CELL, 1, 0, False),
     ],
 )
-def test_keyed_stays_in_its_group_and_window(group: Group, server: int, later: float, allowed: bool) -> None:
+def test_a_keyed_request_is_retried_in_its_group_and_window_only(
+    group: Group, server: int, later: float, allowed: bool
+) -> None:
     front = Core(effect=Effect.KEYED, group=group)
     front.request(send(0))
     front.now += later
@@ -126,7 +128,7 @@
     assert bool(invariants.broken) != allowed
 
 
-def test_nothing_new_to_a_draining_server() -> None:
+def test_a_draining_server_gets_no_new_request() -> None:
     front = Core()
     draining = Gateway.entry(0, readiness=api.Readiness.DRAINING)
     front.feed(api.ServerList(api.ListKind.CHANGES, (draining,)))
@@ -134,7 +136,7 @@
     assert invariants.broken["nothing new to a draining server"] == 1
 
 
-def test_servers_that_are_gone_are_forgotten_with_their_addresses() -> None:
+def test_removed_servers_are_discarded_with_their_addresses() -> None:
     front, directory = Core(), Directory(("hall-a",))
     for number in range(50):
         for state in ("up", "removed"):
@@ -156,7 +158,7 @@
     assert len(front.told) == told
 
 
-def test_withdrawn_request_owes_nothing_and_stops_what_is_out() -> None:
+def test_a_cancelled_request_ends_its_attempts_and_gets_no_response() -> None:
     front = Core()
     front.request(send(0))
     assert front.feed(api.Withdrawn(1), [api.Cancel(1, 0)]) == [core.StopAttempt(1, 0)]
@@ -179,7 +181,7 @@
     assert front.feed(late, [api.Send(3, S[1], 0.0)]) == [core.StartAttempt(3, 0, S[1], 20_000.0)]
 
 
-def test_sweep_fails_what_the_module_forgot() -> None:
+def test_the_sweep_fails_requests_that_the_policy_left_unanswered() -> None:
     front = Core()
     front.request()
     assert front.feed(core.SweepDue()) == []
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -39,14 +39,14 @@
     assert ends(result, "command upgrade")[0].startswith("exit 0")
 
 
-def test_agents_killed_halfway_come_back_adopt_and_go_on() -> None:
+def test_agents_killed_during_an_upgrade_restart_and_resume() -> None:
     result = assert_rules_kept(run(fleet("agent-killed", 14.0), 1))
     assert (result.rolled, result.did_not_follow) == (6, 0)
     assert ends(result, "upgrade") == ["done"]
     assert result.answers_lost == 0
 
 
-def test_an_instance_lost_halfway_comes_back() -> None:
+def test_an_instance_lost_during_an_upgrade_is_restarted() -> None:
     result = run(fleet("instance-lost", 12.0), 1)
     assert result.answers_doubled == result.forbidden_copies == 0
     assert result.answers_lost < 20  # what the killed processes held went with them, and no more
@@ -54,7 +54,7 @@
     assert ends(result, "upgrade")[0].split()[0] in ("done", "failed")
 
 
-def test_of_two_conflicting_drains_one_wins_and_the_other_is_told() -> None:
+def test_of_two_conflicting_drains_one_succeeds_and_the_other_is_rejected() -> None:
     result = assert_rules_kept(run(fleet("conflicting-drains", 8.0), 1))
     words = ends(result, "drain")
     assert sorted(text.split()[0] for text in words) == ["done", "refused"]
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(("name", "reason"), [("bad-build", "answers failed"), ("never-ready", "not ready")])
-def test_a_bad_build_is_taken_back_by_itself(name: str, reason: str) -> None:
+def test_a_failing_build_is_rolled_back_automatically(name: str, reason: str) -> None:
     result = run(fleet(name, 10.0, hold_s=2.0), 1)
     assert result.answers_lost == result.answers_doubled == result.forbidden_copies == 0
     assert (result.rolled, result.did_not_follow) == (0, 6)
@@ -75,7 +75,7 @@
     assert ends(result, "command upgrade")[0].startswith("exit 1")
 
 
-def test_a_large_fleet_rolls_in_virtual_time_and_without_some_of_its_agents() -> None:
+def test_a_large_fleet_is_upgraded_in_virtual_time_without_some_agents() -> None:
     for name in ("large-fleet", "large-fleet-lost"):
         one = fleet(name, 400.0, count=60, agents=12)
         assert one.fleet is not None
--- a/tests/lab/test_site_variants.py
+++ b/tests/lab/test_site_variants.py
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize(
     ("core", "counts"), [("five", [2, 1, 1, 1]), ("six", [2, 2, 2]), ("seven", [2, 2, 2, 1])]
 )
-def test_a_wider_core_stands_over_the_zones_and_bears_more(core: str, counts: list[int]) -> None:
+def test_a_wider_core_spans_the_zones_and_tolerates_more_failures(core: str, counts: list[int]) -> None:
     was, now = tomllib.loads(WIDE), tomllib.loads(widen(WIDE, CORES[core]))
     machines = [one for one in now["machines"] if one["class"] == "core"]
     assert [one["count"] for one in machines] == counts
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("name", CORES)
 @pytest.mark.parametrize("zones", [3, 4])
-def test_what_a_wider_core_bears_leaves_more_than_half(zones: int, name: str) -> None:
+def test_a_majority_remains_after_the_tolerated_failures_of_a_wider_core(zones: int, name: str) -> None:
     core = CORES[name]
     counts = core.counts(zones)
     assert sum(counts) == core.machines and len(counts) == zones
@@ -90,7 +90,7 @@
         widen(WIDE.replace('"core", zone = "b"', '"side", zone = "b"'), CORES["five"])
 
 
-def test_days_of_our_own_take_the_place_of_the_files(tmp_path: Path) -> None:
+def test_days_given_replace_those_of_the_files(tmp_path: Path) -> None:
     ours = '[[day]]\nname = "cut"\nseed = 5\nplan = []\n'
     days = tomllib.loads(replace_days(WIDE, [ours, ours], 9))["day"]
     assert [(one["name"], one["seed"]) for one in days] == [("cut", 9), ("cut", 9)]
--- a/tests/net/test_discovery_pauses.py
+++ b/tests/net/test_discovery_pauses.py
@@ -25,7 +25,7 @@
     return [Backoff(Random(seed), GATEWAYS, RATE, 0.1, 10.0, PROMPT) for seed in range(GATEWAYS)]
 
 
-def test_while_all_are_turned_away_the_fleet_keeps_to_its_rate() -> None:
+def test_reconnections_of_a_rejected_fleet_keep_their_rate() -> None:
     tries: Counter[int] = Counter()
     for backoff in fleet():
         now = backoff.start()
@@ -36,7 +36,7 @@
     assert sum(tries[second] for second in range(30, 60)) <= 30 * RATE * 0.6
 
 
-def test_an_overbooked_service_that_works_on_for_those_who_left_serves_all_in_the_end() -> None:
+def test_an_overloaded_discovery_eventually_serves_every_ingress() -> None:
     # One turn after another, five a second; who has waited two seconds leaves, and is worked on all the same.
     backoffs, free, served = fleet(), 0.0, set[int]()
     calls = sorted((backoff.start(), number) for number, backoff in enumerate(backoffs))
@@ -51,12 +51,12 @@
     assert served == set(range(GATEWAYS))
 
 
-def test_what_ended_for_all_at_once_is_not_taken_up_by_all_at_once() -> None:
+def test_reconnections_after_a_common_failure_are_spread() -> None:
     starts: Counter[int] = Counter(int(b.ended() * 40) for b in fleet())
     assert max(starts.values()) <= GATEWAYS // 4
 
 
-def test_a_drain_told_at_a_start_or_between_two_watches_is_heard_within_its_grace() -> None:
+def test_a_drain_announced_between_watches_is_received_within_its_grace() -> None:
     # Two hundred waited up to 2 s before they asked, and sent to servers known to be draining by then.
     settings = make_settings(gateways=200, drain_grace=500.0)
     for seed in range(200):
@@ -71,13 +71,13 @@
         assert watch._backoff.ended() <= 0.35
 
 
-def test_one_ingress_alone_comes_again_within_a_second() -> None:
+def test_a_single_ingress_reconnects_within_a_second() -> None:
     backoff = Backoff(Random(1), 1, RATE, 0.1, 10.0, PROMPT)
     assert max(backoff.failed() for _ in range(20)) <= 1.0
 
 
 @pytest.mark.parametrize("status", discovery.BUSY_STATUSES)
-def test_a_watch_turned_away_is_told_from_a_bad_list(status: int) -> None:
+def test_a_busy_status_of_a_watch_raises_a_busy_error(status: int) -> None:
     reader = discovery.WatchReader()
     reader.request("/discovery/hosts?follow=1&since=7", "d")
     with pytest.raises(discovery.BusyError, match=str(status)):
@@ -87,18 +87,18 @@
 LINE = b'{"version":9,"full":false,"servers":[]}\n'
 
 
-def test_a_watch_turned_away_comes_again_from_the_version_held() -> None:
-    trio.run(_turned_away)
+def test_a_rejected_watch_resumes_from_the_current_version() -> None:
+    trio.run(_serve_after_two_rejections)
 
 
-async def _turned_away() -> None:
+async def _serve_after_two_rejections() -> None:
     asked: list[bytes] = []
     answers = [
         b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(LINE), LINE),
     ]
-    news: list[api.ServerList] = []
+    lists: list[api.ServerList] = []
 
     async def serve(stream: trio.SocketStream) -> None:
         asked.append(await stream.receive_some())
@@ -112,16 +112,16 @@
         address = listeners[0].socket.getsockname()
         directory = discovery.Directory(("a",))
         directory.version = 7
-        watch = discovery.Discovery(address, directory, nursery, news.append)
+        watch = discovery.Discovery(address, directory, nursery, lists.append)
         nursery.start_soon(watch.run)
         with trio.fail_after(20):
             await watch.received.wait()
         nursery.cancel_scope.cancel()
     assert [b"since=7 " in request for request in asked] == [True] * 3
-    assert directory.version == 9 and len(news) == 1
+    assert directory.version == 9 and len(lists) == 1
 
 
-def test_clients_are_served_from_the_known_list_while_discovery_is_silent(
+def test_clients_are_served_from_the_last_list_while_discovery_is_unresponsive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(server, "FIRST_LIST_S", math.inf)  # who has no list would wait for one
@@ -136,18 +136,18 @@
     trio.run(main)
 
 
-def test_an_own_number_out_of_the_fleet_is_told(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_own_number_outside_the_fleet_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     async def main() -> None:
         async with site(gateways=3, own_number=3) as here:
             client = await client1(here.http1)
             assert (await client.ask(request()))[0] == 200
 
     trio.run(main)
-    told = [record for record in caplog.records if record.message == "not_of_the_fleet"]
-    assert [record.__dict__["kv"] for record in told] == [{"SelfIndex": 3, "Siblings": 3}]
+    warnings = [record for record in caplog.records if record.message == "not_of_the_fleet"]
+    assert [record.__dict__["kv"] for record in warnings] == [{"SelfIndex": 3, "Siblings": 3}]
 
 
 @pytest.mark.parametrize(("key", "value"), [("Siblings", "forty"), ("Siblings", "-1"), ("SelfIndex", "1.5")])
-def test_a_number_that_makes_no_sense_names_its_key(key: str, value: str) -> None:
+def test_an_invalid_fleet_number_is_reported_by_key(key: str, value: str) -> None:
     with pytest.raises(ConfigError, match=key):
         build_settings({"SelfIndex": "0", "Siblings": "3", key: value}, 1)
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -102,7 +102,7 @@
     return request("ticket-view", customer=customer, api_plan="premium")
 
 
-def test_an_upgrade_loses_no_connection_and_no_maintenance(folder: Path) -> None:
+def test_an_upgrade_keeps_every_connection_and_the_maintenance_set(folder: Path) -> None:
     async def main() -> None:
         async with example_site(folder) as (path, place, processes):
             old = Process(path, folder)
@@ -137,7 +137,7 @@
     trio.run(main)
 
 
-def test_a_new_version_that_dies_before_it_serves_changes_nothing(folder: Path) -> None:
+def test_a_successor_that_exits_before_serving_changes_nothing(folder: Path) -> None:
     async def main() -> None:
         async with example_site(folder) as (path, place, processes):
             old = Process(path, folder)
@@ -218,7 +218,7 @@
         await trio.sleep(0.005)
 
 
-def test_the_talk_in_its_order(folder: Path) -> None:
+def test_the_handover_messages_are_sent_in_order(folder: Path) -> None:
     async def main() -> None:
         old, new, path = Side(), Side(), folder / "a.sock"
         with trio.fail_after(20):
@@ -251,7 +251,7 @@
     trio.run(main)
 
 
-def test_the_old_process_accepts_again_where_its_successor_leaves(folder: Path) -> None:
+def test_the_old_process_resumes_accepting_if_its_successor_exits(folder: Path) -> None:
     async def main() -> None:
         old, path = Side(), folder / "a.sock"
         with trio.fail_after(20):
@@ -273,7 +273,7 @@
 
 
 @pytest.mark.parametrize("answer", [None, b"\xc1", b"", "other version", "no listeners"])
-def test_a_process_that_cannot_be_followed_is_passed_over(folder: Path, answer: object) -> None:
+def test_an_incompatible_predecessor_is_ignored(folder: Path, answer: object) -> None:
     async def main() -> None:
         path = folder / "a.sock"
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as server:
@@ -300,7 +300,7 @@
     trio.run(main)
 
 
-def test_no_socket_or_a_dead_ones_file_is_a_plain_start(folder: Path) -> None:
+def test_without_a_live_handover_socket_the_process_starts_normally(folder: Path) -> None:
     async def main() -> None:
         path = folder / "a.sock"
         assert not await Successor(path, Side()).begin()
@@ -311,7 +311,7 @@
     trio.run(main)
 
 
-def test_a_folder_that_cannot_hold_a_socket_is_no_place() -> None:
+def test_an_unusable_directory_disables_the_handover_socket() -> None:
     assert handover.place("", "n0", 1) is None
     assert handover.place("/" + "x" * 100, "n0", 1) is None
 
@@ -325,7 +325,7 @@
     return one
 
 
-def test_the_state_goes_over_whole() -> None:
+def test_the_complete_state_is_handed_over() -> None:
     old, new = reducer(), reducer()
     for number in range(600):  # more than one message holds
         old.reduce(
@@ -355,7 +355,7 @@
     assert new.policy.concurrency_limit == old.policy.concurrency_limit
 
 
-def test_an_id_under_way_at_the_old_process_is_not_taken_by_the_new_one() -> None:
+def test_the_new_process_rejects_an_id_in_progress_at_the_old_one() -> None:
     settings = make_settings(kind={"effect": api.Effect.UNSAFE}, may_count=False)
     old, new = Reducer(settings), Reducer(settings)
     for one in (old, new):
@@ -372,7 +372,7 @@
     assert core.StartAttempt in [type(effect) for effect in effects]
 
 
-def test_a_server_started_anew_keeps_nothing_of_what_the_old_process_knew() -> None:
+def test_the_state_of_a_restarted_server_is_not_handed_over() -> None:
     old, new = reducer(), reducer()
     name = Gateway.entry(1).server
     old.policy.server_table.servers[name].failures = 4
@@ -382,7 +382,7 @@
     assert new.policy.server_table.servers[name].failures == 0
 
 
-def test_the_maintenance_set_is_kept_beside_the_socket(folder: Path) -> None:
+def test_the_maintenance_set_is_stored_beside_the_handover_socket(folder: Path) -> None:
     path, held = folder / "a.sock", Maintenance()
     assert maintenance_store.load(path) == ([], {})
     held.apply(listed(1, 2))
--- a/tests/net/test_http1.py
+++ b/tests/net/test_http1.py
@@ -76,7 +76,7 @@
         ({"idempotency_key": "k"}, "Idempotency-Key"),
     ],
 )
-def test_a_bad_field_is_a_400_that_names_it(change: dict[str, Any], field: str) -> None:
+def test_an_invalid_field_is_answered_400_with_its_name(change: dict[str, Any], field: str) -> None:
     async def main() -> None:
         async with site() as here:
             client = await client1(here.http1)
@@ -98,7 +98,7 @@
         (b"GET /other HTTP/1.1\r\nHost: a\r\n\r\n", b"404"),
     ],
 )
-def test_malformed_and_too_large(raw: bytes, status: bytes) -> None:
+def test_malformed_and_oversized_requests_are_rejected(raw: bytes, status: bytes) -> None:
     async def main() -> None:
         async with site() as here:
             stream = await trio.open_tcp_stream(*here.http1)
@@ -137,7 +137,7 @@
     run(main)
 
 
-def test_ticket_server_that_refuses_connections_never_ran_it() -> None:
+def test_a_refused_connection_means_not_executed() -> None:
     async def main() -> None:
         async with site(ToyServer("s0")) as here:
             listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
@@ -155,7 +155,7 @@
     run(main)
 
 
-def test_idle_connection_that_the_server_closed_is_not_written_to() -> None:
+def test_an_idle_connection_closed_by_the_server_is_not_reused() -> None:
     # Work written to a connection that the server has closed counts as possibly run.
     async def main() -> None:
         async with site(ToyServer("s0")) as here:
@@ -168,7 +168,7 @@
     run(main)
 
 
-def test_client_that_leaves_withdraws_its_request() -> None:
+def test_a_disconnecting_client_cancels_its_request() -> None:
     async def main() -> None:
         async with site(ToyServer("s0", never)) as here:
             client = await client1(here.http1)
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize("kind", ["ticket-view", "ticket-reply", "ticket-escalate"])
-def test_silent_ticket_servers_are_answered_for_before_the_deadline(kind: str) -> None:
+def test_requests_to_unresponsive_servers_are_answered_before_the_deadline(kind: str) -> None:
     async def main() -> None:
         async with site(ToyServer("s0", never), ToyServer("s1", never)) as here:
             asked = trio.current_time()
@@ -197,7 +197,7 @@
     run(main)
 
 
-def test_silent_counter_delays_a_request_by_its_time_out_alone_and_is_found_again() -> None:
+def test_an_unresponsive_counter_delays_a_request_by_its_timeout_and_recovers() -> None:
     async def main() -> None:
         async with site(count_timeout=50.0) as here:
             client = await client1(here.http1)
@@ -216,7 +216,7 @@
     run(main)
 
 
-def test_server_that_drains_gets_nothing_new_and_one_that_moves_is_found() -> None:
+def test_a_draining_server_gets_no_requests_and_a_moved_one_is_found() -> None:
     async def main() -> None:
         async with site() as here:
             client = await client1(here.http1)
@@ -233,7 +233,7 @@
     run(main)
 
 
-def test_sigterm_takes_what_still_comes_and_finishes_it() -> None:
+def test_sigterm_finishes_requests_that_still_arrive() -> None:
     async def main() -> None:
         async def slow(seen: Seen) -> Answer:
             await trio.sleep(0.9)
@@ -278,7 +278,7 @@
     run(main)
 
 
-def test_quiet_connections_make_room_for_others() -> None:
+def test_idle_connections_are_closed_for_new_clients() -> None:
     async def main() -> None:
         async with site(sockets=32) as here:
             busy = await client1(here.http1)
@@ -293,7 +293,7 @@
     run(main)
 
 
-def test_client_that_floods_while_its_answer_is_owed_is_not_read_on_and_gets_its_answer() -> None:
+def test_a_flooding_client_is_paused_and_gets_its_pending_response() -> None:
     async def main() -> None:
         go = trio.Event()
 
@@ -317,7 +317,7 @@
     run(main)
 
 
-def test_bad_list_line_holds_the_old_list_and_the_whole_list_is_asked_for() -> None:
+def test_an_invalid_list_line_keeps_the_old_list_and_requests_a_complete_one() -> None:
     async def main() -> None:
         async with site() as here:
             here.discovery.servers["s0"]["state"] = "draining"  # which the bad line should have told
--- a/tests/net/test_http2.py
+++ b/tests/net/test_http2.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("speak2", [(), ALL])
-def test_a_whole_path_from_request_to_answer(speak2: tuple[str, ...]) -> None:
+def test_a_request_is_forwarded_and_answered(speak2: tuple[str, ...]) -> None:
     async def main() -> None:
         async with site(speak2=speak2) as here:
             client = await client2(here.http2)
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("speak2", [(), ALL])
-def test_one_stream_of_many_reset_while_its_escalation_runs(speak2: tuple[str, ...]) -> None:
+def test_a_stream_reset_during_its_escalation_leaves_the_others_unaffected(speak2: tuple[str, ...]) -> None:
     async def main() -> None:
         gate = trio.Event()
         servers = [ToyServer(f"s{n}", gated(gate)) for n in range(2)]
@@ -90,7 +90,7 @@
     run(main)
 
 
-def test_goaway_in_the_middle_of_a_drain() -> None:
+def test_goaway_during_a_drain() -> None:
     # Streams above the last one named never ran and go elsewhere; the others are still answered here.
     async def main() -> None:
         gate = trio.Event()
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize("rejected", [True, False])
-def test_turned_away_is_told_by_its_mark_alone(rejected: bool) -> None:
+def test_a_rejection_is_recognised_by_its_header_only(rejected: bool) -> None:
     async def main() -> None:
         async def behave(seen: Seen) -> Answer:
             return Answer(503, headers={"x-rejected": "1"} if rejected else {})
@@ -182,7 +182,7 @@
     run(main)
 
 
-def test_clients_shut_window_stalls_its_answer_and_no_other() -> None:
+def test_a_closed_client_window_stalls_its_own_response_only() -> None:
     async def main() -> None:
         async def behave(seen: Seen) -> Answer:
             return Answer(body=b"z" * 30000)
@@ -207,7 +207,7 @@
     run(main)
 
 
-def test_ticket_servers_shut_window_stalls_a_request_that_then_never_ran() -> None:
+def test_a_request_stalled_by_a_closed_server_window_was_not_executed() -> None:
     async def main() -> None:
         server = ToyServer("s0")
         server.window, server.credit = 100, False
@@ -248,7 +248,7 @@
     run(main)
 
 
-def test_deadline_of_a_silent_ticket_server() -> None:
+def test_a_request_to_an_unresponsive_server_ends_at_its_deadline() -> None:
     async def main() -> None:
         async def behave(seen: Seen) -> Answer:
             await trio.sleep_forever()
@@ -264,7 +264,7 @@
     run(main)
 
 
-def test_bad_fields_and_sizes_are_named() -> None:
+def test_invalid_fields_and_sizes_are_reported_by_name() -> None:
     async def main() -> None:
         async with site() as here:
             client = await client2(here.http2)
@@ -283,7 +283,7 @@
     run(main)
 
 
-def test_garbage_ends_its_own_connection_alone() -> None:
+def test_malformed_bytes_close_their_own_connection_only() -> None:
     async def main() -> None:
         async with site() as here:
             good = await client2(here.http2)
@@ -299,7 +299,7 @@
     run(main)
 
 
-def test_sigterm_says_goaway_and_answers_what_still_comes() -> None:
+def test_sigterm_sends_goaway_and_answers_requests_that_still_arrive() -> None:
     async def main() -> None:
         async def slow(seen: Seen) -> Answer:
             await trio.sleep(0.9)
@@ -325,7 +325,7 @@
     run(main)
 
 
-def test_client_that_only_opens_and_resets_is_shut_out() -> None:
+def test_a_client_that_only_opens_and_resets_streams_is_disconnected() -> None:
     async def main() -> None:
         async with site() as here:
             client, other = await client2(here.http2), await client2(here.http2)
@@ -342,7 +342,7 @@
     run(main)
 
 
-def test_frames_are_passed_whole_but_for_goaway() -> None:
+def test_complete_frames_are_forwarded_except_goaway() -> None:
     ping = b"\0\0\x08\x06\0\0\0\0\0" + b"p" * 8
     stream = b"x" * 24 + ping + goaway(7) + ping
     for cut in range(len(stream)):
--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("front", ["http1", "http2"])
-def test_a_long_answer_comes_whole_and_the_connection_goes_on(front: str) -> None:
+def test_a_long_response_is_complete_and_the_connection_is_reused(front: str) -> None:
     async def main() -> None:
         async with site(ToyServer("s0", long_answer)) as here:
             if front == "http1":
@@ -103,7 +103,7 @@
     run(main)
 
 
-def test_an_answer_that_breaks_once_begun_is_seen_to_be_cut_and_made_once() -> None:
+def test_a_response_truncated_after_its_start_is_detectable_and_not_retried() -> None:
     async def broken(seen: Seen) -> Answer:
         await seen.connection.stream.send_all(
             b"HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n" + LONG[:400_000]
@@ -127,7 +127,7 @@
     run(main)
 
 
-def test_a_reader_that_stops_stops_the_server_being_read_and_gets_all_when_it_goes_on() -> None:
+def test_a_paused_client_applies_backpressure_to_the_server_and_then_gets_all() -> None:
     sent = 0
 
     async def endless(seen: Seen) -> Answer:
@@ -163,7 +163,7 @@
     run(main)
 
 
-def test_a_drain_lets_an_answer_that_has_begun_go_out_whole() -> None:
+def test_a_drain_completes_a_response_in_progress() -> None:
     async def main() -> None:
         async with site(ToyServer("s0", long_answers)) as here:
             client = await client1(here.http1)
@@ -177,7 +177,7 @@
     run(main)
 
 
-def test_a_server_that_does_not_read_stops_the_client_being_read() -> None:
+def test_a_server_that_does_not_read_applies_backpressure_to_the_client() -> None:
     async def main() -> None:
         async with site(ToyServer("s0")) as here:
             server = here.servers[0]
@@ -199,7 +199,7 @@
     run(main)
 
 
-def test_past_the_memory_for_transfers_a_long_request_is_refused_at_once_and_short_ones_go_on() -> None:
+def test_beyond_the_transfer_memory_only_long_requests_are_rejected() -> None:
     async def main() -> None:
         async with site(ToyServer("s0"), memory_mb=32.0) as here:
             most = int(0.15 * 32 * 2**20 / TRANSFER_BYTES)
@@ -234,7 +234,7 @@
     return h11.Request(method="POST", target="/", headers=[("Host", "a"), ("Content-Length", "1")])
 
 
-def test_a_client_that_leaves_in_the_middle_of_its_body_leaves_nothing_behind() -> None:
+def test_a_client_that_disconnects_during_its_body_leaves_no_state() -> None:
     async def main() -> None:
         async with site(ToyServer("s0")) as here:
             client = await client1(here.http1)
@@ -265,7 +265,7 @@
 
 
 @pytest.mark.parametrize("form", ["close", "1.0"])
-def test_an_answer_that_ends_with_its_connection_where_it_says_so(form: str) -> None:
+def test_a_response_delimited_by_connection_close_is_forwarded(form: str) -> None:
     async def closing(seen: Seen) -> Answer:
         said = b"\r\nConnection: close" if form == "close" else b""
         head = b"HTTP/1.%d 200 OK%s\r\n\r\n" % (bool(said), said)
@@ -327,7 +327,9 @@
 
 @pytest.mark.parametrize("kind", list(api.Effect))
 @pytest.mark.parametrize("status", [api.Status.CONNECT_FAILED, api.Status.FULL])
-def test_an_attempt_that_took_only_what_is_held_may_be_followed(kind: api.Effect, status: api.Status) -> None:
+def test_an_attempt_that_sent_only_buffered_bytes_may_be_retried(
+    kind: api.Effect, status: api.Status
+) -> None:
     one, start = flowing(kind)
     effects = one.reduce(2.0, core.AttemptEnded(1, start.attempt, status))
     assert [type(effect) for effect in effects if not isinstance(effect, api.SetTimer)] == [core.StartAttempt]
@@ -342,7 +344,7 @@
         (api.Effect.KEYED, api.Status.FULL, core.ResponseKind.REFUSED),
     ],
 )
-def test_one_that_took_more_is_the_last(
+def test_an_attempt_that_sent_more_than_the_buffer_is_not_retried(
     kind: api.Effect, status: api.Status, verdict: core.ResponseKind
 ) -> None:
     one, start = flowing(kind)
@@ -354,7 +356,7 @@
     assert not [effect for effect in effects if isinstance(effect, core.StartAttempt)]
 
 
-def test_a_long_body_has_its_time_from_its_last_byte() -> None:
+def test_the_time_limit_of_a_long_body_starts_at_its_last_byte() -> None:
     one, start = flowing(api.Effect.UNSAFE)
     one.reduce(2.0, core.RequestBodyCommitted(1, start.attempt))
     one.reduce(9000.0, core.RequestBodySent(1, 12_000.0))
@@ -363,7 +365,7 @@
     assert kinds == [core.StopAttempt, core.SendResponse]
 
 
-def test_only_one_of_two_answers_is_passed_on() -> None:
+def test_only_one_of_two_responses_is_forwarded() -> None:
     one, start = flowing(api.Effect.SAFE)
     pending = one.pending[1]
     pending.in_flight[7] = pending.in_flight[start.attempt]
--- a/tests/net/test_malformed_peers.py
+++ b/tests/net/test_malformed_peers.py
@@ -50,9 +50,7 @@
         (b"Api-Terms: units=1,spread=1,first=0\r\nContent-Length: 0\r\n\r\n", b"400"),
     ],
 )
-def test_what_can_be_read_in_two_ways_is_turned_away_and_the_connection_ended(
-    rest: bytes, status: bytes
-) -> None:
+def test_an_ambiguous_request_is_rejected_and_the_connection_closed(rest: bytes, status: bytes) -> None:
     async def main() -> None:
         async with site(ToyServer("s0")) as here:
             stream = await trio.open_tcp_stream(*here.http1)
@@ -66,7 +64,7 @@
     trio.run(main)
 
 
-def test_repeated_header_of_http2_is_turned_away() -> None:
+def test_a_repeated_http2_header_is_rejected() -> None:
     async def main() -> None:
         async with site(ToyServer("s0")) as here:
             client = await client2(here.http2)
@@ -82,7 +80,7 @@
     trio.run(main)
 
 
-def test_silent_and_half_sent_clients_are_ended_in_time_and_not_before() -> None:
+def test_idle_and_incomplete_clients_are_closed_at_their_timeout() -> None:
     async def main() -> None:
         ends: list[float] = []
 
@@ -115,7 +113,7 @@
     trio.run(main)
 
 
-def test_requests_sent_all_at_once_are_each_answered_and_who_errs_is_ended(
+def test_pipelined_requests_are_answered_and_an_invalid_one_closes_the_connection(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def main() -> None:
@@ -132,7 +130,7 @@
     trio.run(main)
 
 
-def test_half_sent_bodies_together_stay_within_a_share_of_the_memory() -> None:
+def test_incomplete_http1_bodies_share_a_memory_limit() -> None:
     async def main() -> None:
         async with site(ToyServer("s0"), memory_mb=16.0) as here:
             head = good() + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -153,7 +151,7 @@
     trio.run(main)
 
 
-def test_half_sent_streams_together_stay_within_a_share_of_the_memory() -> None:
+def test_incomplete_http2_streams_share_a_memory_limit() -> None:
     async def main() -> None:
         async with site(ToyServer("s0"), memory_mb=8.0) as here:
             rude = await client2(here.http2)
@@ -173,7 +171,7 @@
     trio.run(main)
 
 
-def test_silent_crowd_takes_no_places_and_a_full_house_keeps_none() -> None:
+def test_idle_clients_do_not_block_others_and_a_full_ingress_closes_connections() -> None:
     async def main() -> None:
         async with site(sockets=32) as here:
             crowd = [await trio.open_tcp_stream(*here.http1) for _ in range(60)]
@@ -196,7 +194,7 @@
     trio.run(main)
 
 
-def test_id_of_an_open_request_is_turned_away_and_the_first_goes_on() -> None:
+def test_a_duplicate_request_id_is_rejected_and_the_first_request_continues() -> None:
     async def main() -> None:
         gate = trio.Event()
 
@@ -229,7 +227,7 @@
     trio.run(main)
 
 
-def test_no_descriptor_left_is_a_connection_that_does_not_come_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_descriptor_exhaustion_is_a_failed_connection_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
     def full(*_: object) -> socket.socket:
         raise OSError(errno.EMFILE, "Too many open files")
 
@@ -255,7 +253,7 @@
 
 
 @pytest.mark.parametrize("raw", SPOILT)
-def test_spoilt_answer_is_one_failed_attempt_that_may_have_run(raw: bytes) -> None:
+def test_a_malformed_response_is_one_failed_attempt_that_may_have_run(raw: bytes) -> None:
     async def main() -> None:
         async def behave(seen: Seen) -> Answer:
             return Answer(raw=raw) if len(seen.server.seen) == 1 else await echo(seen)
@@ -274,7 +272,7 @@
 
 @pytest.mark.parametrize("ahead", [0, 1, MAX_INTERIM_RESPONSES])
 @pytest.mark.parametrize("surplus", [b"", HEAD, b"\x81noise"])
-def test_good_answer_with_more_around_it_is_served_and_its_connection_ended(
+def test_a_valid_response_with_surplus_bytes_is_served_and_its_connection_closed(
     ahead: int, surplus: bytes
 ) -> None:
     reader = ResponseReader()
@@ -286,7 +284,7 @@
     assert reader.start_next() == (not surplus)
 
 
-def test_connections_that_are_reset_after_a_short_idle_time_are_not_used_again() -> None:
+def test_connections_reset_after_a_short_idle_time_are_not_reused() -> None:
     async def main() -> None:
         async def behave(seen: Seen) -> Answer:
             side = seen.connection
@@ -308,7 +306,7 @@
     trio.run(main)
 
 
-def test_cut_answer_is_none() -> None:
+def test_a_truncated_response_is_no_response() -> None:
     reader = ResponseReader()
     reader.encode_request(exchange("GET", "/"))
     assert reader.receive(HEAD + b"Content-Length: 4\r\n\r\nabc") is None
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -34,7 +34,7 @@
     return [entry.readiness for entry in news.entries]
 
 
-def test_a_server_taken_out_drains_whatever_discovery_lists() -> None:
+def test_a_server_in_maintenance_drains_whatever_discovery_lists() -> None:
     held = Maintenance()
     held.apply(listed(1, 2))
     (change,) = held.exclude(name(1))
@@ -46,7 +46,7 @@
     assert states(held.apply(listed(1, kind=ListKind.CHANGES))) == [Readiness.DRAINING]
 
 
-def test_two_calls_out_need_one_back_and_the_return_is_cold_and_new() -> None:
+def test_a_server_returned_from_maintenance_is_cold_and_restarted() -> None:
     held = Maintenance()
     held.apply(listed(1, started_at=3.0))
     assert held.exclude(name(1)) and not held.exclude(name(1))
@@ -59,7 +59,7 @@
     assert held.apply(listed(1, started_at=3.0)).entries[0].started_at == 1000.0
 
 
-def test_put_back_while_discovery_drains_or_has_removed_it() -> None:
+def test_a_server_may_return_while_discovery_drains_or_has_removed_it() -> None:
     held = Maintenance()
     held.apply(listed(1, 2))
     held.exclude(name(1))
@@ -72,14 +72,14 @@
     assert (back.readiness, back.started_at) == (Readiness.READY, 20.0)
 
 
-def test_ids_that_nobody_has_are_not_known_and_those_lately_removed_are() -> None:
+def test_recently_removed_ids_are_known_and_others_are_not() -> None:
     held = Maintenance()
     held.apply(listed(1, 2))
     held.apply(listed(2))
     assert held.knows(name(1)) and held.knows(name(2)) and not held.knows(name(3))
 
 
-def test_a_successor_takes_the_set_over_before_and_after_its_first_list() -> None:
+def test_a_successor_inherits_the_maintenance_set_before_and_after_its_first_list() -> None:
     for first in (True, False):
         held, news = Maintenance(), listed(1, 2, 3)
         if first:
@@ -92,7 +92,7 @@
         assert (seen[name(2)].readiness, seen[name(2)].started_at) == (Readiness.READY, 50.0)
 
 
-def test_the_module_forgets_what_it_knew_of_a_server_put_back() -> None:
+def test_the_policy_discards_the_state_of_a_returned_server() -> None:
     front, held = Gateway(make_settings(may_count=False)), Maintenance()
     front.feed(held.apply(listed(1, 2)))
     server = front.policy.server_table.servers[name(1)]
@@ -147,7 +147,7 @@
     return head.encode() + body
 
 
-def test_the_door_says_yes_and_no() -> None:
+def test_the_admin_endpoint_accepts_and_rejects_calls() -> None:
     async def main() -> None:
         desk = Desk()
         async with opened(desk) as place:
@@ -183,7 +183,7 @@
         (b"nonsense\r\n\r\n", 400, ""),
     ],
 )
-def test_a_bad_call_is_a_no_that_names_its_fault_and_changes_nothing(
+def test_an_invalid_admin_call_is_rejected_with_its_reason_and_has_no_effect(
     raw: bytes, status: int, word: str
 ) -> None:
     async def main() -> None:
@@ -196,7 +196,7 @@
     trio.run(main)
 
 
-def test_an_id_that_nobody_has_is_a_no() -> None:
+def test_an_admin_call_with_an_unknown_id_is_rejected() -> None:
     async def main() -> None:
         async with opened(Desk()) as place:
             status, detail = await call(place, put("/api/include", b'{"who":"x1"}'))
@@ -205,7 +205,7 @@
     trio.run(main)
 
 
-def test_callers_that_hold_the_door_and_say_nothing_whole_do_not_fill_it() -> None:
+def test_incomplete_admin_calls_do_not_block_others() -> None:
     async def main() -> None:
         desk = Desk()
         desk.serving = True
@@ -218,7 +218,7 @@
     trio.run(main)
 
 
-def test_a_server_taken_out_gets_nothing_new_and_is_used_again_once_put_back() -> None:
+def test_a_server_in_maintenance_gets_no_requests_until_it_returns() -> None:
     async def main() -> None:
         async with site(cold_time=1.0) as here:
             client = await client1(here.http1)
@@ -233,7 +233,7 @@
     trio.run(main)
 
 
-def test_the_command_line_calls_at_the_doors_and_names_who_did_not_follow(tmp_path: Path) -> None:
+def test_the_command_line_reports_ingresses_that_did_not_apply_the_call(tmp_path: Path) -> None:
     desk, begun = Desk(), threading.Event()
     desk.serving = True
     ends: list[Callable[[], None]] = []
--- a/tests/net/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -42,7 +42,7 @@
 
 @same
 @given(cuts)
-def test_counter_lines_however_cut(sizes: list[int]) -> None:
+def test_counter_lines_are_parsed_in_any_fragmentation(sizes: list[int]) -> None:
     reader = counter.LineReader()
     text = b"ok 12.5\r\nbusy\r\nerror\r\nok -3\r\npong\r\n"
     lines = []
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("text", [b"ok \x81", b"\xff", b"ok 1x", b"okay", b"o" * 40, b"ok " + b"1" * 99])
-def test_counter_garbage_is_not_waited_out(text: bytes) -> None:
+def test_malformed_counter_lines_fail_without_waiting(text: bytes) -> None:
     reader = counter.LineReader()
     assert reader.feed(b"ok 1\r\n" + text) == [b"ok 1"]
     with pytest.raises(counter.CounterError):
@@ -64,14 +64,14 @@
 
 
 @pytest.mark.parametrize("line", [b"ok", b"ok ", b"ok 1_0", b"ok inf", b"ok -", b"ok nan", b"ok  1"])
-def test_counter_answer_without_a_number(line: bytes) -> None:
+def test_a_counter_response_without_a_number_is_rejected(line: bytes) -> None:
     with pytest.raises(counter.CounterError):
         counter.decode(line)
 
 
 @same
 @given(st.binary(max_size=600))
-def test_counter_garbage(data: bytes) -> None:
+def test_arbitrary_counter_bytes_raise_only_counter_errors(data: bytes) -> None:
     reader = counter.LineReader()
     try:
         for line in reader.feed(data):
@@ -81,12 +81,12 @@
 
 
 @pytest.mark.parametrize("line", [b"ok nan", b"ok inf", b"ok", b"ok x", b"fine 3", b""])
-def test_counter_line_that_is_no_answer(line: bytes) -> None:
+def test_a_counter_line_that_is_no_response_is_rejected(line: bytes) -> None:
     with pytest.raises(counter.CounterError):
         counter.decode(line)
 
 
-def test_counter_calls_are_plain_decimals_within_the_life() -> None:
+def test_counter_calls_are_decimals_within_the_time_to_live() -> None:
     assert counter.encode(api.Count(7, -2.5, 4000)) == b"bump 7 -2.5 4000\r\n"
     assert counter.encode(api.Count(7, 1e-7, 0.2)) == b"bump 7 0 1\r\n"
     assert counter.encode(api.Count(2**64 - 1, 3.0, 90_000)) == b"bump %d 3 60000\r\n" % (2**64 - 1)
@@ -102,7 +102,7 @@
 
 @same
 @given(cuts, cuts)
-def test_watch_however_cut(sizes: list[int], chunks: list[int]) -> None:
+def test_a_watch_is_parsed_in_any_fragmentation(sizes: list[int], chunks: list[int]) -> None:
     line = json.dumps({"version": 9, "full": True, "servers": [LIST]}).encode() + b"\n"
     reader = discovery.WatchReader()
     reader.request("/x", "h")
@@ -115,7 +115,7 @@
 
 @same
 @given(st.binary(max_size=300) | st.text(max_size=60).map(str.encode))
-def test_watch_garbage(data: bytes) -> None:
+def test_arbitrary_watch_bytes_raise_only_list_errors(data: bytes) -> None:
     for start in (b"", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", watch(data + b"\n")):
         reader, directory = discovery.WatchReader(), discovery.Directory(())
         reader.request("/x", "h")
@@ -130,7 +130,9 @@
     ("change", "named"),
     [({"addr": "here"}, "addr"), ({"state": "odd"}, "state"), ({"weight": -1}, "weight"), ({"id": 4}, "id")],
 )
-def test_bad_list_line_names_the_key_and_the_old_list_holds(change: dict[str, object], named: str) -> None:
+def test_an_invalid_list_line_is_reported_by_key_and_keeps_the_old_list(
+    change: dict[str, object], named: str
+) -> None:
     directory = discovery.Directory(("a",))
     directory.apply(discovery.decode(json.dumps({"version": 4, "servers": [LIST]}).encode()))
     bad = json.dumps({"version": 5, "servers": [{**LIST, **change}]}).encode()
@@ -145,7 +147,7 @@
 
 @same
 @given(cuts, st.binary(max_size=200), st.booleans())
-def test_answers_however_cut(sizes: list[int], body: bytes, chunked: bool) -> None:
+def test_responses_are_parsed_in_any_fragmentation(sizes: list[int], body: bytes, chunked: bool) -> None:
     reader = ResponseReader()
     for _ in range(2):
         ask(reader)
@@ -161,7 +163,7 @@
 
 @same
 @given(st.binary(max_size=300))
-def test_answer_garbage_is_no_answer(data: bytes) -> None:
+def test_arbitrary_bytes_are_no_response(data: bytes) -> None:
     reader = ResponseReader()
     ask(reader)
     try:
@@ -172,7 +174,7 @@
 
 @same
 @given(st.binary(max_size=400), cuts)
-def test_frames_pass_on_no_byte_twice_and_none_out_of_order(data: bytes, sizes: list[int]) -> None:
+def test_frames_forward_each_byte_once_and_in_order(data: bytes, sizes: list[int]) -> None:
     frames, out = Frames(), b""
     try:
         for piece in pieces(data, sizes):
@@ -232,7 +234,7 @@
 
 @same
 @given(cuts)
-def test_requests_of_http1_however_cut(sizes: list[int]) -> None:
+def test_http1_requests_are_parsed_in_any_fragmentation(sizes: list[int]) -> None:
     host, front = front1()
     head = "%s %s HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nContent-Length: %d\r\n\r\n"
     data = b"".join((head % (*ask[:3], len(ask[3]))).encode() + ask[3] for ask in ASKED)
@@ -246,7 +248,9 @@
 
 @same
 @given(st.binary(max_size=300), cuts)
-def test_garbage_of_http1_is_a_400_and_the_end(data: bytes, sizes: list[int]) -> None:
+def test_arbitrary_http1_bytes_are_answered_400_and_the_connection_closed(
+    data: bytes, sizes: list[int]
+) -> None:
     host, front = front1()
     for piece in pieces(b"\xff" + data + b"\r\n\r\n", sizes):
         if not front.closing:
@@ -270,7 +274,7 @@
 
 @same
 @given(cuts)
-def test_requests_of_http2_however_cut(sizes: list[int]) -> None:
+def test_http2_requests_are_parsed_in_any_fragmentation(sizes: list[int]) -> None:
     host, front = front2()
     for piece in pieces(three_streams(), sizes):
         front.receive(piece)
@@ -281,7 +285,7 @@
 
 @same
 @given(st.integers(24, 200), st.binary(min_size=1, max_size=60), cuts)
-def test_garbage_of_http2_raises_nothing(at: int, data: bytes, sizes: list[int]) -> None:
+def test_arbitrary_http2_bytes_raise_no_exception(at: int, data: bytes, sizes: list[int]) -> None:
     host, front = front2()
     good = three_streams()
     for piece in pieces(good[:at] + data + good[at:], sizes):
@@ -307,7 +311,7 @@
 
 @same
 @given(st.sampled_from(sorted(GOOD)), st.text(max_size=30), st.text(max_size=30))
-def test_odd_fields_are_named_or_read(field: str, value: str, target: str) -> None:
+def test_unusual_fields_are_parsed_or_reported_by_name(field: str, value: str, target: str) -> None:
     try:
         call = CALLS.read("GET", "/api?customer=00000000b4d65521", {**GOOD, field: value}, b"")
         assert 0 < call.units <= 4
@@ -334,12 +338,12 @@
         "units=1,units=1,spread=1,first=0",
     ],
 )
-def test_terms_out_of_range_or_no_plain_numbers(terms: str) -> None:
+def test_request_terms_out_of_range_are_rejected(terms: str) -> None:
     with pytest.raises(CallError, match="Api-Terms"):
         CALLS.read("GET", "/api?customer=00000000b4d65521", {**GOOD, "api-terms": terms}, b"")
 
 
-def test_budget_is_held_to_the_class_and_a_read_brings_no_body() -> None:
+def test_a_time_budget_is_limited_by_the_class_and_a_read_has_no_body() -> None:
     target = "/api?customer=00000000b4d65521"
     assert CALLS.read("GET", target, {**GOOD, "x-budget-ms": "3600000"}, b"").budget == KIND.deadline
     with pytest.raises(CallError, match="body"):
@@ -365,7 +369,9 @@
         (404, {}, api.Status.ERROR),
     ],
 )
-def test_the_protocols_table(code: int, headers: dict[str, str], status: api.Status) -> None:
+def test_response_codes_map_to_attempt_statuses(
+    code: int, headers: dict[str, str], status: api.Status
+) -> None:
     report = {"x-load-report": '{"inflight":7,"qps":1.5}'}
     reply = read_result(code, {**headers, **report}, b"", ("inflight", "qps"))
     assert (reply.status, reply.load) == (status, (7.0, 1.5))
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -20,7 +20,7 @@
 from wickspring.settings.errors import ConfigError
 
 
-def test_the_file_wins_over_the_environment_after_the_start(
+def test_a_reload_reads_the_file_over_the_environment(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / "c.json").write_bytes(msgspec.json.encode(example_config(discovery="127.0.0.1:8501")))
@@ -30,7 +30,7 @@
     assert config.reread_environment().discovery == ("127.0.0.1", 8501)
 
 
-def test_sighup_moves_discovery_and_counter_under_load(caplog: pytest.LogCaptureFixture) -> None:
+def test_sighup_changes_discovery_and_counter_addresses_under_load(caplog: pytest.LogCaptureFixture) -> None:
     async def main() -> None:
         gate = trio.Event()
 
--- a/tests/peer_state/test_budgets.py
+++ b/tests/peer_state/test_budgets.py
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(("parts", "terms", "shape"), [TWO, THREE], ids=["explored-two", "explored-three"])
-def test_whatever_is_lost_repeated_late_killed_or_stopped_no_bound_is_passed_and_no_right_is_lost(
+def test_no_fault_exceeds_a_budget_or_loses_a_right(
     parts: tuple[int, ...], terms: BudgetTerms, shape: Shape
 ) -> None:
     found = explore(parts, terms, shape)
@@ -184,7 +184,7 @@
     assert len(reaches) == len(found)  # from wherever it is, all rights can be free again
 
 
-def test_explored_from_the_real_transitions_the_bound_holds_on_all_paths_as_ctl_says() -> None:
+def test_the_budget_holds_on_every_explored_path_in_ctl() -> None:
     parts, terms, shape = (
         (1, 0),
         BudgetTerms(rights=1, hold_ms=1.0, lease_ms=1.0),
@@ -278,14 +278,12 @@
 
 
 @pytest.mark.parametrize("name", defects())
-def test_a_seeded_defect_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_seeded_budget_defect_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     defects()[name](monkeypatch)
     parts, terms, shape = SMALL
     with pytest.raises(AssertionError):
         for mortal in ((), shape.mortal):  # a death gives back what a defect loses
-            test_whatever_is_lost_repeated_late_killed_or_stopped_no_bound_is_passed_and_no_right_is_lost(
-                parts, terms, Shape(mortal)
-            )
+            test_no_fault_exceeds_a_budget_or_loses_a_right(parts, terms, Shape(mortal))
 
 
 # By chance, for more ingresses, with clocks that differ and start anywhere.
@@ -293,7 +291,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**32), st.integers(2, 7), st.integers(1, 12))
-def test_by_chance_no_hold_ever_sees_more_spent_than_the_bound(seed: int, slots: int, rights: int) -> None:
+def test_random_schedules_never_exceed_the_budget(seed: int, slots: int, rights: int) -> None:
     random = Random(seed)
     terms = BudgetTerms(rights, hold_ms=1000.0, lease_ms=3000.0)
     rates = [
@@ -359,7 +357,7 @@
     assert [held.own_free for held in helds] == parts
 
 
-def test_a_use_that_is_over_leaves_those_that_go_on_busy_for_no_shorter() -> None:
+def test_a_finished_use_does_not_shorten_the_busy_time_of_others() -> None:
     terms = BudgetTerms(4, hold_ms=100.0, lease_ms=1000.0)
     held = HeldRights(3)
     for at in (0.0, 10.0, 20.0):
@@ -372,7 +370,7 @@
     assert budgets.spend(held, 50.0, terms) is not None
 
 
-def test_half_of_a_part_is_never_lent_and_what_is_in_use_is_kept() -> None:
+def test_half_of_a_share_and_rights_in_use_are_never_lent() -> None:
     terms = BudgetTerms(8, hold_ms=100.0, lease_ms=1000.0)
     want = RightsRequest(BUDGET, 1, 8)
     held, grant = budgets.lend(HeldRights(8), 0.0, terms, "b", want, Offer(5, 0))
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CANCELLED])
-def test_unsafe_that_may_have_run_is_failed_not_repeated(gateway: Build, status: Status) -> None:
+def test_an_unsafe_request_that_may_have_run_fails_without_a_retry(gateway: Build, status: Status) -> None:
     front = gateway(kind={"effect": Effect.UNSAFE})
     send = front.admitted()
     front.outcome(send, status)
@@ -60,7 +60,9 @@
 
 
 @pytest.mark.parametrize("status", [Status.FULL, Status.CONNECT_FAILED])
-def test_unsafe_that_never_ran_goes_elsewhere(gateway: Build, status: Status) -> None:
+def test_an_unsafe_request_that_was_not_executed_is_sent_to_another_server(
+    gateway: Build, status: Status
+) -> None:
     front = gateway(kind={"effect": Effect.UNSAFE})
     send = front.admitted()
     assert only(front.outcome(send, status), api.Send).server != send.server
@@ -103,7 +105,7 @@
     assert len(every(front.done, api.Send)) <= 200 * (1 + EARNED_PER_REQUEST) + MAX_BALANCE
 
 
-def test_streaming_answer_is_left_alone(gateway: Build) -> None:
+def test_a_streaming_response_is_not_hedged(gateway: Build) -> None:
     front = gateway()
     send = front.admitted()
     front.feed(api.StreamStarted(send.request, 0, send.server))
--- a/tests/policy/test_many_policies.py
+++ b/tests/policy/test_many_policies.py
@@ -102,12 +102,12 @@
         assert sum(len(sends(front, spread=spread)) for _ in range(20)) <= 16
 
 
-def test_thousands_of_servers_and_none() -> None:
+def test_lists_of_thousands_of_servers_and_of_none_are_accepted() -> None:
     assert sends(fleet(count=1, servers=5000)[0])
     assert not sends(fleet(count=1, servers=0)[0])
 
 
-def test_time_that_stands_still_or_jumps() -> None:
+def test_a_clock_that_stops_or_jumps_is_tolerated() -> None:
     front = fleet(count=1, plan={"rate": 1.0, "burst": 1000.0}, gateways=2)[0]
     sent = [send for _ in range(5) for send in sends(front)]
     front.now += 3_600_000
@@ -163,7 +163,7 @@
     assert first.server not in later
 
 
-def test_busy_server_is_not_taken_for_an_unresponsive_one() -> None:
+def test_a_busy_server_is_not_treated_as_unresponsive() -> None:
     front = fleet(count=1, gateways=2, servers=1)[0]
     slow, quick = sends(front)[0], sends(front, customer=8)[0]
     front.run(100)
@@ -200,7 +200,7 @@
     assert front.policy.concurrency_limit.limit < INITIAL_PER_SERVER * 20 / 2
 
 
-def test_customers_and_servers_that_are_gone_leave_nothing_behind() -> None:
+def test_the_state_of_removed_customers_and_servers_is_discarded() -> None:
     gateway = Gateway(make_settings())
     for number in range(200):
         gateway.now += 1000.0
--- a/tests/policy/test_one_of_many.py
+++ b/tests/policy/test_one_of_many.py
@@ -195,7 +195,7 @@
     assert calls.total() <= 1.15 * odds * 40 * 30  # the first ones know no mean yet
 
 
-def test_one_slow_answer_is_mostly_chance_and_many_are_not() -> None:
+def test_many_slow_responses_are_evidence_and_one_is_not() -> None:
     latency = LatencyEstimate()
     latency.record(0.0, latency=0.4, answered=True, typical=0.1, weight=1.0)
     assert 1.5 < latency.cost_factor(0.0, typical=0.1, weight=1.0) < 2.5
@@ -206,7 +206,7 @@
     assert latency.cost_factor(0.0, typical=0.1, weight=0.0) == 1.0  # few gateways take no notice
 
 
-def test_odd_lists_do_no_harm_in_a_large_fleet(gateway: Build) -> None:
+def test_unusual_lists_are_handled_in_a_large_fleet(gateway: Build) -> None:
     front = gateway_of_many(gateway)
     before = {server.entry.server for server in front.subset}
     twice = [front.entry(n) for n in range(SERVERS)] * 2
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("state", [Readiness.DRAINING, Readiness.GONE])
-def test_nothing_new_to_a_draining_server(gateway: Build, state: Readiness) -> None:
+def test_a_draining_server_gets_no_new_request(gateway: Build, state: Readiness) -> None:
     front = gateway()
     front.list_servers(front.entry(0, readiness=state), kind=ListKind.CHANGES)
     sent = [front.admitted(0.0, customer=n).server for n in range(10)]
--- a/tests/quota/test_ceiling.py
+++ b/tests/quota/test_ceiling.py
@@ -159,7 +159,7 @@
         return max(self.share, self.headroom)
 
 
-def test_no_order_of_steps_passes_the_ceiling_and_one_may_use_what_others_leave() -> None:
+def test_no_interleaving_exceeds_the_ceiling_and_unused_shares_are_available() -> None:
     assert broken(CeilingShare, 2) == (False, True)
     assert not broken(CeilingShare, 3)[0]
 
@@ -177,7 +177,7 @@
         UsesOldTotals,
     ],
 )
-def test_a_defect_in_the_shares_is_found(defect: type[CeilingShare]) -> None:
+def test_a_seeded_ceiling_defect_is_detected(defect: type[CeilingShare]) -> None:
     assert broken(defect, 2)[0]
 
 
@@ -309,7 +309,7 @@
 
 
 @pytest.mark.parametrize("total", [0.0, 2.0])
-def test_a_total_without_the_own_adds_tells_of_counts_lost(total: float) -> None:
+def test_a_total_below_the_own_additions_reveals_lost_counts(total: float) -> None:
     site = Site(2.0)
     site.play(1.0, (1.0, 0.0, 0.0), times=1.0)
     account = site.fronts[0].policy.quotas[7]
@@ -318,7 +318,7 @@
     assert account.ceiling.headroom < account.ceiling.share  # nothing is known of the others
 
 
-def test_one_of_many_goes_by_its_share_and_reads_nothing() -> None:
+def test_a_gateway_of_a_large_fleet_uses_its_share_without_reading() -> None:
     # Its totals are estimates: an add past the part would be refused after it, and stay in the count.
     settings = Site(2.0, gateways=12).fronts[0].policy.settings
     request = api.Request(1, 0, 0, 7, START + 4000.0, 4.0, 12, 0)
--- a/tests/quota/test_counter_calls.py
+++ b/tests/quota/test_counter_calls.py
@@ -32,7 +32,7 @@
     assert calls.finish(count.name) is None
 
 
-def test_one_cut_for_each_time_out_down_to_the_minimum() -> None:
+def test_each_timeout_cuts_the_call_limit_once_down_to_the_minimum() -> None:
     calls = CounterCalls(TIMEOUT_MS)
     for now in (1000.0, 1010.0, 1020.0):  # one burst of misses
         calls.adapt(now, answer(Status.TIMEOUT))
@@ -42,7 +42,7 @@
     assert calls.probability == MIN_PROBABILITY
 
 
-def test_late_answers_cut_and_resets_say_nothing() -> None:
+def test_late_responses_cut_the_call_limit_and_resets_do_not() -> None:
     calls = CounterCalls(TIMEOUT_MS)
     calls.adapt(1000.0, answer(Status.RESET))
     assert calls.probability == 1.0
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -29,13 +29,13 @@
     assert only(actions, api.Count).amount == -3.0  # less may still fit: the refused units come off again
 
 
-def test_spent_customer_is_refused_without_a_call(gateway: Build) -> None:
+def test_a_customer_without_quota_is_rejected_without_a_counter_call(gateway: Build) -> None:
     front = gateway()
     front.count(only(front.request(), api.Count).name, 40.0)
     assert [type(action) for action in front.request()] == [api.Refuse]
 
 
-def test_burst_of_requests_costs_no_more_calls_than_there_are_tokens(gateway: Build) -> None:
+def test_a_burst_makes_no_more_counter_calls_than_tokens(gateway: Build) -> None:
     front = gateway()
     actions = [action for _ in range(300) for action in front.request()]
     assert len(every(actions, api.Count)) == 8
@@ -56,7 +56,7 @@
     assert 1 <= sent <= 8
 
 
-def test_calls_of_a_fleet_fall_with_an_overloaded_counter_and_come_back(gateway: Build) -> None:
+def test_counter_calls_of_a_fleet_adapt_to_an_overloaded_counter(gateway: Build) -> None:
     # Five calls a second from each of 300 gateways were more than the whole counter served.
     front = gateway(servers=20, gateways=300, plan={"rate": 1.0, "burst": 1000.0})
 
@@ -118,7 +118,7 @@
     assert every(front.count(call.name, 0.0, Status.TIMEOUT), api.Send)
 
 
-def test_small_counter_is_asked_less_and_again_when_it_answers(gateway: Build) -> None:
+def test_calls_to_a_slow_counter_decrease_and_recover(gateway: Build) -> None:
     front = gateway(servers=20)
     front.run(200)
     for customer in range(60):
@@ -213,7 +213,7 @@
     assert front.count(12345, 1.0) == []
 
 
-def test_units_taken_off_leave_the_rest_of_the_arithmetic_sound(gateway: Build) -> None:
+def test_subtracted_units_keep_the_quota_consistent(gateway: Build) -> None:
     # Half a window's units came off in one call, and a division by their sum ended the gateway.
     front = gateway()
     for units in (1.0, 2.0, 4.0, 8.0, 16.0):
--- a/tests/routing/test_lost_responses.py
+++ b/tests/routing/test_lost_responses.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("parallel", [False, True])
-def test_a_lost_response_is_asked_for_at_another_server(gateway: Build, parallel: bool) -> None:
+def test_a_lost_response_is_requested_from_another_server(gateway: Build, parallel: bool) -> None:
     # The server answers others, so it is not silent; until the client's time was over nothing was done.
     front = gateway(servers=2, plan=ROOMY, parallel_attempts=parallel, may_probe=False)
     answered(front, 1.0, 40.0, 10)
@@ -44,7 +44,7 @@
         assert again.server != lost.server
 
 
-def test_a_large_request_that_small_ones_overtake_is_left_alone(gateway: Build) -> None:
+def test_a_large_request_overtaken_by_small_ones_is_not_hedged(gateway: Build) -> None:
     front = gateway(servers=1, plan=ROOMY, parallel_attempts=False, may_probe=False)
     answered(front, 1.0, 40.0, 10)
     answered(front, 4.0, 250.0, 10)
@@ -96,7 +96,7 @@
     assert not sizes.overdue(2.0, OVERDUE_FACTOR * 10.0)
 
 
-def test_a_large_request_is_given_the_time_that_large_ones_take(gateway: Build) -> None:
+def test_a_large_request_is_hedged_by_the_latency_of_large_requests(gateway: Build) -> None:
     # Held against the mean of its class, every twentieth request was taken from a server that worked on it.
     front = gateway(servers=4, plan=ROOMY, parallel_attempts=False, may_probe=False)
     answered(front, 1.0, 40.0, 40)
@@ -144,7 +144,7 @@
     assert dear not in refused
 
 
-def test_a_stream_leaves_its_part_of_the_limit_to_the_queue(gateway: Build) -> None:
+def test_a_stream_releases_its_concurrency_to_the_queue(gateway: Build) -> None:
     # Nineteen long bodies at once: eight flowed, and the last to wait was refused though none was out.
     front = gateway(servers=1, gateways=1, plan=ROOMY, may_probe=False)
     sends: list[api.Send] = []
@@ -159,7 +159,7 @@
     assert waiting in {send.request for send in every(begun, api.Send)}
 
 
-def test_a_stream_is_no_work_of_its_server(gateway: Build) -> None:
+def test_a_stream_does_not_count_as_load_of_its_server(gateway: Build) -> None:
     front = gateway(servers=1, plan=ROOMY, may_probe=False)
     send = front.admitted()
     order = front.policy.server_table.servers[send.server].send_order
