--- a/tests/connections/test_pools.py
+++ b/tests/connections/test_pools.py
@@ -126,7 +126,7 @@
     connection = harness.complete_dial()
     harness.server_statuses[SERVER_A] = ServerStatus(
         True, 0.2, started_at=5.0
-    )  # told late: the connection is to the new process
+    )  # announced late: the connection is to the new process
     other = harness.request()
     fresh = harness.complete_dial()
     assert other.connection is fresh
--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer holds the module's actions to the rules, whatever the module asks for."""
+"""The reducer enforces the rules of answers on any actions of the policy."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 @pytest.fixture(autouse=True)
-def counted(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Count broken invariants as `python -O` does, so that what follows the check is seen."""
+def count_broken_invariants(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+    """Count broken invariants as `python -O` does, so that the code after a failed check runs."""
 
     def check_invariant(condition: bool, name: str) -> bool:
         if not condition:
@@ -34,23 +34,23 @@
     invariants.broken.clear()
 
 
-class Core:
-    """A reducer whose module does as the test says."""
+class ScriptedReducer:
+    """A reducer whose policy returns the actions that the test gives."""
 
     def __init__(self, **kind: Any) -> None:
         self.reducer = Reducer(make_settings(kind=kind))
-        self.say: list[list[api.Action]] = []
-        self.told: list[api.Event] = []
+        self.pending_actions: list[list[api.Action]] = []
+        self.events: list[api.Event] = []
         self.now = 1000.0
         self.reducer.policy.handle = self.handle  # type: ignore[method-assign]
         self.feed(api.ServerList(api.ListKind.COMPLETE, tuple(Gateway.entry(n) for n in range(4))))
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        self.told.append(event)
-        return self.say.pop(0) if self.say else []
+        self.events.append(event)
+        return self.pending_actions.pop(0) if self.pending_actions else []
 
-    def feed(self, event: core.Event, *says: list[api.Action]) -> list[core.Effect]:
-        self.say = list(says)
+    def feed(self, event: core.Event, *actions: list[api.Action]) -> list[core.Effect]:
+        self.pending_actions = list(actions)
         return self.reducer.reduce(self.now, event)
 
     def request(self, *actions: api.Action) -> list[core.Effect]:
@@ -66,13 +66,13 @@
 
 
 def test_a_request_is_sent_and_answered() -> None:
-    front = Core()
+    front = ScriptedReducer()
     assert front.request(send(0)) == [core.StartAttempt(1, 0, S[0], 4000.0)]
     front.now += 50
     assert front.feed(ended(Status.OK, body=b"x")) == [
         core.SendResponse(1, core.ResponseKind.SERVED, 0.0, b"x")
     ]
-    outcome = front.told[-1]
+    outcome = front.events[-1]
     assert isinstance(outcome, api.Outcome)
     assert (outcome.over, outcome.elapsed, outcome.server) == (True, 50.0, S[0])
     assert front.reducer.pending == {}
@@ -80,7 +80,7 @@
 
 
 def test_a_second_response_is_not_forwarded() -> None:
-    front = Core()
+    front = ScriptedReducer()
     front.request(send(0), send(1), api.Refuse(1, 5.0))
     assert front.feed(ended(Status.OK), [api.Fail(1), api.Refuse(1, 1.0)]) == []
     assert front.feed(ended(Status.OK, 1)) == []
@@ -89,19 +89,19 @@
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED])
 def test_an_unsafe_request_that_may_have_run_is_neither_retried_nor_rejected(status: Status) -> None:
-    front = Core(effect=Effect.UNSAFE)
+    front = ScriptedReducer(effect=Effect.UNSAFE)
     front.request(send(0))
     effects = front.feed(ended(status), [send(1)], [api.Refuse(1, 5.0)])
     assert effects == [core.SendResponse(1, core.ResponseKind.FAILED)]
     assert set(invariants.broken) == {"no forbidden copy", "refusal of what never ran"}
-    moot = front.told[-1]
+    moot = front.events[-1]
     assert isinstance(moot, api.Outcome)
     assert moot.status is Status.MOOT
 
 
 @pytest.mark.parametrize("status", [Status.FULL, Status.CONNECT_FAILED])
 def test_an_unsafe_request_that_was_not_executed_is_retried(status: Status) -> None:
-    front = Core(effect=Effect.UNSAFE)
+    front = ScriptedReducer(effect=Effect.UNSAFE)
     front.request(send(0))
     assert front.feed(ended(status), [send(1)]) == [core.StartAttempt(1, 1, S[1], 4000.0)]
     assert not invariants.broken
@@ -120,7 +120,7 @@
 def test_a_keyed_request_is_retried_in_its_group_and_window_only(
     group: Group, server: int, later: float, allowed: bool
 ) -> None:
-    front = Core(effect=Effect.KEYED, group=group)
+    front = ScriptedReducer(effect=Effect.KEYED, group=group)
     front.request(send(0))
     front.now += later
     effects = front.feed(ended(Status.ERROR), [send(server)])
@@ -129,7 +129,7 @@
 
 
 def test_a_draining_server_gets_no_new_request() -> None:
-    front = Core()
+    front = ScriptedReducer()
     draining = Gateway.entry(0, readiness=api.Readiness.DRAINING)
     front.feed(api.ServerList(api.ListKind.CHANGES, (draining,)))
     assert front.request(send(0)) == []
@@ -137,7 +137,7 @@
 
 
 def test_removed_servers_are_discarded_with_their_addresses() -> None:
-    front, directory = Core(), Directory(("hall-a",))
+    front, directory = ScriptedReducer(), Directory(("hall-a",))
     for number in range(50):
         for state in ("up", "removed"):
             one = ListedServer(f"s{number}", "127.0.0.1:9", "hall-a", state=state)
@@ -150,16 +150,16 @@
 
 
 def test_cancel_ends_an_attempt_once() -> None:
-    front = Core()
+    front = ScriptedReducer()
     front.request(send(0))
     assert front.feed(api.TimerFired(1), [api.Cancel(1, 0), api.Cancel(1, 0)]) == [core.StopAttempt(1, 0)]
-    told = len(front.told)
+    event_count = len(front.events)
     assert front.feed(ended(Status.OK)) == []  # it came as it was being called off
-    assert len(front.told) == told
+    assert len(front.events) == event_count
 
 
 def test_a_cancelled_request_ends_its_attempts_and_gets_no_response() -> None:
-    front = Core()
+    front = ScriptedReducer()
     front.request(send(0))
     assert front.feed(api.Withdrawn(1), [api.Cancel(1, 0)]) == [core.StopAttempt(1, 0)]
     assert front.feed(api.Withdrawn(1), [api.Fail(1)]) == []
@@ -168,13 +168,13 @@
 
 
 def test_unsafe_request_sent_again_under_its_id_does_not_run_twice() -> None:
-    front = Core(effect=Effect.UNSAFE)
+    front = ScriptedReducer(effect=Effect.UNSAFE)
     front.feed(core.RequestArrived(api.Request(1, 0, 0, 7, 4000.0, 1.0, 2, 0), "id"), [send(0)])
     front.feed(api.Withdrawn(1), [api.Cancel(1, 0)])
-    told = len(front.told)
+    event_count = len(front.events)
     again = core.RequestArrived(api.Request(2, 0, 0, 7, 4000.0, 1.0, 2, 0), "id")
     assert front.feed(again, [api.Send(2, S[1], 0.0)]) == [core.SendResponse(2, core.ResponseKind.FAILED)]
-    assert len(front.told) == told  # it takes nothing from the quota either
+    assert len(front.events) == event_count  # it takes nothing from the quota either
     front.now += 10_000
     front.feed(core.SweepDue())
     late = core.RequestArrived(api.Request(3, 0, 0, 7, 20_000.0, 1.0, 2, 0), "id")
@@ -182,7 +182,7 @@
 
 
 def test_the_sweep_fails_requests_that_the_policy_left_unanswered() -> None:
-    front = Core()
+    front = ScriptedReducer()
     front.request()
     assert front.feed(core.SweepDue()) == []
     front.now = 4000.0 - OVERDUE_MS + 1
--- a/tests/net/test_discovery_pauses.py
+++ b/tests/net/test_discovery_pauses.py
@@ -37,7 +37,7 @@
 
 
 def test_an_overloaded_discovery_eventually_serves_every_ingress() -> None:
-    # One turn after another, five a second; who has waited two seconds leaves, and is worked on all the same.
+    # Five requests are served a second; a caller leaves after two seconds, but is still served.
     backoffs, free, served = fleet(), 0.0, set[int]()
     calls = sorted((backoff.start(), number) for number, backoff in enumerate(backoffs))
     while calls and calls[0][0] < 30.0:
@@ -124,7 +124,7 @@
 def test_clients_are_served_from_the_last_list_while_discovery_is_unresponsive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "FIRST_LIST_S", math.inf)  # who has no list would wait for one
+    monkeypatch.setattr(server, "FIRST_LIST_S", math.inf)  # without a list the server would wait for one
 
     async def main() -> None:
         async with site(known=True, mute_discovery=True) as here:
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -1,4 +1,4 @@
-"""A new version beside the old one: real processes once, then every way in which the talk can fail."""
+"""Handover to a new version: one upgrade of real processes, then each failure of the protocol."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Process:
-    """One `serve` process of the example, with a door of its own."""
+    """One `serve` process of the example, with an admin endpoint of its own."""
 
     def __init__(self, config: Path, folder: Path) -> None:
         self.door = ("127.0.0.1", free_port())
@@ -111,8 +111,8 @@
             idle, half = await client1(place), await client1(place)
             assert (await idle.ask(ask(1)))[0] == 200
             assert (await call(old.door, put("/api/exclude", b'{"who":"s-0"}')))[0] == 200
-            whole = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
-            await half.stream.send_all(whole[:9])  # a head half read travels with its connection
+            request_head = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
+            await half.stream.send_all(request_head[:9])  # a head half read travels with its connection
             new = Process(path, folder)
             processes.append(new)
             await new.up()
@@ -121,7 +121,7 @@
             assert (await fresh.ask(ask(2)))[0] == 200
             assert await ended(old) == 0
             assert "event=succeeded" in old.text()
-            await half.stream.send_all(whole[9:])
+            await half.stream.send_all(request_head[9:])
             assert (await half.answer())[0] == 200
             for customer in range(10):  # on the very connection that the old process accepted
                 status, _, body = await idle.ask(ask(customer))
@@ -166,11 +166,11 @@
     trio.run(main)
 
 
-# The talk, both sides in one process.
+# The handover protocol, with both sides in one process.
 
 
 class Side:
-    """One process of an ingress as the hand-over sees it."""
+    """An ingress process as the handover sees it, which records the calls."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -258,12 +258,12 @@
             async with trio.open_nursery() as nursery:
                 await nursery.start(Predecessor(path, old).run)
                 after = Successor(path, Side())
-                async with trio.open_nursery() as life:
+                async with trio.open_nursery() as successor_tasks:
                     assert await after.begin()
-                    await after.take(life)
+                    await after.take(successor_tasks)
                     assert after.channel is not None
                     after.channel.close()
-                    life.cancel_scope.cancel()
+                    successor_tasks.cancel_scope.cancel()
                 await until(old, "accept")
                 again = Successor(path, Side())
                 assert await again.begin()
@@ -316,7 +316,7 @@
     assert handover.place("/" + "x" * 100, "n0", 1) is None
 
 
-# What is told.
+# The state that is handed over.
 
 
 def reducer() -> Reducer:
@@ -342,11 +342,11 @@
         succession.import_state(new, sent)
     assert list(new.policy.quotas) == list(old.policy.quotas)
     for customer, account in new.policy.quotas.items():
-        told = old.policy.quotas[customer]
+        exported = old.policy.quotas[customer]
         assert (account.tokens, account.updated_at, account.window) == (
-            told.tokens,
-            told.updated_at,
-            told.window,
+            exported.tokens,
+            exported.updated_at,
+            exported.window,
         )
     assert new.policy.server_table.servers[server.entry.server].failures == 3
     assert new.policy.server_table.servers[server.entry.server].latency == replace(
--- a/tests/net/test_http1.py
+++ b/tests/net/test_http1.py
@@ -320,7 +320,7 @@
 def test_an_invalid_list_line_keeps_the_old_list_and_requests_a_complete_one() -> None:
     async def main() -> None:
         async with site() as here:
-            here.discovery.servers["s0"]["state"] = "draining"  # which the bad line should have told
+            here.discovery.servers["s0"]["state"] = "draining"  # which the invalid line would have announced
             here.discovery.news.append(b'{"version": 90, "full": false, "servers": [{"id": 4}]}\n')
             here.discovery.changed.set()
             here.discovery.changed = trio.Event()
--- a/tests/net/test_http2.py
+++ b/tests/net/test_http2.py
@@ -313,7 +313,8 @@
             os.kill(os.getpid(), signal.SIGTERM)
             while not client.goaways:
                 await client.read()
-            assert client.goaways == [LAST_STREAM]  # told to go, while what is on its way is still taken
+            # GOAWAY was sent, and requests in flight are still accepted.
+            assert client.goaways == [LAST_STREAM]
             late = await client.send(request("ticket-escalate"))
             assert [(await client.answer(stream))[0] for stream in (early, late)] == [200, 200]
             while await client.read():
--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -48,7 +48,7 @@
     return "\r\n".join([*lines, *([framing] if framing else []), "", ""]).encode() + body
 
 
-async def whole(stream: trio.SocketStream) -> bytes:
+async def read_to_end(stream: trio.SocketStream) -> bytes:
     got = b""
     while data := await stream.receive_some(65536):
         got += data
@@ -257,7 +257,7 @@
             data += raw(b"abc", framing="Content-Length: 3\r\nConnection: close")
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(stream.send_all, data)
-                got = await whole(stream)
+                got = await read_to_end(stream)
             bodies = [part.partition(b"\r\n\r\n")[2] for part in got.split(b"HTTP/1.1 ")[1:]]
             assert bodies == [b"2", b"200000", b"3"]
 
@@ -285,7 +285,7 @@
         async with site(ToyServer("s0")) as here:
             stream = await trio.open_tcp_stream(*here.http1)
             await stream.send_all(raw(b"", version="1.0", call=request()))
-            got = await whole(stream)  # it ends the connection
+            got = await read_to_end(stream)  # it ends the connection
             assert got.startswith(b"HTTP/1.1 200") and b"s0 " in got
             client, ask = await client1(here.http1), request()
             ask["target"] = "http://app.svc" + ask["target"]
--- a/tests/net/test_malformed_peers.py
+++ b/tests/net/test_malformed_peers.py
@@ -246,7 +246,7 @@
     HEAD + b"Content-Length: 3000000000\r\n\r\n",
     HEAD + b"Content-Length: -3\r\n\r\nabc",
     HEAD + b"Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
-    HEAD + b"\r\nabc",  # it ends with the connection: cut or not, nobody could tell
+    HEAD + b"\r\nabc",  # it ends with the connection: a truncation could not be detected
     HEAD + b"X: " + b"y" * 40000,
     b"HTTP/1.1 100 Continue\r\n\r\n" * (MAX_INTERIM_RESPONSES + 1) + HEAD + b"Content-Length: 0\r\n\r\n",
 ]
--- a/tests/net/test_operating.py
+++ b/tests/net/test_operating.py
@@ -1,4 +1,4 @@
-"""Operators at the door: readiness, servers taken out and put back, callers that hold it up."""
+"""The admin endpoint: readiness, servers in maintenance and back in service, and incomplete calls."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
     return Gateway.entry(number).server
 
 
-def states(news: api.ServerList) -> list[Readiness]:
-    return [entry.readiness for entry in news.entries]
+def states(server_list: api.ServerList) -> list[Readiness]:
+    return [entry.readiness for entry in server_list.entries]
 
 
 def test_a_server_in_maintenance_drains_whatever_discovery_lists() -> None:
@@ -81,13 +81,13 @@
 
 def test_a_successor_inherits_the_maintenance_set_before_and_after_its_first_list() -> None:
     for first in (True, False):
-        held, news = Maintenance(), listed(1, 2, 3)
+        held, server_list = Maintenance(), listed(1, 2, 3)
         if first:
-            held.apply(news)
+            held.apply(server_list)
         changes = held.take_over([name(1)], {name(2): 50.0})
         seen = {entry.server: entry for change in changes for entry in change.entries}
         if not first:
-            seen = {entry.server: entry for entry in held.apply(news).entries}
+            seen = {entry.server: entry for entry in held.apply(server_list).entries}
         assert seen[name(1)].readiness is Readiness.DRAINING
         assert (seen[name(2)].readiness, seen[name(2)].started_at) == (Readiness.READY, 50.0)
 
@@ -104,8 +104,8 @@
     assert front.policy.server_table.warmth(fresh, front.now) < 0.5
 
 
-class Desk:
-    """What the door does to an ingress, written down."""
+class RecordingIngress:
+    """A stub ingress that records the calls of the admin endpoint."""
 
     def __init__(self) -> None:
         self.serving = False
@@ -121,11 +121,11 @@
 
 
 @asynccontextmanager
-async def opened(desk: Desk) -> AsyncIterator[tuple[str, int]]:
+async def opened(ingress: RecordingIngress) -> AsyncIterator[tuple[str, int]]:
     listener = listening.listen(("127.0.0.1", 0), defer=False)
     with trio.fail_after(30):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(admin_api.AdminApi(listener, desk, nursery).run)
+            nursery.start_soon(admin_api.AdminApi(listener, ingress, nursery).run)
             yield listener.getsockname()
             nursery.cancel_scope.cancel()
 
@@ -149,11 +149,11 @@
 
 def test_the_admin_endpoint_accepts_and_rejects_calls() -> None:
     async def main() -> None:
-        desk = Desk()
-        async with opened(desk) as place:
+        ingress = RecordingIngress()
+        async with opened(ingress) as place:
             ready = b"GET /api/ready HTTP/1.1\r\nHost: ops\r\n\r\n"
             assert (await call(place, ready))[0] == 503
-            desk.serving = True
+            ingress.serving = True
             assert (await call(place, ready, 1))[0] == 200
             assert (await call(place, put("/api/exclude", b'{"who":"s1"}'), 3))[0] == 200
             assert (await call(place, put("/api/include", b'{"who":"s1"}')))[0] == 200
@@ -162,7 +162,7 @@
                 b'4\r\n{"wh\r\n8;x=y\r\no":"s2"}\r\n0\r\n\r\n'
             )
             assert (await call(place, chunked))[0] == 200
-            assert desk.calls == [("exclude", b"s1"), ("include", b"s1"), ("exclude", b"s2")]
+            assert ingress.calls == [("exclude", b"s1"), ("include", b"s1"), ("exclude", b"s2")]
 
     trio.run(main)
 
@@ -187,18 +187,18 @@
     raw: bytes, status: int, word: str
 ) -> None:
     async def main() -> None:
-        desk = Desk()
-        async with opened(desk) as place:
+        ingress = RecordingIngress()
+        async with opened(ingress) as place:
             got, detail = await call(place, raw)
             assert got == status and word in detail
-            assert desk.calls == []
+            assert ingress.calls == []
 
     trio.run(main)
 
 
 def test_an_admin_call_with_an_unknown_id_is_rejected() -> None:
     async def main() -> None:
-        async with opened(Desk()) as place:
+        async with opened(RecordingIngress()) as place:
             status, detail = await call(place, put("/api/include", b'{"who":"x1"}'))
             assert status == 404 and "x1" in detail
 
@@ -207,9 +207,9 @@
 
 def test_incomplete_admin_calls_do_not_block_others() -> None:
     async def main() -> None:
-        desk = Desk()
-        desk.serving = True
-        async with opened(desk) as place:
+        ingress = RecordingIngress()
+        ingress.serving = True
+        async with opened(ingress) as place:
             held = [await trio.open_tcp_stream(*place) for _ in range(3 * admin_api.MAX_CONNECTIONS)]
             for stream in held[: admin_api.MAX_CONNECTIONS]:
                 await stream.send_all(b"GET /api/re")
@@ -234,13 +234,13 @@
 
 
 def test_the_command_line_reports_ingresses_that_did_not_apply_the_call(tmp_path: Path) -> None:
-    desk, begun = Desk(), threading.Event()
-    desk.serving = True
+    ingress, begun = RecordingIngress(), threading.Event()
+    ingress.serving = True
     ends: list[Callable[[], None]] = []
     places: list[tuple[str, int]] = []
 
     async def serve() -> None:
-        async with opened(desk) as place:
+        async with opened(ingress) as place:
             places.append(place)
             stop, token = trio.Event(), trio.lowlevel.current_trio_token()
             ends.append(lambda: token.run_sync_soon(stop.set))
@@ -259,7 +259,7 @@
     try:
         assert run_command("ready", str(file), "n0").exit_code == 0
         assert run_command("exclude", str(file), "s1", "n0").exit_code == 0
-        assert desk.calls == [("exclude", b"s1")]
+        assert ingress.calls == [("exclude", b"s1")]
         assert run_command("include", str(file), "x1", "n0").exit_code == 1
         got = run_command("ready", str(file))
         assert got.exit_code == 1 and "did not follow: n1" in got.output
--- a/tests/net/test_peer_budget_shares.py
+++ b/tests/net/test_peer_budget_shares.py
@@ -55,13 +55,13 @@
 
 
 def test_with_counts_disabled_no_usage_is_sent_or_assumed_to_be_received() -> None:
-    for tells in (True, False):
-        one = Shares(make_settings(gateways=2), Bounds(), 0.0, -60_000.0, 1, tells)
+    for exchanges_counts in (True, False):
+        one = Shares(make_settings(gateways=2), Bounds(), 0.0, -60_000.0, 1, exchanges_counts)
         one.record_usage(7, 3, 2.0, 1000.0, 0, 2)
         one.on_messages(10.0, "b", 1, 1.0, ShareMessages())
-        assert bool(one.messages_to(11.0, "b", 1).sums) is tells
-        assert one.receives_all_counts(12.0, 0, 2) is tells
-        assert one.peer_slots(12.0) == [1] * tells
+        assert bool(one.messages_to(11.0, "b", 1).sums) is exchanges_counts
+        assert one.receives_all_counts(12.0, 0, 2) is exchanges_counts
+        assert one.peer_slots(12.0) == [1] * exchanges_counts
 
 
 def test_a_successor_uses_no_rights_until_its_predecessor_has_stopped() -> None:
@@ -72,5 +72,5 @@
     old.hand_over(10.0)
     assert not old.take(10.0, "retries")
     new.take_over(10.0)
-    assert not new.take(500.0, "retries")  # what the old one spent is still busy
+    assert not new.take(500.0, "retries")  # rights used by the predecessor are still held
     assert new.take(1100.0, "retries")
--- a/tests/net/test_peer_failure_reports.py
+++ b/tests/net/test_peer_failure_reports.py
@@ -39,9 +39,9 @@
 def test_false_reports_exclude_no_more_than_the_maximum_share() -> None:
     every = [f"s{number}" for number in range(8)]
     assert avoided(witness(1, *every, failures=9, tried=1000)) == []
-    liars = [witness(number, *every, failures=9, tried=1000) for number in range(6)]
-    assert len(avoided(*liars)) == 3
-    assert weigh(witness(1, *every, tried=9)) == 0.0  # all that it tried: it is cut off itself
+    false_witnesses = [witness(number, *every, failures=9, tried=1000) for number in range(6)]
+    assert len(avoided(*false_witnesses)) == 3
+    assert weigh(witness(1, *every, tried=9)) == 0.0  # every server it tried failed: it is partitioned itself
     assert avoided(*(witness(number, *every, failures=9, tried=9) for number in range(6))) == []
 
 
@@ -50,7 +50,7 @@
     judge = Judge()
     judge.record(1e6 - 10.0, "s1", 0.0, good=True)
     assert avoided(*three, judge=judge) == []
-    judge.record(1e6 - 5.0, "s1", 0.0, good=False)  # answers of before go first for a while
+    judge.record(1e6 - 5.0, "s1", 0.0, good=False)  # earlier own responses still take precedence
     assert avoided(*three, judge=judge) == []
     late = Judge()
     late.record(1e6 - OWN_EVIDENCE_MS, "s1", 0.0, good=True)
@@ -81,4 +81,4 @@
     assert chosen(10.0, 1) == set(every[1:])
     assert chosen(1001.0, 100) == set(every)
     policy.handle(2000.0, api.Avoid(tuple((one, 3000.0) for one in every)))
-    assert chosen(2001.0, 200)  # hearsay never takes the last one away
+    assert chosen(2001.0, 200)  # reports never exclude the last server
--- a/tests/net/test_peer_fleet_runs.py
+++ b/tests/net/test_peer_fleet_runs.py
@@ -14,8 +14,8 @@
 
 
 @pytest.fixture
-def seen(monkeypatch: pytest.MonkeyPatch) -> list[peer_ingresses.PeerIngresses]:
-    """Keep the talk of each run, to look at what the ingresses said last."""
+def recorded_runs(monkeypatch: pytest.MonkeyPatch) -> list[peer_ingresses.PeerIngresses]:
+    """Record the peer state of each run, with the last view of each ingress."""
     kept: list[peer_ingresses.PeerIngresses] = []
     real = peer_ingresses.PeerIngresses.add_figures
 
@@ -27,8 +27,10 @@
     return kept
 
 
-def play(name: str, seconds: float, *faults: scenario.Fault | scenario.NetFault, **changes: Any) -> Result:
-    """Run six processes or more of the program with these faults; all else is as the scenario says."""
+def run_with_faults(
+    name: str, seconds: float, *faults: scenario.Fault | scenario.NetFault, **changes: Any
+) -> Result:
+    """Run a scenario with these faults in place of its own, on at least six ingress processes."""
     one = scenario.load(name)
     clients = msgspec.structs.replace(one.clients, rate=40.0)
     one = msgspec.structs.replace(
@@ -47,23 +49,23 @@
 
 
 def test_partitioned_ingresses_keep_every_bound_and_rejoin(
-    seen: list[peer_ingresses.PeerIngresses],
+    recorded_runs: list[peer_ingresses.PeerIngresses],
 ) -> None:
     cut = scenario.NetFault(
         at_s=1.0, for_s=2.5, kind="cut", source=("hall:0",), target=("not-hall:0", "counter")
     )
     broken = scenario.Fault(at_s=1.0, for_s=4.0, kind=scenario.FaultKind.FAILING, servers=(1, 4))
-    result = play("peers-split", 9.0, cut, broken)
+    result = run_with_faults("peers-split", 9.0, cut, broken)
     assert result.served > 0
-    views = seen[0].views
+    views = recorded_runs[0].views
     assert sorted(views) == list(range(6))
-    for view in views.values():  # the last look before they ended, or while some were already leaving
+    for view in views.values():  # the last view before the end, while some may be leaving
         assert {one.name for one in view.members} == {f"n{number}" for number in range(6)}
         assert any(one.hall != view.hall and one.state != "gone" for one in view.members)
 
 
 def test_paused_crashed_and_partitioned_ingresses_keep_every_bound(
-    seen: list[peer_ingresses.PeerIngresses],
+    recorded_runs: list[peer_ingresses.PeerIngresses],
 ) -> None:
     faults = (
         scenario.Fault(at_s=1.0, for_s=3.0, kind=scenario.FaultKind.INGRESS_PAUSED, ingresses=(1,)),
@@ -73,22 +75,23 @@
         scenario.NetFault(at_s=5.2, for_s=0.1, kind="reset", source=("all",)),
         scenario.Fault(at_s=0.5, for_s=5.0, kind=scenario.FaultKind.FAILING, servers=(0, 1, 2, 3, 4, 5)),
     )
-    result = play("peers-paused", 7.0, *faults)
+    result = run_with_faults("peers-paused", 7.0, *faults)
     assert result.gateway.get("broken[no_event_raises]", 0.0) == 0.0
-    assert len(seen[0].views) == 6
+    assert len(recorded_runs[0].views) == 6
 
 
 def test_one_false_reporter_of_nine_excludes_no_server() -> None:
-    assert play("peers-liar", 5.0).judged_wrong_share == 0.0
+    assert run_with_faults("peers-liar", 5.0).judged_wrong_share == 0.0
 
 
 def test_ingresses_exchange_usage_while_the_counter_is_unresponsive(
-    seen: list[peer_ingresses.PeerIngresses],
+    recorded_runs: list[peer_ingresses.PeerIngresses],
 ) -> None:
-    silent = scenario.Fault(at_s=1.0, for_s=4.0, kind=scenario.FaultKind.COUNTER_SILENT)
-    result = play("peers-counter-lost", 5.0, silent)
+    unresponsive = scenario.Fault(at_s=1.0, for_s=4.0, kind=scenario.FaultKind.COUNTER_SILENT)
+    result = run_with_faults("peers-counter-lost", 5.0, unresponsive)
     assert result.served > 0
-    for number, view in seen[0].views.items():  # how much that helps is shown without processes, above
+    # The effect on the quota is tested in test_peer_usage_counts.py.
+    for number, view in recorded_runs[0].views.items():
         assert view.customers > 0
         assert {one.slot for one in view.members if one.last_received_s >= 0.0} >= set(range(6)) - {number}
 
@@ -104,7 +107,7 @@
         fault=tuple(msgspec.structs.replace(fault, at_s=9.0, for_s=6.5) for fault in one.fault),
     )
     result = run(few, 1)
-    assert result.violations == []  # all know all again, and no bound was passed
+    assert result.violations == []  # membership has converged, and no bound was exceeded
     assert result.judged_worst_s < result.judged_alone_s == 6.5
     assert result.judged_wrong_share < 0.001
-    assert result.peer_bytes_s < 6000.0  # most of it while they find each other
+    assert result.peer_bytes_s < 6000.0  # mostly while membership converges
--- a/tests/net/test_peer_membership.py
+++ b/tests/net/test_peer_membership.py
@@ -11,7 +11,7 @@
 
 
 def exchange(one: Membership[MemberInfo], other: Membership[MemberInfo], now: float) -> None:
-    """Have two members exchange a round, as links do."""
+    """Exchange one round of gossip between two members, as their links do."""
     for member in (one, other):
         member.now = max(member.now, now)
     suspicions = one.take_suspicions(other.owner, 6)
@@ -27,7 +27,7 @@
 
 
 class Fleet:
-    """Members in step, with a cut between some."""
+    """Members that gossip in rounds, with partitions and crashes."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
         self.names = [f"n{number:03}" for number in range(count)]
@@ -69,11 +69,11 @@
     fleet.rounds(24)
     assert all(len(one.entries) == 60 for one in fleet.members.values())
     sizes = [len(one.digest(8).versions) for one in fleet.members.values()]
-    assert max(sizes) <= 9  # whatever the members: eight and the own
+    assert max(sizes) <= 9  # of any number of members: eight ranges and the own entry
     fleet.members["n007"].update_own(MemberInfo("moved"))
     fleet.rounds(9)
-    heard = sum(one.info_of("n007") == MemberInfo("moved") for one in fleet.members.values())
-    assert heard == 60
+    updated = sum(one.info_of("n007") == MemberInfo("moved") for one in fleet.members.values())
+    assert updated == 60
 
 
 def test_a_digest_range_covers_names_known_only_to_the_other_side() -> None:
@@ -99,7 +99,7 @@
     assert fleet.members["n001"].state_of("n002") is not MemberState.DEAD
     assert all(one.state_of("n002") is MemberState.ALIVE for one in living[3:])
     fleet.dead.clear()
-    fleet.members["n005"] = fleet.begin("n005", fleet.now, 99)  # a new life refutes the suspicions
+    fleet.members["n005"] = fleet.begin("n005", fleet.now, 99)  # a new incarnation refutes the suspicions
     fleet.rounds(20)
     assert all(one.state_of("n005") is MemberState.ALIVE for one in fleet.members.values())
 
@@ -125,7 +125,7 @@
     one = fleet.members["n000"]
     one.suspect("n001")
     assert one.state_of("n001") is MemberState.SUSPECTED
-    one.tick(fleet.now + 60.0)  # stopped for a minute: that says nothing of n001
+    one.tick(fleet.now + 60.0)  # paused for a minute: no evidence against n001
     assert one.state_of("n001") is MemberState.SUSPECTED
     other = fleet.members["n001"]
     before = other.own.version
@@ -133,5 +133,5 @@
     assert other.own.version > before  # it was sent the suspicion, and has refuted it
     assert one.state_of("n001") is MemberState.ALIVE
     old = Membership("n001", 5.0, MemberInfo("x"), 0.5, 1, 0.0)
-    old.merge_suspicions([Suspicion("n001", 9.0, 3, "n002")])  # of a life by a clock that was ahead
+    old.merge_suspicions([Suspicion("n001", 9.0, 3, "n002")])  # of an incarnation whose clock was ahead
     assert old.own.version > (9.0, 3)
--- a/tests/net/test_peer_usage_counts.py
+++ b/tests/net/test_peer_usage_counts.py
@@ -25,14 +25,14 @@
     ledger.merge(0.0, 1, 10.0, [UsageSum(7, 3, 2.0, 900.0)])
     ledger.merge(0.0, 1, 10.0, [UsageSum(7, 3, 5.0, 900.0)])
     assert ledger.others(7, 3) == 5.0
-    ledger.merge(5.0, 1, 20.0, [UsageSum(7, 3, 4.0, 900.0)])  # it has started again
+    ledger.merge(5.0, 1, 20.0, [UsageSum(7, 3, 4.0, 900.0)])  # restarted
     assert ledger.others(7, 3) == 9.0
     (relayed,) = ledger.take_relayed(6.0, 1, 10)
     again = UsageLedger(slot=1, slots=4, incarnation=20.0)
     again.merge(6.0, 0, 1.0, [], [relayed])
-    assert again.others(7, 3) == 5.0  # what its own earlier life had sent on
-    for life in range(30, 60):
-        ledger.merge(7.0, 1, float(life), [UsageSum(7, 3, 1.0, 900.0)])
+    assert again.others(7, 3) == 5.0  # sent by its own previous incarnation
+    for incarnation in range(30, 60):
+        ledger.merge(7.0, 1, float(incarnation), [UsageSum(7, 3, 1.0, 900.0)])
     assert ledger.others(7, 3) == 39.0
     assert len(ledger._windows[7, 3].others) <= MAX_INCARNATIONS
     wrong = [UsageSum(7, 3, float("nan"), 900.0), UsageSum(7, 3, -4.0, 900.0), UsageSum(7, 3, 1.0, -1.0)]
@@ -49,7 +49,7 @@
     assert ledger.take_sums(0.0, 5, 10) == ()
     ledger.send_again(5, sums)
     assert ledger.take_sums(0.0, 5, 10) == sums
-    assert ledger.take_sums(0.0, 2, 10) == ()  # not of this customer's set
+    assert ledger.take_sums(0.0, 2, 10) == ()  # not a peer of this customer
     ledger.expire(1000.0 + 2000.0)
     assert len(ledger) == 0
     for customer in range(MAX_WINDOWS + 50):
@@ -58,13 +58,13 @@
     assert upper_bound(10.0, 0.01, [(0.25, 400.0), (0.5, 0.0)]) == 11.0
 
 
-def admitted(told: bool, seconds: int = 60) -> float:
-    """Return units sent on by three ingresses without a counter, over what the quota allows."""
+def forwarded_share(exchanged: bool, seconds: int = 60) -> float:
+    """Return the ratio of units forwarded by three ingresses without a counter to the quota."""
     plan, fleets = {"rate": 0.009, "burst": 16.0}, []
     for slot in range(3):
         own = make_settings(plan=plan, gateways=3, may_count=False, own_number=slot)
         shares = Shares(own, Bounds(), float(slot), -60_000.0, slot)
-        policy = Policy(own, shares if told else None)
+        policy = Policy(own, shares if exchanged else None)
         entry = api.ServerEntry(b"s", 0, 0, api.Readiness.READY, 1.0, 0.0)
         policy.handle(0.0, api.ServerList(api.ListKind.COMPLETE, (entry,)))
         fleets.append((policy, shares))
@@ -89,6 +89,6 @@
 
 
 def test_exchanged_usage_enforces_a_quota_without_a_counter() -> None:
-    together, alone = admitted(told=True), admitted(told=False)
+    together, alone = forwarded_share(exchanged=True), forwarded_share(exchanged=False)
     assert 0.95 < together <= 1.05
     assert abs(alone - 1.0) > 2 * abs(together - 1.0)
--- a/tests/peer_state/test_budgets.py
+++ b/tests/peer_state/test_budgets.py
@@ -1,4 +1,4 @@
-"""Rights of shared budgets: their real transitions explored whole for a small fleet, by chance for larger."""
+"""Rights of shared budgets: model checking for small fleets, random schedules for larger ones."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 )
 
 BUDGET = "b"
-FLIGHT = 2  # messages on their way at once
+MAX_MESSAGES_IN_FLIGHT = 2
 
 
-class Shape(NamedTuple):
-    """What a model leaves to chance."""
+class ExploredFaults(NamedTuple):
+    """The faults and interleavings that a model explores."""
 
-    mortal: tuple[int, ...] = ()  # who may be killed
-    in_turn: bool = False  # who begins an exchange waits until the last one's messages are gone
+    may_crash: tuple[int, ...] = ()  # ingresses that may crash
+    sequential: bool = False  # exchanges do not overlap
 
 
 Message = tuple[int, int, Any]  # from, to, what
@@ -43,16 +43,14 @@
 Found = dict[State, list[State]]  # of a model whose clocks show 0 at every moment
 
 
-@pytest.fixture(autouse=True)
-def even_clocks(monkeypatch: pytest.MonkeyPatch, request: pytest.FixtureRequest) -> None:
-    if "explored" in request.node.name or "defect" in request.node.name:
-        monkeypatch.setattr(
-            budgets, "CLOCK_RATIO", 1.0
-        )  # whole ticks; unlike clocks are tried by chance below
+@pytest.fixture
+def equal_clock_rates(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let all clocks run at one rate, so that the explored times are integers."""
+    monkeypatch.setattr(budgets, "CLOCK_RATIO", 1.0)
 
 
-def passed(held: HeldRights | None) -> HeldRights | None:
-    """Move all times of one ingress a tick nearer."""
+def after_one_tick(held: HeldRights | None) -> HeldRights | None:
+    """Return the rights of one ingress one tick later."""
     if held is None:
         return None
 
@@ -72,8 +70,8 @@
     return budgets.expire(later, 0.0)
 
 
-def numbers(state: State) -> int:
-    """Return a number that nothing bears any more: as good as one that never was."""
+def unused_loan_number(state: State) -> int:
+    """Return the lowest loan number that is not in use."""
     helds, flight, _ = state
     used = {part for _, _, what in flight for part in msgspec.structs.astuple(what) if isinstance(part, int)}
     for held in helds:
@@ -83,8 +81,10 @@
     return next(number for number in range(3, 100) if number not in used)
 
 
-def steps(state: State, parts: tuple[int, ...], terms: BudgetTerms, shape: Shape) -> Iterator[State]:
-    """Return every state that one step leads to. Who is stopped takes none of its own for a while."""
+def successors(
+    state: State, parts: tuple[int, ...], terms: BudgetTerms, faults: ExploredFaults
+) -> Iterator[State]:
+    """Yield the successors of a state: a tick, a local action, or the delivery or loss of a message."""
     helds, flight, uses = state
 
     def put(
@@ -92,8 +92,12 @@
     ) -> State:
         return (*helds[:place], held, *helds[place + 1 :]), tuple(sorted(sent, key=repr)), used
 
-    yield tuple(map(passed, helds)), flight, tuple(age + 1.0 for age in uses if age + 1.0 < terms.hold_ms)
-    begins = not flight if shape.in_turn else all(isinstance(what, Grant) for _, _, what in flight)
+    yield (
+        tuple(map(after_one_tick, helds)),
+        flight,
+        tuple(age + 1.0 for age in uses if age + 1.0 < terms.hold_ms),
+    )
+    begins = not flight if faults.sequential else all(isinstance(what, Grant) for _, _, what in flight)
     for place, held in enumerate(helds):
         if held is None:
             yield put(place, budgets.initial_rights(parts[place], terms, 0.0, 0.0))
@@ -101,14 +105,18 @@
         spent = budgets.spend(held, 0.0, terms)
         if spent is not None:
             yield put(place, spent, used=(*uses, 0.0))
-        if place in shape.mortal and None not in helds:
+        if place in faults.may_crash and None not in helds:
             yield put(place, None)
-        if len(flight) >= FLIGHT or not begins:
+        if len(flight) >= MAX_MESSAGES_IN_FLIGHT or not begins:
             continue
         for other in range(len(helds)):
-            wants = [RightsRequest(BUDGET, numbers(state), 1)] if parts[other] and other != place else []
+            wants = (
+                [RightsRequest(BUDGET, unused_loan_number(state), 1)]
+                if parts[other] and other != place
+                else []
+            )
             wants += [
-                RightsRequest(BUDGET, numbers(state), loan.amount, loan.number)
+                RightsRequest(BUDGET, unused_loan_number(state), loan.amount, loan.number)
                 for loan in held.borrowed
                 if loan.peer == str(other)
             ]
@@ -126,10 +134,14 @@
         target = helds[to]
         if target is None:
             continue
-        for left in (rest, flight):  # once, or to come again
+        for left in (rest, flight):  # delivered once, or to be delivered again
             if isinstance(what, RightsRequest):
-                after, grant = budgets.lend(target, 0.0, terms, str(source), what, Offer(numbers(state), 0))
-                answer = ((to, source, grant),) if grant is not None and len(left) < FLIGHT else ()
+                after, grant = budgets.lend(
+                    target, 0.0, terms, str(source), what, Offer(unused_loan_number(state), 0)
+                )
+                answer = (
+                    ((to, source, grant),) if grant is not None and len(left) < MAX_MESSAGES_IN_FLIGHT else ()
+                )
                 yield put(to, after, (*left, *answer))
             elif isinstance(what, Grant):
                 yield put(to, budgets.accept_grant(target, 0.0, terms, str(source), what), left)
@@ -137,35 +149,40 @@
                 yield put(to, budgets.accept_return(target, 0.0, str(source), what), left)
 
 
-def explore(parts: tuple[int, ...], terms: BudgetTerms, shape: Shape, most: int = 150_000) -> Found:
-    """Return every state that can be reached, with where it leads; none may be over the bound."""
+def explore(parts: tuple[int, ...], terms: BudgetTerms, faults: ExploredFaults, most: int = 150_000) -> Found:
+    """Return each reachable state with its successors; assert that none exceeds the budget."""
     todo: deque[State] = deque([(tuple(HeldRights(part) for part in parts), (), ())])
     found: Found = {}
     while todo:
         state = todo.popleft()
         if state not in found:
             assert len(state[2]) <= terms.rights, "over the bound"
-            found[state] = list(steps(state, parts, terms, shape))
+            found[state] = list(successors(state, parts, terms, faults))
             todo += [after for after in found[state] if after not in found]
         assert len(found) < most
     return found
 
 
-TWO = (1, 0), BudgetTerms(rights=1, hold_ms=2.0, lease_ms=2.0), Shape(mortal=(0,))
-SMALL = (1, 0), BudgetTerms(rights=1, hold_ms=2.0, lease_ms=1.0), Shape(mortal=(0,))
-THREE = (1, 0, 0), BudgetTerms(rights=1, hold_ms=1.0, lease_ms=1.0), Shape(mortal=(0,), in_turn=True)
+TWO = (1, 0), BudgetTerms(rights=1, hold_ms=2.0, lease_ms=2.0), ExploredFaults(may_crash=(0,))
+SMALL = (1, 0), BudgetTerms(rights=1, hold_ms=2.0, lease_ms=1.0), ExploredFaults(may_crash=(0,))
+THREE = (
+    (1, 0, 0),
+    BudgetTerms(rights=1, hold_ms=1.0, lease_ms=1.0),
+    ExploredFaults(may_crash=(0,), sequential=True),
+)
 
 
-@pytest.mark.parametrize(("parts", "terms", "shape"), [TWO, THREE], ids=["explored-two", "explored-three"])
+@pytest.mark.usefixtures("equal_clock_rates")
+@pytest.mark.parametrize(("parts", "terms", "faults"), [TWO, THREE], ids=["explored-two", "explored-three"])
 def test_no_fault_exceeds_a_budget_or_loses_a_right(
-    parts: tuple[int, ...], terms: BudgetTerms, shape: Shape
+    parts: tuple[int, ...], terms: BudgetTerms, faults: ExploredFaults
 ) -> None:
-    found = explore(parts, terms, shape)
+    found = explore(parts, terms, faults)
     assert any(
         held is not None and held.borrowed_in_use for helds, _, _ in found for held in helds
-    )  # loans are spent
+    )  # borrowed rights are used
     place = {state: number for number, state in enumerate(found)}
-    whole = {
+    all_free = {
         number
         for state, number in place.items()
         if all(held is not None for held in state[0])
@@ -175,34 +192,35 @@
     for state, afters in found.items():
         for after in afters:
             backward.setdefault(place[after], set()).add(place[state])
-    reaches, todo = set(whole), list(whole)
+    reaches, todo = set(all_free), list(all_free)
     while todo:
         for before in backward.get(todo.pop(), ()):
             if before not in reaches:
                 reaches.add(before)
                 todo.append(before)
-    assert len(reaches) == len(found)  # from wherever it is, all rights can be free again
+    assert len(reaches) == len(found)  # from every state all rights can become free again
 
 
+@pytest.mark.usefixtures("equal_clock_rates")
 def test_the_budget_holds_on_every_explored_path_in_ctl() -> None:
-    parts, terms, shape = (
+    parts, terms, faults = (
         (1, 0),
         BudgetTerms(rights=1, hold_ms=1.0, lease_ms=1.0),
-        Shape(mortal=(0,), in_turn=True),
+        ExploredFaults(may_crash=(0,), sequential=True),
     )
-    found = explore(parts, terms, shape)
+    found = explore(parts, terms, faults)
     place = {state: number for number, state in enumerate(found)}
     labels = {}
     for state, number in place.items():
         free = sum(held.free for held in state[0] if held is not None)
-        marks = {"over": len(state[2]) > 1, "whole": free == 1, "made": free + len(state[2]) > 1}
+        marks = {"overspent": len(state[2]) > 1, "all_free": free == 1, "created": free + len(state[2]) > 1}
         labels[number] = {mark for mark, holds in marks.items() if holds}
     edges = [(place[state], place[after]) for state, afters in found.items() for after in afters]
     kripke = Kripke(S=list(labels), S0=[0], R=edges, L=labels)
     for formula in (
-        AG(Not(AtomicProposition("over"))),
-        AG(Not(AtomicProposition("made"))),
-        AG(EF(AtomicProposition("whole"))),
+        AG(Not(AtomicProposition("overspent"))),
+        AG(Not(AtomicProposition("created"))),
+        AG(EF(AtomicProposition("all_free"))),
     ):
         assert 0 in modelcheck(kripke, formula)
 
@@ -277,16 +295,17 @@
     }
 
 
+@pytest.mark.usefixtures("equal_clock_rates")
 @pytest.mark.parametrize("name", defects())
 def test_a_seeded_budget_defect_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     defects()[name](monkeypatch)
-    parts, terms, shape = SMALL
+    parts, terms, faults = SMALL
     with pytest.raises(AssertionError):
-        for mortal in ((), shape.mortal):  # a death gives back what a defect loses
-            test_no_fault_exceeds_a_budget_or_loses_a_right(parts, terms, Shape(mortal))
+        for may_crash in ((), faults.may_crash):  # a crash returns rights that a defect loses
+            test_no_fault_exceeds_a_budget_or_loses_a_right(parts, terms, ExploredFaults(may_crash))
 
 
-# By chance, for more ingresses, with clocks that differ and start anywhere.
+# Random schedules of more ingresses, whose clocks differ in rate and start.
 
 
 @settings(max_examples=60, deadline=None)
--- a/tests/quota/test_ceiling.py
+++ b/tests/quota/test_ceiling.py
@@ -56,16 +56,18 @@
     for number in range(spread):
         seen_by_it = (*unseen[:number], 0.0, *unseen[number + 1 :])
         for seen in (True, False):
-            ones, news = [at(each) for each in range(spread)], unseen
+            ones, others_units = [at(each) for each in range(spread)], unseen
             if seen and not ones[number].previous_unread:  # else the adds are in the window before
                 ones[number].charge_others(unseen[number], True)
-                news = seen_by_it
+                others_units = seen_by_it
             if ones[number].available(seen) >= 1.0:
                 ones[number].spend(1.0, seen)
-                news = tuple(min(units + (each != number), most) for each, units in enumerate(news))
-                yield store - 1.0, put(ones), news
+                others_units = tuple(
+                    min(units + (each != number), most) for each, units in enumerate(others_units)
+                )
+                yield store - 1.0, put(ones), others_units
             elif seen:
-                yield store, put(ones), news  # a read, and a refusal
+                yield store, put(ones), others_units  # a read, and a refusal
         ones = [at(each) for each in range(spread)]
         ones[number].finish_previous(unseen[number], 0.0)
         yield store, put(ones), seen_by_it
@@ -287,7 +289,7 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("ceiling", [1.6, 1.78])
 def test_no_fault_passes_a_ceiling(ceiling: float, seed: int) -> None:
-    # Crashes, counts lost in whole or in part, a silent counter that comes back empty, and requests that
+    # Crashes, counts lost in full or in part, an unresponsive counter that restarts empty, and requests that
     # gather on one gateway and move to another, each at a time when the ceiling is what holds them.
     site = Site(ceiling, seed=seed)
     random = Random(seed)
--- a/tests/routing/test_lost_responses.py
+++ b/tests/routing/test_lost_responses.py
@@ -1,4 +1,4 @@
-"""Lost responses, told from slow ones, and the order of the queue while the concurrency limit is reached."""
+"""Lost responses and slow ones, and the order of the queue while the concurrency limit is reached."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("parallel", [False, True])
 def test_a_lost_response_is_requested_from_another_server(gateway: Build, parallel: bool) -> None:
-    # The server answers others, so it is not silent; until the client's time was over nothing was done.
+    # The server answers others, so it is not unresponsive; until the client's time was over nothing was done.
     front = gateway(servers=2, plan=ROOMY, parallel_attempts=parallel, may_probe=False)
     answered(front, 1.0, 40.0, 10)
     lost = front.admitted()
@@ -62,7 +62,7 @@
     answered(front, 1.0, 40.0, 10)
     first, second = front.admitted(), front.admitted()
     front.run(340.0)
-    front.outcome(first, Status.OK, elapsed=340.0)  # heard of: the line is slow
+    front.outcome(first, Status.OK, elapsed=340.0)  # a late response: the network is slow
     front.run(200.0)
     assert not any(cancel.request == second.request for cancel in every(front.done, api.Cancel))
 
