--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -1,18 +1,14 @@
-"""A control-plane node without a quorum sends no old state as current, and refuses and confirms nothing.
+"""Contact with a quorum: observed by the clock, and what a control-plane node without it answers.
 
 Real control planes and data planes run in virtual time (`tests/support/virtual_system.py`).
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any, cast
-
 import pytest
 import trio
 
 from tests.common.test_decoding import SETTINGS
-from tests.support.recording_connection import RecordingConnection
 from tests.support.virtual_system import (
     CONTROL_PLANES,
     DATA_PLANES,
@@ -23,20 +19,15 @@
     read_config,
     replace_config,
     run_virtual_system,
+    run_with_control_plane,
     send_heartbeat,
 )
 from wickspring.common import settings as settings_module
-from wickspring.common.config_status import ConfigStatus, QuorumContact
-from wickspring.common.connection import PeerConnection
-from wickspring.common.digest import digest_of
+from wickspring.common.config_status import QuorumContact
 from wickspring.common.errors import GatewayError
-from wickspring.common.messages import (
-    ConfigOffer,
-)
 from wickspring.controlplane.api.calls import ApiRequest, ApiResponse
 from wickspring.controlplane.api.config import ConfigReplace
 from wickspring.controlplane.api.snapshot import SnapshotDownload, SnapshotRestore
-from wickspring.controlplane.data_plane_sessions import PeerSession
 from wickspring.controlplane.process import DRAIN_SHARE, ControlPlane, drain
 from wickspring.controlplane.quorum_contact import (
     CONTACT_TIMEOUT_MS,
@@ -45,9 +36,7 @@
 )
 from wickspring.controlplane.replication import snapshot
 from wickspring.controlplane.replication.node import ReplicationNode
-from wickspring.controlplane.replication.replica import CommitOutcome, Replica, Update
-from wickspring.controlplane.replication.update_submission import UpdateResult
-from wickspring.dataplane.policy import config_adoption
+from wickspring.controlplane.replication.replica import Replica, Update
 
 CUT_S = 20.0
 CUT_ROLES = ["head", "middle", "tail", "spare", "restarted"]
@@ -163,50 +152,6 @@
     run_virtual_system(monkeypatch, cut_off, control_planes=4 if role == "spare" else 3)
 
 
-def isolate_with_data_planes(system: VirtualSystem, isolated_ip: str) -> None:
-    """Leave new data planes one node to reach."""
-    system.cut(isolated_ip, reachable=DATA_PLANES)
-    system.cut(*DATA_PLANES, reachable=(isolated_ip,))
-
-
-async def leave_new_data_planes_an_isolated_node(system: VirtualSystem, restarted: bool) -> None:
-    """Commit r1 everywhere, and r2 without the one node that new data planes reach."""
-    isolated_ip = CONTROL_PLANES[2]
-    assert (await replace_config(system.control_planes[isolated_ip], 1)).status == 200
-    await trio.sleep(1.0)
-    isolate_with_data_planes(system, isolated_ip)
-    if restarted:
-        system.kill(isolated_ip)
-        await system.start_control_plane(isolated_ip)
-    assert (await system.commit_config(CONTROL_PLANES[0], 2)).status == 200
-
-
-@pytest.mark.parametrize("restarted", [False, True])
-def test_a_data_plane_beside_an_isolated_node_waits_for_one_in_contact(
-    monkeypatch: pytest.MonkeyPatch, restarted: bool
-) -> None:
-    """While it knows of none in contact, it adopts the last known after a while, and never goes back."""
-
-    async def cut_off(system: VirtualSystem) -> None:
-        await leave_new_data_planes_an_isolated_node(system, restarted)
-        started_at = trio.current_time()
-        data_plane = await system.start_data_plane(DATA_PLANES[0])
-        took = await system.wait_until(
-            lambda: data_plane.control_client.config.routing_table.version == 1, 6.0
-        )
-        assert took >= ISOLATION_MS / 1000.0 and trio.current_time() - started_at < 6.0
-        assert data_plane.control_client.config_status is (
-            ConfigStatus.STORED if restarted else ConfigStatus.COMMITTED
-        )
-        assert not data_plane.control_client.in_contact
-        system.heal()
-        await system.wait_until(lambda: data_plane.control_client.config.routing_table.version == 2)
-        await system.wait_until(lambda: data_plane.control_client.config_status is ConfigStatus.CURRENT, 0.5)
-        assert system.adopted_versions[DATA_PLANES[0]] == [1, 2]
-
-    run_virtual_system(monkeypatch, cut_off)
-
-
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_contact_is_not_derived_from_messages_before_the_cut(
     monkeypatch: pytest.MonkeyPatch, seed: int
@@ -231,176 +176,6 @@
     run_virtual_system(monkeypatch, cut_off, seed=seed)
 
 
-def first_adopted_versions(monkeypatch: pytest.MonkeyPatch, restarted: bool) -> list[int]:
-    """Return the versions that a new data plane adopts, which reaches an isolated node before the others."""
-    adopted: list[int] = []
-
-    async def cut_off(system: VirtualSystem) -> None:
-        await leave_new_data_planes_an_isolated_node(system, restarted)
-        await trio.sleep(2.0)
-        data_plane = await system.start_data_plane(DATA_PLANES[0])
-        await trio.sleep(0.9)
-        system.cuts -= {(DATA_PLANES[0], CONTROL_PLANES[0]), (CONTROL_PLANES[0], DATA_PLANES[0])}
-        await system.wait_until(lambda: data_plane.control_client.config.routing_table.version == 2)
-        await trio.sleep(3.0)
-        adopted.extend(system.adopted_versions[DATA_PLANES[0]])
-
-    run_virtual_system(monkeypatch, cut_off)
-    return adopted
-
-
-@pytest.mark.parametrize("restarted", [False, True])
-def test_old_state_is_not_adopted_where_a_node_in_contact_appears(
-    monkeypatch: pytest.MonkeyPatch, restarted: bool
-) -> None:
-    assert first_adopted_versions(monkeypatch, restarted) == [2]
-
-
-def test_a_data_plane_passes_its_state_on_to_one_that_no_node_reaches(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    async def isolate_second(system: VirtualSystem) -> None:
-        first, second = DATA_PLANES
-        assert (await replace_config(system.control_planes[CONTROL_PLANES[0]], 1)).status == 200
-        await system.start_data_plane(first)
-        system.cut(second, reachable=(first,))
-        isolated = await system.start_data_plane(second)
-        isolated.gossip.join([first])
-        await system.wait_until(lambda: isolated.control_client.config.routing_table.version == 1)
-        state = isolated.local_state.digest()
-        assert (state.config_version, state.config_digest) == (1, digest_of(config_text(1)))
-        assert not isolated.control_client.in_contact
-        assert (await replace_config(system.control_planes[CONTROL_PLANES[0]], 2)).status == 200
-        await system.wait_until(lambda: isolated.control_client.config.routing_table.version == 2)
-
-    run_virtual_system(monkeypatch, isolate_second)
-
-
-# Seeded defects: each must be seen by the scenario above it.
-
-
-def test_the_scenario_detects_state_sent_before_contact(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin = ControlPlane.restore
-
-    def publish_at_once(control_plane: ControlPlane) -> None:
-        begin(control_plane)
-        control_plane.on_committed(control_plane.replication.chain.replica)
-
-    monkeypatch.setattr(ControlPlane, "restore", publish_at_once)
-    monkeypatch.setattr(config_adoption, "FALLBACK_AFTER_MS", 0.0)  # and a data plane that adopts at once
-    assert first_adopted_versions(monkeypatch, True) == [1, 2]
-
-
-@pytest.mark.parametrize("defect", [False, True])
-def test_a_restarted_node_sends_nothing_from_its_disk_as_committed(
-    monkeypatch: pytest.MonkeyPatch, defect: bool
-) -> None:
-    async def restarted(system: VirtualSystem) -> None:
-        isolated_ip = CONTROL_PLANES[1]
-        assert (await replace_config(system.control_planes[isolated_ip], 1)).status == 200
-        await trio.sleep(1.0)
-        system.cut(isolated_ip)
-        system.kill(isolated_ip)
-        if defect:
-            begin = ControlPlane.restore
-
-            def publish_at_once(control_plane: ControlPlane) -> None:
-                begin(control_plane)
-                control_plane.on_committed(control_plane.replication.chain.replica)
-
-            monkeypatch.setattr(ControlPlane, "restore", publish_at_once)
-        control_plane = await system.start_control_plane(isolated_ip)
-        started_at = trio.current_time()
-        connection = RecordingConnection()
-        session = PeerSession(cast(PeerConnection, connection))
-        control_plane.peer_server.receive(
-            session, ["hello", "pilot", DATA_PLANES[0], {"version": 0, "digest": b""}]
-        )
-        for _ in range(20):
-            await trio.sleep(0.2)
-            control_plane.peer_server.receive(session, ["tick", 0, b""])
-        offers = [
-            (message, sent_at_s)
-            for message, sent_at_s in zip(connection.sent, connection.sent_at_s, strict=True)
-            if isinstance(message, ConfigOffer)
-        ]
-        assert len(offers) == 1
-        offer, sent_at_s = offers[0]
-        sent_early = sent_at_s - started_at < ISOLATION_MS / 1000.0
-        sent_as_committed = offer.status is not ConfigStatus.STORED
-        assert (sent_early or sent_as_committed) == defect
-
-    run_virtual_system(monkeypatch, restarted)
-
-
-def with_control_plane(monkeypatch: pytest.MonkeyPatch, test: Callable[[ControlPlane], Any]) -> None:
-    """Run with one node, for tests that fix what its replication answers."""
-
-    async def run(system: VirtualSystem) -> None:
-        await test(system.control_planes[CONTROL_PLANES[0]])
-
-    run_virtual_system(monkeypatch, run)
-
-
-def fix_outcome(monkeypatch: pytest.MonkeyPatch, outcome: CommitOutcome, contact: list[bool]) -> None:
-    async def submit(node: ReplicationNode, update: Update, read: bool = False) -> UpdateResult:
-        return UpdateResult(outcome, Replica() if read else None)
-
-    monkeypatch.setattr(ReplicationNode, "submit", submit)
-    monkeypatch.setattr(ReplicationNode, "in_contact", property(lambda node: contact[0]))
-
-
-@pytest.mark.parametrize("outcome", [CommitOutcome.COMMITTED, CommitOutcome.CONFLICT])
-@pytest.mark.parametrize("defect", [False, True])
-def test_nothing_is_confirmed_or_refused_without_contact(
-    monkeypatch: pytest.MonkeyPatch, outcome: CommitOutcome, defect: bool
-) -> None:
-    """Whatever the outcome in the chain; the seeded defect is a node that believes itself in contact."""
-
-    async def test(control_plane: ControlPlane) -> None:
-        contact = [True]
-        fix_outcome(monkeypatch, outcome, contact)
-        expected = 200 if outcome is CommitOutcome.COMMITTED else 409
-        assert (await replace_config(control_plane, 3)).status == expected
-        contact[0] = False
-        if defect:
-            monkeypatch.setattr(QuorumContactMonitor, "observe", lambda *_: QuorumContact.STABLE)
-        started_at = trio.current_time()
-        response = await replace_config(control_plane, 3)
-        assert response.status == (expected if defect else 503)
-        if not defect:
-            assert 0.5 < trio.current_time() - started_at < 1.0  # a short gap is waited out
-            await trio.sleep(1.0)
-            started_at = trio.current_time()
-            assert (
-                await replace_config(control_plane, 3)
-            ).status == 503 and trio.current_time() == started_at
-
-    with_control_plane(monkeypatch, test)
-
-
-def test_a_short_gap_is_waited_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test(control_plane: ControlPlane) -> None:
-        contact = [False]
-        fix_outcome(monkeypatch, CommitOutcome.COMMITTED, contact)
-        responses: list[ApiResponse] = []
-
-        async def replace() -> None:
-            responses.append(await replace_config(control_plane, 3))
-
-        async with trio.open_nursery() as nursery:
-            nursery.start_soon(replace)
-            await trio.sleep(0.4)
-            assert not responses
-            contact[0] = True
-        assert responses[0].status == 200
-
-    with_control_plane(monkeypatch, test)
-
-
-# Observations of contact, settings, and the end.
-
-
 def test_contact_by_the_clock() -> None:
     monitor = QuorumContactMonitor(0.0, 1500.0)
     assert monitor.observe(100.0, False) is QuorumContact.NONE and not monitor.timed_out(100.0)
@@ -437,4 +212,4 @@
         assert control_plane.replication.stopping and control_plane.api_server.draining
         assert expected_s <= elapsed_s <= expected_s + 0.06
 
-    with_control_plane(monkeypatch, drain_node)
+    run_with_control_plane(monkeypatch, drain_node)
--- a/tests/support/virtual_system.py
+++ b/tests/support/virtual_system.py
@@ -320,3 +320,12 @@
     monkeypatch.setattr(http_server, "Clock", VirtualClock)
     monkeypatch.setattr(trio.to_thread, "run_sync", run_inline)
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
+
+
+def run_with_control_plane(monkeypatch: pytest.MonkeyPatch, test: Callable[[ControlPlane], Any]) -> None:
+    """Run with one node, for tests that fix what its replication answers."""
+
+    async def run(system: VirtualSystem) -> None:
+        await test(system.control_planes[CONTROL_PLANES[0]])
+
+    run_virtual_system(monkeypatch, run)
