--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -64,7 +64,7 @@
     assert named in fault
 
 
-def test_mapping_that_fits_no_entry_is_refused_whole() -> None:
+def test_a_mapping_that_fits_no_entry_is_refused() -> None:
     with LdapServer([firm(n) for n in range(4)]) as ldap:
         with pytest.raises(directory.DirectoryError, match=r"4 of 4 entries are faulty.*sn has 0 values"):
             directory.fetch(source(ldap.url, plan="sn"), "", PLANS)
--- a/tests/agent/test_config.py
+++ b/tests/agent/test_config.py
@@ -79,7 +79,9 @@
     assert not load_http2(HTTP2_FILE).enabled
 
 
-def test_check_config_tells_the_key_and_fails(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_config_names_the_faulty_key_and_fails(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert cli.main(["check-config", str(EXAMPLE_CONFIG)]) == 0
     (tmp_path / "bad.json").write_text(json.dumps(example_config(settings__Siblings=None)))
     assert cli.main(["check-config", str(tmp_path / "bad.json")]) == 2
--- a/tests/common/test_compatibility.py
+++ b/tests/common/test_compatibility.py
@@ -94,7 +94,7 @@
     (DATA, DATA, "tcp"): {"chart", "fetch", "whole"},
     (DATA, DATA, "udp"): {"leaving", "probe", "reach", "reached", "servers", "word"},
 }
-# How a fixture's bytes are decoded, by its direction; of two, the reply is told from the request by hand.
+# Decoders by direction of a fixture; of two, the test distinguishes request and reply.
 DECODERS: dict[tuple[str, str, str], tuple[messages.MessageDecoder[Any], ...]] = {
     (CONTROL, CONTROL, "tcp"): (messages.NODE_REQUESTS, messages.NODE_REPLIES),
     (CONTROL, DATA, "tcp"): (messages.CONTROL_PLANE_MESSAGES,),
@@ -140,8 +140,8 @@
         found = book.load()
         assert found is not None and not book.quarantined
         durable, replica = found
-        told = {"durable": durable, "replica": replica.pack(), "servers": book.load_endpoints()}
-        assert plain(told) == recorded(f"core_schema_{schema}.json")
+        loaded = {"durable": durable, "replica": replica.pack(), "servers": book.load_endpoints()}
+        assert plain(loaded) == recorded(f"core_schema_{schema}.json")
         book.close()
 
 
--- a/tests/common/test_decoding.py
+++ b/tests/common/test_decoding.py
@@ -1,4 +1,4 @@
-"""Settings, configurations, what is on disk and what comes over cables: read whole, or refused by name."""
+"""Settings, configurations, replica files and registrations: decoded completely or refused by name."""
 
 from __future__ import annotations
 
@@ -62,14 +62,14 @@
         "pattern": {"path_prefix": "/a/b/"},
         "effect": {"service": "t", "timeout_s": 1.5, "max_tries": 1},
     }
-    whole = {
+    config_document = {
         "generation": "r7",
         "limits": {"max_header_bytes": 16384, "header_timeout_s": 3, "idle_timeout_s": 9},
         "tenants": [{"name": "n", "api_keys": ["k1", "k2"], "rate_per_s": 63, "burst": 63}],
         "sockets": [{"host": "h.example", "policy": [rule, deep]}],
         "backends": [{"name": "s", "health_path": "/health", "max_conns": 9}, {"name": "t"}],
     }
-    return whole | changes
+    return config_document | changes
 
 
 def test_settings_are_parsed_and_errors_name_the_field() -> None:
@@ -103,10 +103,10 @@
 
 
 def broken(change: str) -> bytes:
-    whole = document()
-    rule, deep = whole["sockets"][0]["policy"]
+    config_document = document()
+    rule, deep = config_document["sockets"][0]["policy"]
     if change == "cut_short":
-        return json.dumps(whole).encode()[:-40]
+        return json.dumps(config_document).encode()[:-40]
     if change == "unknown_service":
         deep["effect"]["service"] = "u"
     elif change == "below_zero":
@@ -120,17 +120,17 @@
     elif change == "odd_kind":
         rule["route_kind"] = "perhaps"
     elif change == "shared_key":
-        whole["tenants"].append({"name": "m", "api_keys": ["k2"]})
+        config_document["tenants"].append({"name": "m", "api_keys": ["k2"]})
     elif change == "same_place":
         deep["pattern"]["path_prefix"] = "/a/"
     elif change == "no_weight":
         for one in rule["effect"]["weighted"]:
             one["weight"] = 0
     elif change == "no_version":
-        whole["generation"] = "7"
+        config_document["generation"] = "7"
     elif change == "no_host":
-        del whole["sockets"][0]["host"]
-    return json.dumps(whole).encode()
+        del config_document["sockets"][0]["host"]
+    return json.dumps(config_document).encode()
 
 
 @pytest.mark.parametrize(
--- a/tests/common/test_docs.py
+++ b/tests/common/test_docs.py
@@ -40,7 +40,7 @@
 
 
 def _is_module(dotted: str) -> bool:
-    """Tell whether a dotted name is a package or module, or a name that one defines at its top level."""
+    """Return whether a dotted name is a package or module, or a name that one defines at its top level."""
     at = ROOT / PACKAGE
     *parents, last = dotted.strip(".").split(".")
     for part in parents:
--- a/tests/common/test_malformed_input.py
+++ b/tests/common/test_malformed_input.py
@@ -313,7 +313,9 @@
             if not isinstance(message, NodeStatus) and random.random() < 0.01:
                 chain = self.nodes[to].chain if to in self.nodes else None
                 try:
-                    if chain is not None:  # what is not read whole changes nothing that is saved or said
+                    if (
+                        chain is not None
+                    ):  # a message that is refused changes no stored state and sends nothing
                         corrupted = decode(corrupt(random, encode(message)))
                         if corrupted is not None:
                             copy.deepcopy(chain).receive(self.now, sender, corrupted)
--- a/tests/common/test_messages.py
+++ b/tests/common/test_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages: encoded as arrays, checked when decoded, and unknown names passed over."""
+"""Typed messages: encoded as arrays, checked when decoded; unknown names are ignored."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
     assert taken > 100
 
 
-def test_names_of_other_directions_and_of_later_versions_are_passed_over() -> None:
+def test_names_of_other_directions_and_of_later_versions_are_ignored() -> None:
     assert messages.DATA_PLANE_REQUESTS.decode(["sum", 1, 2, 3, 4]) is None
     assert messages.DATAGRAMS.decode(["fetch", "10.1.0.1", 1, b""]) is None
     for decoders in DECODERS.values():
@@ -113,7 +113,7 @@
     assert session.is_control_plane_node and session.name == "10.1.0.1"
 
 
-def test_fields_that_a_later_version_adds_are_passed_over_where_they_are_today() -> None:
+def test_added_fields_are_ignored_in_requests_and_refused_in_messages_of_the_control_plane() -> None:
     assert messages.DATA_PLANE_REQUESTS.decode(["out", "i1", "more"]) == messages.RequestStarted("i1")
     assert messages.NODE_REQUESTS.decode(["cores", []]) == messages.ListNodes()
     with pytest.raises(msgspec.ValidationError):
--- a/tests/controlplane/test_chain.py
+++ b/tests/controlplane/test_chain.py
@@ -80,10 +80,10 @@
     ("duration_ms", "wait", "kept"),  # as it is; kept too long; used without a wait after a view
     [(LEASE_MS, True, True), (3000.0, True, False), (LEASE_MS, False, False)],
 )
-def test_a_lease_of_the_view_before_has_ended_when_the_next_is_used(
+def test_a_lease_of_the_previous_view_has_expired_when_the_next_is_used(
     duration_ms: float, wait: bool, kept: bool
 ) -> None:
-    """The head hears nothing of the view that the other two agree on, though they hear it."""
+    """The head receives nothing about the view that the other two agree on; they receive its messages."""
 
     class Other(Lease):
         def is_usable(self, now: float, chain: ReplicationChain) -> bool:
@@ -124,13 +124,13 @@
     assert (together == 0) == kept
 
 
-def test_a_machine_that_is_in_no_view_keeps_nothing() -> None:
+def test_a_node_outside_the_view_has_no_usable_lease() -> None:
     chain, lease = ReplicationChain(Member("a", "new"), View(), 1), Lease()
     lease.install(0.0, chain.view)
     assert not lease.is_usable(5000.0, chain)
 
 
-def test_the_sweep_finds_copies_that_hold_as_many_but_others() -> None:
+def test_replicas_with_equally_many_but_different_departures_are_reconciled() -> None:
     core = SimulatedGroup(3, 4)
     core.run(3000.0)
     spare, head = core.nodes["m3"].chain, core.nodes["m0"].chain
@@ -147,7 +147,7 @@
         )
 
 
-def test_four_voters_with_two_in_one_zone_do_not_stay() -> None:
+def test_four_voters_with_two_in_one_zone_are_changed() -> None:
     """The loss of that zone would leave two of four: a spare is added, or one of the two left out."""
     members = tuple(Member(ip, "first") for ip in ("m0", "m1", "m2", "m5"))
     zones = {"m1": "z1", "m2": "z2", "m3": "z0", "m4": "z1", "m5": "z2"}
@@ -164,30 +164,32 @@
         assert not differs(following, next_view(following, observation, ZONE))
 
 
-def test_one_text_under_two_numbers_keeps_the_history_whole() -> None:
-    """Back to an earlier text: whoever holds that text holds another history."""
+def test_one_document_under_two_versions_keeps_its_complete_history() -> None:
+    """An update back to an earlier document has the same digest, but another history."""
     held = Replica().config.successor(4, b"x", 1)
-    told = held.successor(5, b"y", 1).successor(6, b"x", 1)
-    assert told.digest == held.digest
-    assert told.identity != held.identity
-    came = type(told).unpack(told.abbreviated_for(held.identity).pack())
-    assert came == told and came.complete
-    bare = type(told).unpack(told.abbreviated_for(told.identity).pack())
-    assert not bare.complete and not bare.completed_from(held).complete
-    assert bare.completed_from(told) == told
+    repeated = held.successor(5, b"y", 1).successor(6, b"x", 1)
+    assert repeated.digest == held.digest
+    assert repeated.identity != held.identity
+    unabbreviated = type(repeated).unpack(repeated.abbreviated_for(held.identity).pack())
+    assert unabbreviated == repeated and unabbreviated.complete
+    abbreviated = type(repeated).unpack(repeated.abbreviated_for(repeated.identity).pack())
+    assert not abbreviated.complete and not abbreviated.completed_from(held).complete
+    assert abbreviated.completed_from(repeated) == repeated
 
 
 @pytest.mark.parametrize(
-    ("loses", "one_number", "two_numbers"),
+    ("lost_node", "states_of_one_version", "states_of_two_versions"),
     [("a", 17_505, 20_200), ("b", 9_969, 11_391), ("c", 24_104, 28_002)],
 )
-def test_no_order_of_events_breaks_a_small_core(loses: str, one_number: int, two_numbers: int) -> None:
-    """Two writers give one number two texts; or two numbers. Every state is visited: the counts say so."""
-    assert explore(ONE_VERSION, Exploration(loses)) == one_number
-    assert explore((Update(1, b"1"), Update(2, b"2")), Exploration(loses)) == two_numbers
+def test_no_order_of_events_breaks_a_small_group(
+    lost_node: str, states_of_one_version: int, states_of_two_versions: int
+) -> None:
+    """Two writers submit two documents of one version, or of two; all states are visited, by their number."""
+    assert explore(ONE_VERSION, Exploration(lost_node)) == states_of_one_version
+    assert explore((Update(1, b"1"), Update(2, b"2")), Exploration(lost_node)) == states_of_two_versions
 
 
 @pytest.mark.parametrize("returns", [Return.WITH_EMPTY_DISK, Return.WITH_DISK])
-def test_some_orders_of_events_where_the_lost_one_comes_back(returns: Return) -> None:
+def test_some_orders_of_events_where_the_lost_node_returns(returns: Return) -> None:
     """Bounded: there are more states than 200,000 of these."""
     assert explore(ONE_VERSION, Exploration("a", returns=returns), max_states=5_000) > 5_000
--- a/tests/controlplane/test_chain_defects.py
+++ b/tests/controlplane/test_chain_defects.py
@@ -78,7 +78,7 @@
 
 
 class StopsAtOnce(ReplicationChain):
-    """A node that stops as soon as it is told to."""
+    """A node that stops as soon as it is asked to."""
 
     @property
     def may_stop(self) -> bool:
@@ -114,7 +114,7 @@
 
 
 class ConfirmsWithoutText(ReplicationChain):
-    """Text left out for who stores a text of that version; and who lacks it confirms that it is saved."""
+    """Omits the document for a node with one of that version; a node without it confirms it as stored."""
 
     update_passing_type = _ConfirmsWithoutTextPassing
 
@@ -226,12 +226,12 @@
         "no other text of it is safe",
     ),  # refused, though no other text is safe
     (chaos, ConfirmsReadsAlone, 0, "had been acknowledged before"),  # confirmed without contact
-    (chaos, CommitsAtStart, 0, "before it has heard another"),  # handed out before contact
+    (chaos, CommitsAtStart, 0, "before it has heard another"),  # published before contact
     (leaving, StopsAtOnce, 8, "no read was answered"),  # a leaving member forgotten early: by its copies
     (leaving_of_five, StopsWithVote, 192, "no read was answered"),  # by those who decide
     (chaos, ConfirmsWithoutText, 0, "calls .* safe"),  # a copy without its text counted as a copy
     (chaos, InstallsWithoutState, 30, "two texts of"),  # a view installed without its state
-    (chaos, ComparesVersionsAlone, 41, "two texts of"),  # copies told apart by their number alone
+    (chaos, ComparesVersionsAlone, 41, "two texts of"),  # replicas distinguished by their version alone
     (chaos, AgreesAlone, 0, "two views|differ|no read"),  # a view agreed by one
     (
         wiped,
--- a/tests/controlplane/test_chain_history.py
+++ b/tests/controlplane/test_chain_history.py
@@ -1,4 +1,4 @@
-"""Long histories of the core in virtual time: hundreds of changes while one of its machines is away."""
+"""Long histories of a simulated group: hundreds of updates while one of its nodes is down."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 CATCH_UP_MS = 5000.0
 
 
-class Busy(SimulatedGroup):
-    """One operator who changes the configuration again and again, going on until he is answered."""
+class GroupUnderUpdates(SimulatedGroup):
+    """A group with one operator who submits one update after another, each until it is committed."""
 
     changed = 0
 
@@ -26,21 +26,21 @@
             return
         update = Update(self.changed + 1, b"%d" % (self.changed + 1) + b"." * TEXT)
 
-        def heard(outcome: CommitOutcome) -> None:
+        def on_outcome(outcome: CommitOutcome) -> None:
             if outcome == CommitOutcome.COMMITTED:
                 self.changed = max(self.changed, update.version)
 
-        self.send_update(self.random.choice(sorted(self.nodes)), update, heard)
+        self.send_update(self.random.choice(sorted(self.nodes)), update, on_outcome)
         self.schedule(EVERY_MS, lambda: self.change(ends))
 
 
 def caught_up(core: SimulatedGroup, ip: str) -> bool:
-    """Tell whether a machine holds what the core has acknowledged."""
+    """Return whether a node stores what the group has acknowledged."""
     return core.nodes[ip].replica.config.version >= core.checker.highest_acknowledged
 
 
-def until(core: Busy, what: str, bound_ms: float, ip: str = "", changed: int = 0) -> float:
-    """Let time pass until a machine has caught up, or so much has been changed; return after how long."""
+def run_until(core: GroupUnderUpdates, what: str, bound_ms: float, ip: str = "", changed: int = 0) -> float:
+    """Run until a node has caught up, or so many updates are committed; return the time taken in ms."""
     begun = core.now
     while core.changed < changed if changed else not caught_up(core, ip):
         assert core.now - begun < bound_ms, f"seed {core.seed}: {what}"
@@ -58,17 +58,17 @@
         (5, FaultTolerance(2), 1),
     ],
 )
-def test_a_machine_away_through_hundreds_of_changes(
+def test_a_node_down_during_hundreds_of_updates_catches_up_in_time(
     machines: int, tolerance: FaultTolerance, away: int, how: str
 ) -> None:
-    core = Busy(500 + away, machines, machines, tolerance=tolerance)
+    core = GroupUnderUpdates(500 + away, machines, machines, tolerance=tolerance)
     core.run(2500.0)
     core.change(20)
-    until(core, "twenty changes", 30_000.0, changed=20)
+    run_until(core, "twenty changes", 30_000.0, changed=20)
     one = core.nodes[f"m{away}"]
     core.stop(one, wipe=how == "empty")
     core.change(CHANGES)
-    until(core, "changes while one is away", 300_000.0, changed=CHANGES - 20)
+    run_until(core, "changes while one is away", 300_000.0, changed=CHANGES - 20)
     one.received = 0
     core.start(one)  # in the midst of the last changes
     if how == "twice ended":  # beside the first saves of what it takes in, before one and after another
@@ -83,25 +83,25 @@
         one.save_crash = 0.0
         while one.chain is None:
             core.run(core.now + 50.0)
-    assert until(core, "it does not catch up", CATCH_UP_MS, f"m{away}") <= CATCH_UP_MS
-    # It takes the whole in a few times at most, and what is changed meanwhile: not each of the changes.
+    assert run_until(core, "it does not catch up", CATCH_UP_MS, f"m{away}") <= CATCH_UP_MS
+    # It receives the full state a few times at most, and later updates, but not each of the updates.
     assert one.received < (16 if how == "twice ended" else 6) * (TEXT + CHANGES * ENTRY)
-    until(core, "the last changes", 60_000.0, changed=CHANGES)
+    run_until(core, "the last changes", 60_000.0, changed=CHANGES)
     core.check_recovery()
     assert core.checker.highest_acknowledged == CHANGES
 
 
 @pytest.mark.parametrize("away", [0, 1, 2])
-def test_a_machine_that_comes_back_cut_off_says_nothing_is_safe(away: int) -> None:
-    """It has what is old on its disk; it leads nobody, hands out nothing and confirms nothing."""
-    core = Busy(600 + away)
+def test_a_node_restarted_without_a_quorum_confirms_nothing(away: int) -> None:
+    """Its disk has old state: it is head of nothing, publishes nothing and confirms nothing."""
+    core = GroupUnderUpdates(600 + away)
     core.run(2500.0)
     core.change(10)
-    until(core, "ten changes", 30_000.0, changed=10)
+    run_until(core, "ten changes", 30_000.0, changed=10)
     one = core.nodes[f"m{away}"]
     core.stop(one)
     core.change(60)
-    until(core, "changes while one is away", 60_000.0, changed=60)
+    run_until(core, "changes while one is away", 60_000.0, changed=60)
     others = {(one.ip, ip) for ip in core.nodes if ip != one.ip}
     core.network.cut = others | {(ip, there) for there, ip in others}
     core.start(one)
@@ -112,5 +112,5 @@
         assert one.chain is not None and one.chain.committed.config.version == 0
     assert set(answers) <= {CommitOutcome.NOT_YET}
     core.network.cut.clear()
-    assert until(core, "it does not catch up", CATCH_UP_MS, one.ip) <= CATCH_UP_MS
+    assert run_until(core, "it does not catch up", CATCH_UP_MS, one.ip) <= CATCH_UP_MS
     core.check_recovery()
--- a/tests/controlplane/test_replica_recovery.py
+++ b/tests/controlplane/test_replica_recovery.py
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_member_away_through_hundreds_of_changes_catches_up_whole(
+def test_a_member_down_during_hundreds_of_updates_catches_up_completely(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
     monkeypatch.setattr(storage_file, "CHECKPOINT_PAGES", 60)
@@ -223,7 +223,7 @@
         if node.chain is not None
     )
     assert old.keys() >= {FILE} and sum(map(len, files(restarted.folder).values())) < 800_000
-    # It leads as well as any: the others are gone but one, and power with them.
+    # It can be head as well: all but one of the others are down after a loss of power.
     others = [node for node in cluster.nodes.values() if node is not restarted]
     for node in (restarted, *others):
         node.stop()
@@ -234,7 +234,7 @@
     assert restarted.chain is not None and restarted.chain.replica.config.version == 347
 
 
-def test_catching_up_takes_a_copy_not_the_changes(tmp_path: Path) -> None:
+def test_catching_up_transfers_a_replica_not_each_update(tmp_path: Path) -> None:
     cluster = Cluster(tmp_path, 9)
     cluster.commit_versions(range(1, 4))
     restarted = cluster.nodes["m2"]
--- a/tests/controlplane/test_storage_power_loss.py
+++ b/tests/controlplane/test_storage_power_loss.py
@@ -1,4 +1,4 @@
-"""Power lost at each step: on disk is the state before or after, whole, and never one older than synced.
+"""Power lost at each step: on disk is the complete state before or after, and never one older than synced.
 
 The files are real ones. Which bytes a loss may take is reckoned from copies before and after a save and from
 the order of sqlite's writes and syncs (`logbooks.after_power`); renames and removals are kept or lost one by
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("schema", [1, 2])
-def test_power_lost_while_an_older_file_is_moved_on(tmp_path: Path, schema: int) -> None:
+def test_power_lost_during_a_migration_is_recovered(tmp_path: Path, schema: int) -> None:
     random = Random(schema)
     (tmp_path / "a").mkdir()
     write_older(tmp_path / "a", schema, 9, b"doc" * 3000, {f"i{n}": 1 for n in range(200)})
@@ -183,7 +183,7 @@
                     (folder / name).write_bytes(start[name])
                 names.synced = files(folder)
 
-            store._read = _not_whole  # type: ignore[method-assign]
+            store._read = _raise_corrupt_store  # type: ignore[method-assign]
             patched.setattr(StoreFile, "close", refused)
             assert store.load() is None and store.quarantined
             patched.undo()
@@ -196,11 +196,11 @@
             path.unlink()
 
 
-def _not_whole() -> Any:
+def _raise_corrupt_store() -> Any:
     raise CorruptStoreError("as where a page is damaged")
 
 
-def test_an_old_log_beside_a_new_file_is_nothing(tmp_path: Path) -> None:
+def test_an_old_log_beside_a_new_file_is_ignored(tmp_path: Path) -> None:
     """The file's removal kept, its log's lost."""
     store = ReplicaStore(str(tmp_path / "a"))
     store.save(DURABLE, replica(3))
@@ -213,7 +213,7 @@
 def test_what_a_killed_process_left_is_synced_before_it_is_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was killed between write and sync; its successor tells what it reads, so that must outlast power."""
+    """A kill came between write and sync; the next process sends what it loads, so that must be durable."""
     store = ReplicaStore(str(tmp_path / "a"))
     store.save(DURABLE, replica(3))
     left = files(tmp_path / "a")
--- a/tests/controlplane/test_view.py
+++ b/tests/controlplane/test_view.py
@@ -78,7 +78,7 @@
     )
 
 
-def test_the_last_copies_stay_though_their_machines_are_ill_or_leave() -> None:
+def test_the_last_replicas_stay_although_their_nodes_are_unhealthy_or_stopping() -> None:
     members = tuple(member for member, _ in nodes("abc"))
     observation = observed_by(members[0], "abc", unreachable="m1", unhealthy="m2")
     assert next_view(View(1, members, members), observation, FaultTolerance()).chain == (
@@ -92,7 +92,7 @@
     }
 
 
-def test_two_that_do_not_reach_each_other_are_not_taken_into_one_chain() -> None:
+def test_two_nodes_that_cannot_reach_each_other_are_not_in_one_chain() -> None:
     """Else the view would change to and fro between one who sees both and one who misses the other."""
     members = tuple(member for member, _ in nodes("abc"))
     reach = {
--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -237,7 +237,7 @@
     assert capsys.readouterr().err == f"{refusal}\n"
 
 
-def test_one_that_cannot_answer_is_passed_over(site: Site) -> None:
+def test_a_node_that_does_not_answer_is_skipped(site: Site) -> None:
     assert " stable " in Commands(at=f"127.0.0.1:1,{site.address}").status()
     assert client.call(f"127.0.0.1:1, {site.address}", "GET", "/status").at.strip() == site.address
 
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -19,11 +19,13 @@
 from wickspring.wire import WireError
 
 
-def test_a_full_disk_is_told_and_changes_nothing(tmp_path: Path) -> None:
+def test_a_full_disk_is_reported_and_changes_nothing(tmp_path: Path) -> None:
     node = Node(load_fleet(fleet_file(tmp_path)), "a0")
     before = node.instances.owner_state
     pages = node.context.store._db.execute("pragma page_count").fetchone()[0]
-    node.context.store._db.execute(f"pragma max_page_count={pages}")  # as a full disk: not one page more
+    node.context.store._db.execute(
+        f"pragma max_page_count={pages}"
+    )  # the database cannot grow, as on a full disk
     long = "x" * 200_000
     reply = node.instances.handle_request(AcquireClaims(long, long, "a0", "drain", ("n0",), 9e9))
     assert "cannot keep" in reply.reason
--- a/tests/fleet/test_owner.py
+++ b/tests/fleet/test_owner.py
@@ -30,7 +30,7 @@
     return AcquireClaims(operation, by, "a0", "drain", names, until)
 
 
-def test_claims_are_all_or_none_and_tell_who_holds_them() -> None:
+def test_claims_are_granted_together_and_conflicts_name_the_holder() -> None:
     state, reply = send(owner_state(record("n0"), record("n1")), claim("op1", "n0", by="first"))
     assert not reply.reason
     after, reply = send(state, claim("op2", "n0", "n1"))
@@ -82,7 +82,7 @@
     assert not send(state, permit("n2"))[1].reason
 
 
-def test_what_is_down_for_any_reason_counts_and_an_unheard_agents_instances_do() -> None:
+def test_instances_down_for_any_reason_or_of_dead_agents_use_up_permits() -> None:
     crashed = record("n1", observed=ObservedState("waiting"))
     state = owner_state(record("n0"), crashed, record("n2"))
     assert send(state, permit("n0"))[1].wait
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -142,7 +142,7 @@
     assert driver.step("n0") is Step.PROVING
 
 
-def test_a_coordinator_that_has_come_back_waits_for_what_it_has_not_heard() -> None:
+def test_a_restarted_coordinator_waits_for_observations() -> None:
     driver = OperationDriver(Kind.UPGRADE, count=2)
     driver.advance()
     observation = FleetObservation(HashTrieMap(), {FLEET: "a0", scope_of("hall-a"): "a0"}, RULES)
@@ -152,7 +152,7 @@
     assert after.instances[0].step is Step.LOST
     others = replace(
         observation, records=driver.owner_state.records.remove("n0")
-    )  # its agent tells, not of it
+    )  # its agent reports, but not this instance
     after, _ = coordinator.advance(driver.operation, NOW + 5.0, others)
     assert "no agent tells of it" in after.reason
 
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -1,4 +1,4 @@
-"""The store of an agent: whole changes, and files of later programs."""
+"""The store of an agent: atomic changes, and files of later programs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from wickspring.agent.store import Process, Store, StoreChange, StoreError
 
 
-def test_a_change_is_stored_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_a_store_change_is_atomic(tmp_path: Path) -> None:
     store = Store(tmp_path / "a.db")
     store.apply(
         StoreChange(
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -25,7 +25,7 @@
     return now
 
 
-def test_a_change_reaches_all_and_a_dead_agent_is_told_from_a_slow_one() -> None:
+def test_changes_reach_all_views_and_dead_agents_are_distinguished_from_slow_ones() -> None:
     names = [f"a{n}" for n in range(20)]
     views = [FleetView(name, names, NOW, RULES, seed) for seed, name in enumerate(names)]
     assert not views[0].has_quorum(NOW)
@@ -42,7 +42,7 @@
     for turn in range(30):
         now = gossip(views, now, 1, cut=() if turn % 4 == 0 else ("a5",))
     assert views[0].health("a5", now) in (Health.SLOW, Health.SUSPECT, Health.ALIVE)
-    now += 60.0  # cut off itself: it hears nobody
+    now += 60.0  # isolated itself: it receives no gossip
     assert not views[0].has_quorum(now)
 
 
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -37,7 +37,7 @@
     assert not reply.error or "9.9" in reply.error
 
 
-def test_fields_unknown_to_this_program_are_passed_over() -> None:
+def test_unknown_fields_are_ignored() -> None:
     text = b'{"type":"show","history":3,"colour":"blue"}'
     assert msgspec.json.decode(text, type=wire.Message) == wire.Show(3)
 
@@ -69,31 +69,32 @@
             listeners = await trio.open_tcp_listeners(int(port), host=host)
             nursery.start_soon(trio.serve_listeners, node.listeners.serve_tcp, listeners)
 
-            async def tell(name: str, to: str = "a0", message: wire.Message | None = None) -> wire.Answer:
+            async def request(name: str, to: str = "a0", message: wire.Message | None = None) -> wire.Answer:
                 tls = Certificates(tmp_path / "ca.pem", tmp_path / f"{name}.pem", tmp_path / f"{name}.pem")
                 return await wire.exchange(address, to, message or wire.Show(), tls.client(), to)
 
-            assert not (await tell("boss")).error
-            assert not (await tell("guest")).error
+            assert not (await request("boss")).error
+            assert not (await request("guest")).error
             submit = wire.Submit(Kind.DRAIN, ("n0",), id="op")
-            assert "may read" in (await tell("guest", message=submit)).error
+            assert "may read" in (await request("guest", message=submit)).error
             assert (
-                "only agents" in (await tell("boss", message=wire.Gossip(node.context.view.digest()))).error
+                "only agents"
+                in (await request("boss", message=wire.Gossip(node.context.view.digest()))).error
             )
             with pytest.raises(WireError):
-                await tell("nobody")
+                await request("nobody")
             with pytest.raises(WireError, match="not accepted"):
-                await tell("boss", to="a1")  # it names another agent
+                await request("boss", to="a1")  # it names another agent
             certificates(tmp_path, stranger, "other")
             with pytest.raises(WireError):
-                await tell("other")
+                await request("other")
             certificates(tmp_path, ca, "a0", past)
             with pytest.raises(WireError, match="expired"):
-                await tell("boss")
+                await request("boss")
             certificates(tmp_path, ca, "a0")  # renewed in place, without a restart
-            assert not (await tell("boss")).error
+            assert not (await request("boss")).error
             (tmp_path / "a0.pem").write_text("garbage")
-            assert not (await tell("boss")).error  # what was read before holds
+            assert not (await request("boss")).error  # what was read before holds
             assert node.certificates is not None
             assert "a0.pem" in node.certificates.fault
             nursery.cancel_scope.cancel()
--- a/tests/support/ingress.py
+++ b/tests/support/ingress.py
@@ -109,8 +109,8 @@
             ours = {"gateways": 1, "zones": ("hall-a",), "count_timeout": 2000.0, "dial_timeout": 2000.0}
             settings = make_settings(classes=tuple(KINDS.values()), plans=(plan,), **{**ours, **changes})
             local = ("127.0.0.1", 0)
-            news = mute if mute_discovery else discovery.serve
-            places = [await toy.start(nursery, one) for one in (news, counter.serve)]
+            discovery_handler = mute if mute_discovery else discovery.serve
+            places = [await toy.start(nursery, one) for one in (discovery_handler, counter.serve)]
             found, counted = (parse_address("address", place) for place in places)
             http2 = Http2(enabled=True, servers=speak2)
             limits = Limits(sockets=sockets, memory_mb=memory_mb)
@@ -163,7 +163,7 @@
         await self.stream.send_all(out + (self.http.send(h11.EndOfMessage()) or b""))
 
     async def answer(self) -> Got:
-        """Read one answer whole."""
+        """Read one complete response."""
         status, headers, body = 0, dict[str, str](), b""
         while True:
             event = self.http.next_event()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""Loopback networks for tests that run whole machines, each at an address of its own in 127.0.0.0/8."""
+"""Loopback networks for tests that run complete nodes, each at an address of its own in 127.0.0.0/8."""
 
 from __future__ import annotations
 
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -48,7 +48,7 @@
         return self.running and self.cut_at is None
 
     def timed_out(self, now: float) -> bool:
-        """Tell whether it has been cut off for so long that control planes notice."""
+        """Return whether it has been isolated for so long that control planes notice."""
         return self.cut_at is not None and now - self.cut_at >= RECEIVE_TIMEOUT_MS
 
 
--- a/tests/system/test_gateway_processes.py
+++ b/tests/system/test_gateway_processes.py
@@ -1,4 +1,4 @@
-"""A whole gateway of real processes on loopback, with faults between them."""
+"""A complete gateway of real processes on loopback, with faults between them."""
 
 from __future__ import annotations
 
